--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,5 +1,5 @@
 //! A toy partner and a toy discovery in one, on 127.0.0.1:9100: prints what reaches it. Each third call is told
-//! to wait, so that a second try can be seen. The README's "Try it" goes with it.
+//! to wait, so that a second attempt can be seen. The README's "Try it" goes with it.
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/src/as2/check.rs
+++ b/src/as2/check.rs
@@ -1,7 +1,7 @@
 //! What is wrong in the file of AS2 partners: keys that nobody knows, partners that lead nowhere, certificates and
 //! keys that cannot be read or do not belong together.
 use super::File;
-use crate::fault::{Fault, Faults};
+use crate::config_error::{ConfigError, ConfigErrors};
 use crate::settings::Site;
 use der::DecodePem;
 use hyper::Uri;
@@ -10,8 +10,8 @@
 
 /// All that is wrong in the file; nothing where there is none. `site` are the settings whose names it uses, where
 /// they can be read.
-pub fn file(path: &Path, site: Option<&Site>) -> Vec<Fault> {
-    let mut faults = Faults::of(path);
+pub fn file(path: &Path, site: Option<&Site>) -> Vec<ConfigError> {
+    let mut faults = ConfigErrors::of(path);
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Vec::new(),
@@ -67,7 +67,7 @@
     faults.found
 }
 
-fn certificate(folder: &Path, name: &str, key: &str, faults: &mut Faults) -> Option<Certificate> {
+fn certificate(folder: &Path, name: &str, key: &str, faults: &mut ConfigErrors) -> Option<Certificate> {
     let read = std::fs::read_to_string(folder.join(name)).map_err(|e| e.to_string());
     match read.and_then(|pem| Certificate::from_pem(pem).map_err(|e| e.to_string())) {
         Ok(certificate) => Some(certificate),
@@ -78,7 +78,7 @@
     }
 }
 
-fn url(text: Option<&str>, key: &str, faults: &mut Faults) {
+fn url(text: Option<&str>, key: &str, faults: &mut ConfigErrors) {
     let Some(text) = text.filter(|t| !t.is_empty()) else { return };
     let good = text.parse::<Uri>().is_ok_and(|u| u.host().is_some() && u.scheme().is_some());
     faults.unless(good, key, format!("not a URL with scheme and host: {text:?}"));
--- a/src/as2/mod.rs
+++ b/src/as2/mod.rs
@@ -3,8 +3,8 @@
 pub mod mdn;
 pub mod smime;
 
-use crate::core::Member;
-use crate::Listed;
+use crate::core::Endpoint;
+use crate::EndpointState;
 use der::DecodePem;
 use miniserde::{json, Deserialize};
 use smime::Identity;
@@ -88,7 +88,7 @@
 /// A file, a key or a certificate that cannot be read, named.
 pub fn book(path: &Path) -> Result<Option<Book>, Box<dyn Error>> {
     let Ok(text) = std::fs::read_to_string(path) else { return Ok(None) };
-    let file: File = json::from_str(&text).map_err(|_| crate::fault::why::<File>(path, &text))?;
+    let file: File = json::from_str(&text).map_err(|_| crate::config_error::why::<File>(path, &text))?;
     if !file.enabled {
         return Ok(None);
     }
@@ -127,15 +127,15 @@
     }
 
     /// Partners to which messages go, as members of the upstream group.
-    pub fn members(&self) -> Vec<Member> {
+    pub fn members(&self) -> Vec<Endpoint> {
         let member = |p: &Partner| {
-            Some(Member {
+            Some(Endpoint {
                 uid: format!("{PREFIX}{}", p.name),
                 address: format!("{PREFIX}{}", p.name),
                 zone: 0,
                 kind: 0,
                 dest: p.dest?,
-                state: Listed::Running,
+                state: EndpointState::Running,
                 rate: p.rate,
             })
         };
--- a/src/notices.rs
+++ b/src/callbacks.rs
@@ -1,7 +1,7 @@
 //! Notices to the platform: what was taken on and is not delivered. Sent again until they are answered.
-use crate::core::Notice;
+use crate::core::Callback;
 use crate::exchange::Exchange;
-use crate::journal::End;
+use crate::journal::Completion;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Request, StatusCode};
@@ -47,7 +47,7 @@
 
 /// Sends notices as they come; those that come together travel together.
 pub async fn run(
-    discovery: watch::Receiver<String>, exchange: Exchange, mut notices: UnboundedReceiver<Notice>,
+    discovery: watch::Receiver<String>, exchange: Exchange, mut notices: UnboundedReceiver<Callback>,
 ) {
     let ways = Ways::open();
     let mut under_way = JoinSet::new();
@@ -66,7 +66,7 @@
 }
 
 /// Sends one batch until it is answered.
-async fn tell(ways: Ways, mut discovery: watch::Receiver<String>, exchange: Exchange, batch: Vec<Notice>) {
+async fn tell(ways: Ways, mut discovery: watch::Receiver<String>, exchange: Exchange, batch: Vec<Callback>) {
     let text: Bytes = batch.iter().map(line).collect::<String>().into();
     let begun = Instant::now();
     let mut attempts = JoinSet::new();
@@ -106,7 +106,7 @@
     }
     for notice in &batch {
         log::debug!("told of {}: {:?}, after {} ms", notice.name, notice.end, begun.elapsed().as_millis());
-        exchange.notice_heard(notice.id);
+        exchange.callback_acknowledged(notice.id);
     }
 }
 
@@ -131,11 +131,13 @@
     }
 }
 
-fn line(notice: &Notice) -> String {
+fn line(notice: &Callback) -> String {
     let id = miniserde::json::to_string(&notice.name);
     match notice.end {
-        End::Deferred(Some(ms)) => format!("{{\"id\":{id},\"status\":\"deferred\",\"again_ms\":{ms}}}\n"),
-        End::Deferred(None) => format!("{{\"id\":{id},\"status\":\"deferred\"}}\n"),
+        Completion::Deferred(Some(ms)) => {
+            format!("{{\"id\":{id},\"status\":\"deferred\",\"again_ms\":{ms}}}\n")
+        }
+        Completion::Deferred(None) => format!("{{\"id\":{id},\"status\":\"deferred\"}}\n"),
         _ => format!("{{\"id\":{id},\"status\":\"undeliverable\"}}\n"),
     }
 }
--- a/src/client/as2.rs
+++ b/src/client/as2.rs
@@ -4,9 +4,9 @@
 use crate::as2::smime::{self, Entity};
 use crate::as2::{Book, Partner};
 use crate::clock;
-use crate::core::{Answer, Notice};
+use crate::core::{Answer, Callback};
 use crate::exchange::Exchange;
-use crate::journal::End;
+use crate::journal::Completion;
 use crate::request::RequestContext;
 use crate::settings::Site;
 use axum::body::Bytes;
@@ -101,10 +101,10 @@
     };
     match front.exchange.submit(context).await {
         // Who wants the receipt later gets it when the message is over: one answer, and the final one.
-        Answer::Taken if wants.later => StatusCode::OK.into_response(),
-        Answer::Taken | Answer::Delivered => front.receipt(partner, message, "", Some(mic), &wants),
+        Answer::Accepted if wants.later => StatusCode::OK.into_response(),
+        Answer::Accepted | Answer::Delivered => front.receipt(partner, message, "", Some(mic), &wants),
         Answer::Reject(after) => super::platform::reject(after),
-        Answer::Unknown | Answer::Failed => {
+        Answer::UnknownDestination | Answer::Failed => {
             front.receipt(partner, message, "unexpected-processing-error", Some(mic), &wants)
         }
     }
@@ -188,7 +188,7 @@
 }
 
 /// Passes on the ends of messages whose partners wait for them.
-pub async fn words(book: Arc<Book>, exchange: Exchange, mut words: UnboundedReceiver<Notice>) {
+pub async fn words(book: Arc<Book>, exchange: Exchange, mut words: UnboundedReceiver<Callback>) {
     let client = client();
     while let Some(notice) = words.recv().await {
         let (book, exchange, client) = (book.clone(), exchange.clone(), client.clone());
@@ -197,16 +197,16 @@
             if let Err(e) = pass_on(&client, &book, &notice).await {
                 log::error!("AS2: no receipt for {}: {e}", notice.name);
             }
-            exchange.notice_heard(notice.id);
+            exchange.callback_acknowledged(notice.id);
         });
     }
 }
 
-async fn pass_on(client: &Sender, book: &Book, notice: &Notice) -> Result<(), Fault> {
+async fn pass_on(client: &Sender, book: &Book, notice: &Callback) -> Result<(), Fault> {
     let origin: Origin = json::from_str(&notice.origin).map_err(|_| "its origin cannot be read")?;
     let partner = book.partner(&origin.partner).ok_or("its sender is a partner no more")?;
     let url = partner.receipts_to.as_deref().ok_or("its sender has no place for receipts any more")?;
-    let error = if notice.end == End::Delivered { "" } else { "unexpected-processing-error" };
+    let error = if notice.end == Completion::Delivered { "" } else { "unexpected-processing-error" };
     let entity = written(book, &origin.message, error, Some(origin.mic), origin.signed)?;
     offer(client, book, url, &origin.message, entity).await;
     Ok(())
@@ -234,7 +234,7 @@
     log::error!("AS2: receipt for {message} given up");
 }
 
-/// A receipt for what was sent earlier. Its try judges it, signature and all.
+/// A receipt for what was sent earlier. Its attempt judges it, signature and all.
 async fn receipt(State(front): State<Arc<Front>>, headers: HeaderMap, body: Bytes) -> Response {
     let Some(receipt) = mdn::read(&body) else {
         return (StatusCode::BAD_REQUEST, "not a receipt").into_response();
--- a/src/client/platform.rs
+++ b/src/client/platform.rs
@@ -51,10 +51,10 @@
 
 fn answer(answer: Answer) -> Response {
     match answer {
-        Answer::Taken => StatusCode::ACCEPTED.into_response(),
+        Answer::Accepted => StatusCode::ACCEPTED.into_response(),
         Answer::Delivered => StatusCode::OK.into_response(),
         Answer::Reject(after) => reject(after),
-        Answer::Unknown => StatusCode::NOT_FOUND.into_response(),
+        Answer::UnknownDestination => StatusCode::NOT_FOUND.into_response(),
         Answer::Failed => StatusCode::INTERNAL_SERVER_ERROR.into_response(),
     }
 }
@@ -100,7 +100,7 @@
     let rules = &site.module.classes[class];
     let key = text("x-key")?.filter(|_| rules.fifo_by_key).map(number);
     let repeat_key = text("idempotency-key")?.unwrap_or_default();
-    if repeat_key.is_empty() && matches!(rules.effect, Effect::Keyed { .. }) {
+    if repeat_key.is_empty() && matches!(rules.effect, Effect::IdempotentByKey { .. }) {
         return Err(bad("Idempotency-Key is missing"));
     }
     Ok(RequestContext {
--- a/src/fault.rs
+++ b/src/config_error.rs
@@ -8,7 +8,7 @@
 
 /// One thing that is wrong.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fault {
+pub struct ConfigError {
     /// The file in which it stands.
     pub file: PathBuf,
     /// The key, as `settings.classes[0].effect`; empty for the file as a whole.
@@ -17,7 +17,7 @@
     pub what: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: ", self.file.display())?;
         if !self.key.is_empty() {
@@ -28,21 +28,21 @@
 }
 
 /// The faults of one file.
-pub struct Faults<'a> {
+pub struct ConfigErrors<'a> {
     file: &'a Path,
     /// All that were found, in the order of the file.
-    pub found: Vec<Fault>,
+    pub found: Vec<ConfigError>,
 }
 
-impl<'a> Faults<'a> {
+impl<'a> ConfigErrors<'a> {
     /// None yet.
-    pub fn of(file: &'a Path) -> Faults<'a> {
-        Faults { file, found: Vec::new() }
+    pub fn of(file: &'a Path) -> ConfigErrors<'a> {
+        ConfigErrors { file, found: Vec::new() }
     }
 
     /// Adds one.
     pub fn add(&mut self, key: impl Into<String>, what: impl fmt::Display) {
-        self.found.push(Fault { file: self.file.into(), key: key.into(), what: what.to_string() });
+        self.found.push(ConfigError { file: self.file.into(), key: key.into(), what: what.to_string() });
     }
 
     /// Adds one unless it holds.
@@ -131,9 +131,9 @@
 
 /// Why a file that must be read could not be, in one line.
 pub fn why<T: DeserializeOwned>(file: &Path, text: &str) -> String {
-    let mut faults = Faults::of(file);
+    let mut faults = ConfigErrors::of(file);
     let read: Option<T> = faults.json(text, &[]);
-    let missing = Fault { file: file.into(), key: String::new(), what: "cannot be read".into() };
+    let missing = ConfigError { file: file.into(), key: String::new(), what: "cannot be read".into() };
     let first = faults.found.into_iter().next().filter(|_| read.is_none()).unwrap_or(missing);
     first.to_string()
 }
--- a/src/core/door.rs
+++ b/src/core/admission.rs
@@ -1,9 +1,9 @@
 //! What is handed in: what can be told at once, what is taken on, and the journal before the answer.
-use super::held::{weigh, Held};
-use super::orders::{Answer, Order};
+use super::messages::{Answer, Output};
+use super::pending::{weigh, Held};
 use super::Core;
-use crate::interface::{Action, Event, MsgId, Nanos};
-use crate::journal::{self, End, Record};
+use crate::interface::{Action, Event, MessageId, Nanos};
+use crate::journal::{self, Completion, Record};
 use crate::metrics::Ending;
 use crate::plugins::Verdict;
 use crate::request::{Outlook, RequestContext};
@@ -15,7 +15,7 @@
 
 impl Core {
     /// Decides what can be told at once; else hands the message to the module, and gives its id.
-    pub(super) fn handed(&mut self, id: MsgId, mut context: RequestContext) -> Option<MsgId> {
+    pub(super) fn handed(&mut self, id: MessageId, mut context: RequestContext) -> Option<MessageId> {
         let (weight, class) = (weigh(&context), context.class);
         let answer = if let Some(delivered) = self.ended.delivered(&context.name, &context.repeat_key) {
             if delivered {
@@ -28,25 +28,25 @@
             // Guards the clients of open requests against others that use their ids: another message under
             // the same id is not that one, whichever came first.
             if held.context.same_message(&context) {
-                Answer::Taken
+                Answer::Accepted
             } else {
-                Answer::Reject(self.come_back())
+                Answer::Reject(self.rejection_retry_after())
             }
         } else if self.dests.is_empty() {
             // No list has come yet: which destinations there are is not known, and coming again is harmless.
-            Answer::Reject(self.come_back())
+            Answer::Reject(self.rejection_retry_after())
         } else if !self.dests.contains(&context.dest) {
-            Answer::Unknown
+            Answer::UnknownDestination
         } else if context.deadline <= self.now {
             Answer::Failed
-        } else if self.open >= self.settings.open_cap || self.ledger.stuck() {
-            Answer::Reject(self.come_back())
+        } else if self.open >= self.settings.max_pending || self.ledger.stuck() {
+            Answer::Reject(self.rejection_retry_after())
         } else if self.weight + self.ended.weight() + weight > self.ledger.room() {
             if self.now >= self.room_log {
                 log::warn!("reject: no room in the journal");
                 self.room_log = self.now + LOG_EACH;
             }
-            Answer::Reject(self.come_back())
+            Answer::Reject(self.rejection_retry_after())
         } else if let Verdict::Pass(tags) = self.plugins.request(&context, self.outlook(&context)) {
             context.tags = tags;
             self.keep(id, context);
@@ -57,14 +57,14 @@
             return Some(id);
         } else {
             log::info!(message = context.name, dest = context.dest; "reject: a script's word");
-            Answer::Reject(self.come_back())
+            Answer::Reject(self.rejection_retry_after())
         };
         self.answered(id, class, answer);
         None
     }
 
     /// When a client that is turned away here may come again.
-    pub fn come_back(&self) -> Option<Nanos> {
+    pub fn rejection_retry_after(&self) -> Option<Nanos> {
         self.settings.retry_after.map(|top| Nanos::from_secs(1.0).min(top))
     }
 
@@ -76,30 +76,30 @@
         }
     }
 
-    pub(super) fn keep(&mut self, id: MsgId, context: RequestContext) {
+    pub(super) fn keep(&mut self, id: MessageId, context: RequestContext) {
         let weight = weigh(&context);
         self.weight += weight;
         self.open += 1;
         self.names.insert(context.name.clone(), id);
         let context = Arc::new(context);
-        let (tries, out, maybe, end, heard, logged) = (0, None, None, None, false, false);
-        let held = Held { context, tries, out, maybe, end, heard, logged, weight };
+        let (attempts, out, first_possible_run, end, heard, logged) = (0, None, None, None, false, false);
+        let held = Held { context, attempts, out, first_possible_run, end, heard, logged, weight };
         self.held.insert(id, held);
     }
 
-    pub(super) fn withdrawn(&mut self, id: MsgId) {
+    pub(super) fn withdrawn(&mut self, id: MessageId) {
         if self.held.get(&id).is_some_and(|h| h.end.is_none()) {
-            self.events.push(Event::Gone(id));
-            self.end(id, End::Withdrawn);
+            self.events.push(Event::Withdrawn(id));
+            self.end(id, Completion::Withdrawn);
         }
     }
 
     /// Answers the clients of this moment's requests. What is taken on is in the journal before that.
-    pub(super) fn answer(&mut self, handed: &[MsgId], actions: &[Action]) {
+    pub(super) fn answer(&mut self, handed: &[MessageId], actions: &[Action]) {
         let mut rejects = BTreeMap::new();
         for action in actions {
             match action {
-                Action::Refuse { id, after } => rejects.insert(*id, Answer::Reject(*after)),
+                Action::Reject { id, after } => rejects.insert(*id, Answer::Reject(*after)),
                 Action::Fail(id) => rejects.insert(*id, Answer::Failed),
                 _ => None,
             };
@@ -111,15 +111,15 @@
                 Some(answer) => *answer,
                 None if self.take_on(*id) => {
                     log::debug!(message = context.name, class = context.class, dest = context.dest; "taken on");
-                    Answer::Taken
+                    Answer::Accepted
                 }
                 None => {
-                    self.events.push(Event::Gone(*id));
+                    self.events.push(Event::Withdrawn(*id));
                     self.wake = Some(self.now);
-                    Answer::Reject(self.come_back())
+                    Answer::Reject(self.rejection_retry_after())
                 }
             };
-            if answer != Answer::Taken {
+            if answer != Answer::Accepted {
                 self.forget(*id);
             }
             self.answered(*id, context.class, answer);
@@ -127,23 +127,23 @@
     }
 
     /// The one place where a request has its answer, and where one that ends with it is counted.
-    fn answered(&mut self, id: MsgId, class: usize, answer: Answer) {
+    fn answered(&mut self, id: MessageId, class: usize, answer: Answer) {
         let ending = match answer {
-            Answer::Taken => None,
+            Answer::Accepted => None,
             Answer::Delivered => Some(Ending::Fulfilled),
             Answer::Reject(_) => Some(Ending::Throttled),
-            Answer::Unknown | Answer::Failed => Some(Ending::Faulted),
+            Answer::UnknownDestination | Answer::Failed => Some(Ending::Faulted),
         };
         if let Some(ending) = ending {
             self.metrics.ended(class, ending);
         }
-        self.orders.push(Order::Answer(id, answer));
+        self.orders.push(Output::Answer(id, answer));
     }
 
     /// Whether the journal has the message.
-    pub(super) fn take_on(&mut self, id: MsgId) -> bool {
+    pub(super) fn take_on(&mut self, id: MessageId) -> bool {
         let Some(h) = self.held.get(&id) else { return false };
-        let record = Record::Taken(h.taken(id));
+        let record = Record::Accepted(h.taken(id));
         if self.ledger.is_full(self.now, journal::size(&record)) {
             self.write_anew();
         }
--- a/src/core/ends.rs
+++ b/src/core/completions.rs
@@ -1,10 +1,10 @@
 //! Ends: told once, kept until they are heard of, remembered for repeats.
-use super::hand::ending;
-use super::held::{owes_word, Stage};
-use super::orders::Order;
+use super::messages::Output;
+use super::pending::{owes_word, Stage};
+use super::suspensions::ending;
 use super::Core;
-use crate::interface::{Effect, MsgId, Nanos};
-use crate::journal::{End, Record};
+use crate::interface::{Effect, MessageId, Nanos};
+use crate::journal::{Completion, Record};
 use crate::request::RequestContext;
 use std::collections::hash_map::Entry::Occupied;
 
@@ -17,7 +17,7 @@
 
 impl Core {
     /// The message is over for its client.
-    pub(super) fn end(&mut self, id: MsgId, end: End) {
+    pub(super) fn end(&mut self, id: MessageId, end: Completion) {
         let now = self.now;
         let Some(h) = self.held.get_mut(&id).filter(|h| h.end.is_none()) else { return };
         let context = h.context.clone();
@@ -28,7 +28,7 @@
         }
         let left_s = (context.deadline - now).secs();
         log::debug!(message = context.name, end:?, left_s; "over");
-        let record = |end| Record::Ended { id: id.0, at: now.0, end };
+        let record = |end| Record::Completed { id: id.0, at: now.0, end };
         let written = self.ledger.first(now, &record(end));
         let end = if written { end } else { self.end_unwritten(&context, end) };
         self.close(id, end);
@@ -36,13 +36,13 @@
             self.metrics.ended(context.class, ending);
         }
         let Some(h) = self.held.get_mut(&id) else { return };
-        let word = owes_word(&context, end).then(|| Order::Notice(h.notice(id, end)));
+        let word = owes_word(&context, end).then(|| Output::Callback(h.notice(id, end)));
         if written {
             self.orders.extend(word);
         } else {
             // What is given up has its answer at once. That it was delivered can wait: after a kill, the word
             // would be another one.
-            let (now_told, later) = if end == End::Delivered { (None, word) } else { (word, None) };
+            let (now_told, later) = if end == Completion::Delivered { (None, word) } else { (word, None) };
             self.orders.extend(now_told);
             self.ledger.keep(now, record(end), later);
         }
@@ -52,16 +52,18 @@
 
     /// What a client is told where the journal cannot know of it yet. Guards "no double effect": a process that is
     /// killed now takes the message up again, so its client must not be told that coming again is harmless.
-    pub(super) fn end_unwritten(&self, context: &RequestContext, end: End) -> End {
+    pub(super) fn end_unwritten(&self, context: &RequestContext, end: Completion) -> Completion {
         let effect = self.settings.classes.get(context.class).map(|c| c.effect);
         let runs_again = (context.deadline - self.now).secs() > TIME_UP;
         match end {
-            End::Deferred(_) if effect == Some(Effect::Once) && runs_again => End::Undeliverable,
+            Completion::Deferred(_) if effect == Some(Effect::AtMostOnce) && runs_again => {
+                Completion::Undeliverable
+            }
             _ => end,
         }
     }
 
-    pub(super) fn close(&mut self, id: MsgId, end: End) {
+    pub(super) fn close(&mut self, id: MessageId, end: Completion) {
         let Some(h) = self.held.get_mut(&id) else { return };
         h.end = Some(end);
         self.open -= 1;
@@ -70,7 +72,7 @@
         }
     }
 
-    pub(super) fn heard(&mut self, id: MsgId) {
+    pub(super) fn heard(&mut self, id: MessageId) {
         let Some(h) = self.held.get_mut(&id).filter(|h| h.end.is_some() && !h.heard) else { return };
         h.heard = true;
         let key = h.context.key;
@@ -91,22 +93,22 @@
     }
 
     /// One that was handed back or withdrawn may come again as if new.
-    pub(super) fn remember(&mut self, context: &RequestContext, at: Nanos, end: End) {
-        if !matches!(end, End::Delivered | End::Undeliverable) {
+    pub(super) fn remember(&mut self, context: &RequestContext, at: Nanos, end: Completion) {
+        if !matches!(end, Completion::Delivered | Completion::Undeliverable) {
             return;
         }
         let class = self.settings.classes.get(context.class);
         let window = match class.map(|c| c.effect) {
-            Some(Effect::Keyed { window, .. }) => window,
+            Some(Effect::IdempotentByKey { window, .. }) => window,
             _ => Nanos(0),
         };
         let until = context.deadline.max(at + window) + REMEMBER;
         let (name, repeat_key) = (context.name.clone(), context.repeat_key.clone());
         self.ended.forget(self.now);
-        self.ended.add(name, repeat_key, until, end == End::Delivered);
+        self.ended.add(name, repeat_key, until, end == Completion::Delivered);
     }
 
-    pub(super) fn drop_if_done(&mut self, id: MsgId) {
+    pub(super) fn drop_if_done(&mut self, id: MessageId) {
         let Some(h) = self.held.get(&id) else { return };
         let told = h.end.is_some_and(|end| h.heard || !owes_word(&h.context, end));
         if told && h.out.is_none() {
@@ -114,7 +116,7 @@
         }
     }
 
-    pub(super) fn forget(&mut self, id: MsgId) {
+    pub(super) fn forget(&mut self, id: MessageId) {
         self.take_out(id);
         if let Some(h) = self.held.remove(&id) {
             self.weight -= h.weight;
--- a/src/core/busy.rs
+++ b/src/core/in_flight.rs
@@ -1,11 +1,11 @@
-//! How many tries are out, so that nobody counts them.
-use crate::interface::HostId;
+//! How many attempts are out, so that nobody counts them.
+use crate::interface::EndpointId;
 use std::collections::BTreeMap;
 
-/// How many tries are out, in all and at each endpoint.
+/// How many attempts are out, in all and at each endpoint.
 #[derive(Default)]
 pub(super) struct Busy {
-    hosts: BTreeMap<HostId, usize>,
+    hosts: BTreeMap<EndpointId, usize>,
     all: usize,
 }
 
@@ -13,14 +13,14 @@
     pub(super) fn all(&self) -> usize {
         self.all
     }
-    pub(super) fn at(&self, host: HostId) -> bool {
+    pub(super) fn at(&self, host: EndpointId) -> bool {
         self.hosts.contains_key(&host)
     }
-    pub(super) fn add(&mut self, host: HostId) {
+    pub(super) fn add(&mut self, host: EndpointId) {
         *self.hosts.entry(host).or_default() += 1;
         self.all += 1;
     }
-    pub(super) fn remove(&mut self, host: HostId) {
+    pub(super) fn remove(&mut self, host: EndpointId) {
         self.all -= 1;
         if let Some(n) = self.hosts.get_mut(&host) {
             *n -= 1;
--- a/src/core/ledger.rs
+++ b/src/core/journal_writer.rs
@@ -5,14 +5,14 @@
 //! | record that is not written | what happens | a kill before it is |
 //! | --- | --- | --- |
 //! | `Taken` | the client gets 503 | nothing was taken on |
-//! | `Started` | the try does not start; the module hears `Unsent` | it never started |
-//! | `Outcome` | kept for later | the try may have run: a payout ends as undeliverable |
+//! | `Started` | the attempt does not start; the module hears `Unsent` | it never started |
+//! | `Outcome` | kept for later | the attempt may have run: a payout ends as undeliverable |
 //! | `Ended` | kept for later | the message ends once more; what may have run does not run again |
 //! | `Heard` | kept for later | the same notice goes out once more |
 //!
-//! What is kept is bounded: while the journal cannot be written nothing is taken on and no try starts, so each
+//! What is kept is bounded: while the journal cannot be written nothing is taken on and no attempt starts, so each
 //! message that is held adds its outcome, its end and its notice at the most.
-use super::orders::Order;
+use super::messages::Output;
 use crate::journal::{Fault, Journal, Record};
 use crate::Nanos;
 use std::collections::VecDeque;
@@ -26,7 +26,7 @@
 const SAME_TROUBLE: f64 = 10.0;
 
 /// A record that waits, and what is to be done once it is written.
-type Late = (Record, Option<Order>);
+type Late = (Record, Option<Output>);
 
 pub struct Ledger {
     journal: Journal,
@@ -59,12 +59,12 @@
     }
 
     /// The journal is another process's from now on: nothing is written any more.
-    pub fn let_go(&mut self) {
+    pub fn release_journal(&mut self) {
         self.gone = true;
     }
 
     /// When `retry` is to be called.
-    pub fn wake(&self) -> Option<Nanos> {
+    pub fn next_wake(&self) -> Option<Nanos> {
         self.again
     }
 
@@ -86,7 +86,7 @@
         match self.journal.append(record) {
             Ok(()) => true,
             // The log's own limit says nothing of the disk. What has been taken on has its reserve behind it.
-            Err(Fault::Limit) if matches!(record, Record::Taken(_)) => {
+            Err(Fault::Limit) if matches!(record, Record::Accepted(_)) => {
                 log::warn!("reject: no room in the journal");
                 false
             }
@@ -98,7 +98,7 @@
     }
 
     /// Writes what has happened. Where it cannot be, it is kept, and `then` is given back by `retry`.
-    pub fn keep(&mut self, now: Nanos, record: Record, then: Option<Order>) -> Option<Order> {
+    pub fn keep(&mut self, now: Nanos, record: Record, then: Option<Output>) -> Option<Output> {
         if self.first(now, &record) {
             return then;
         }
@@ -116,11 +116,11 @@
         self.pause = (self.pause * 2.0).min(PAUSE_MOST);
     }
 
-    /// Tries a journal that could not be written, when its time has come. `all` are the records of all that is
+    /// Attempts a journal that could not be written, when its time has come. `all` are the records of all that is
     /// known. Gives what was to be done once its record was written; none while the journal is stuck.
     pub fn retry<I: Iterator<Item = Record>>(
         &mut self, now: Nanos, all: impl FnOnce() -> I,
-    ) -> Option<Vec<Order>> {
+    ) -> Option<Vec<Output>> {
         if self.again.is_none_or(|at| now < at) {
             return None;
         }
@@ -140,10 +140,10 @@
     }
 
     fn catch_up<I: Iterator<Item = Record>>(
-        &mut self, all: impl FnOnce() -> I, done: &mut Vec<Order>,
+        &mut self, all: impl FnOnce() -> I, done: &mut Vec<Output>,
     ) -> Result<(), Fault> {
         // A mark without a meaning: whether the disk takes anything is seen before a message depends on it.
-        let mut fault = self.journal.append(&Record::Heard { id: 0 }).err();
+        let mut fault = self.journal.append(&Record::CallbackAcknowledged { id: 0 }).err();
         while fault.is_none() {
             let Some((record, _)) = self.late.front() else { break };
             fault = self.journal.append(record).err();
@@ -160,7 +160,7 @@
         }
     }
 
-    fn anew(&mut self, all: impl Iterator<Item = Record>, done: &mut Vec<Order>) -> Result<(), Fault> {
+    fn anew(&mut self, all: impl Iterator<Item = Record>, done: &mut Vec<Output>) -> Result<(), Fault> {
         self.journal.rewrite(all)?;
         self.anew = None;
         done.extend(self.late.drain(..).filter_map(|l| l.1));
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,39 +1,39 @@
-//! Request contexts, tries, outcomes and deadlines. Drives the decision module with all that happened in a
+//! Request contexts, attempts, outcomes and deadlines. Drives the decision module with all that happened in a
 //! moment, keeps the journal in step, and says what is to be done. It knows no wire.
 //!
-//! By concern: `door` what is handed in, `tries` what is out, `ends` what is over, `group` whom there is to call,
+//! By concern: `door` what is handed in, `attempts` what is out, `ends` what is over, `group` whom there is to call,
 //! `restart` what the journal says at a start, `ledger` what must be written first, `hand` whom operators took out,
 //! `elder` a journal that changes hands.
-mod busy;
-mod door;
-mod elder;
-mod ends;
-mod group;
-mod hand;
-mod held;
-mod ledger;
-mod orders;
+mod admission;
+mod attempts;
+mod completions;
+mod endpoints;
+mod in_flight;
+mod journal_writer;
+mod messages;
+mod pending;
 mod restart;
+mod suspensions;
+mod takeover;
 #[cfg(test)]
 mod tests;
-mod tries;
 
-pub use hand::Hand;
-pub use orders::{Answer, Input, Member, Notice, Order, Sighting, Try};
+pub use messages::{Answer, Attempt, Callback, Endpoint, EndpointObservation, Input, Output};
+pub use suspensions::SuspensionResult;
 
 use crate::deduplication::DeduplicationCache;
-use crate::interface::{Action, Event, HostId, MsgId, Nanos, Settings};
-use crate::journal::{End, Journal, Record};
+use crate::interface::{Action, EndpointId, Event, MessageId, Nanos, Settings};
+use crate::journal::{Completion, Journal, Record};
 use crate::logic::Balancer;
 use crate::metrics::Metrics;
 use crate::plugins::Plugins;
 use crate::settings::Site;
-use busy::Busy;
-use elder::Elders;
-use held::{records, Held};
-use ledger::Ledger;
+use in_flight::Busy;
+use journal_writer::Ledger;
+use pending::{records, Held};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
+use takeover::Elders;
 
 pub struct Core {
     settings: Settings,
@@ -41,25 +41,25 @@
     ledger: Ledger,
     plugins: Plugins,
     site: Arc<Site>,
-    held: BTreeMap<MsgId, Held>,
+    held: BTreeMap<MessageId, Held>,
     /// How many of them are not over.
     open: usize,
     /// Keys of those that are over and whose notice is not answered, and how many each has.
     unheard: HashMap<u64, usize>,
-    names: HashMap<String, MsgId>,
+    names: HashMap<String, MessageId>,
     ended: DeduplicationCache,
-    /// Tries that go out at the end of this moment, unless their key is not free.
-    held_back: BTreeSet<MsgId>,
-    /// Tries that wait for an earlier message's notice, by its key; looked at when the key is free, not before.
-    parked: HashMap<u64, Vec<MsgId>>,
+    /// Attempts that go out at the end of this moment, unless their key is not free.
+    held_back: BTreeSet<MessageId>,
+    /// Attempts that wait for an earlier message's notice, by its key; looked at when the key is free, not before.
+    parked: HashMap<u64, Vec<MessageId>>,
     busy: Busy,
-    hosts: BTreeMap<HostId, Member>,
-    /// Gone from the upstream group, and still with a try out.
-    leaving: BTreeSet<HostId>,
+    hosts: BTreeMap<EndpointId, Endpoint>,
+    /// Gone from the upstream group, and still with an attempt out.
+    leaving: BTreeSet<EndpointId>,
     next_host: u32,
     /// Members that discovery does not list.
-    standing: Vec<Member>,
-    uids: HashMap<String, HostId>,
+    standing: Vec<Endpoint>,
+    uids: HashMap<String, EndpointId>,
     /// Endpoints that operators took out, until they call them back.
     suspended: BTreeSet<String>,
     /// Endpoints that are listed no more, the oldest first: an operator's call for one is no slip.
@@ -70,10 +70,10 @@
     next: u64,
     wake: Option<Nanos>,
     events: Vec<Event>,
-    orders: Vec<Order>,
+    orders: Vec<Output>,
     now: Nanos,
     resting: bool,
-    /// The module has been told that no try can start.
+    /// The module has been told that no attempt can start.
     paused: bool,
     /// When the next line on a full journal may be logged.
     room_log: Nanos,
@@ -87,7 +87,7 @@
     /// Takes up what the journal says is still owed. `elder`: the process that wrote it may still have calls out, and says
     /// what comes of them.
     pub fn new(
-        site: &Arc<Site>, seed: u64, standing: Vec<Member>, plugins: Plugins,
+        site: &Arc<Site>, seed: u64, standing: Vec<Endpoint>, plugins: Plugins,
         (journal, records): (Journal, Vec<Record>), elder: bool, now: Nanos,
     ) -> Core {
         let settings = site.module.clone();
@@ -132,9 +132,9 @@
     }
 
     /// The number for the next message that is handed in.
-    pub fn next_id(&mut self) -> MsgId {
+    pub fn next_id(&mut self) -> MessageId {
         self.next += 1;
-        MsgId(self.next - 1)
+        MessageId(self.next - 1)
     }
 
     /// The shortest time between two moments, as the settings have it.
@@ -143,49 +143,49 @@
     }
 
     /// When `moment` is to be called at the latest.
-    pub fn wake(&self) -> Option<Nanos> {
-        self.wake.filter(|_| !self.resting).into_iter().chain(self.ledger.wake()).min()
+    pub fn next_wake(&self) -> Option<Nanos> {
+        self.wake.filter(|_| !self.resting).into_iter().chain(self.ledger.next_wake()).min()
     }
 
-    /// Tries that are out.
-    pub fn tries_out(&self) -> usize {
+    /// Attempts that are out.
+    pub fn attempts_in_flight(&self) -> usize {
         self.busy.all()
     }
 
-    /// From now on no new try starts; what is handed in is kept for the next process.
-    pub fn rest(&mut self) {
+    /// From now on no new attempt starts; what is handed in is kept for the next process.
+    pub fn start_draining(&mut self) {
         self.resting = true;
     }
 
     // ---- A moment.
 
     /// Takes in all that happened, lets the module decide once, and says what is to be done.
-    pub fn moment(&mut self, now: Nanos, inputs: Vec<Input>) -> Vec<Order> {
+    pub fn step(&mut self, now: Nanos, inputs: Vec<Input>) -> Vec<Output> {
         self.now = now;
         self.retry_journal();
         let mut handed = Vec::new();
         for input in inputs {
             match input {
-                Input::Group { whole, members } => self.group(whole, members),
-                Input::Handed { id, context } => handed.extend(self.handed(id, context)),
+                Input::Endpoints { complete, members } => self.group(complete, members),
+                Input::Submitted { id, context } => handed.extend(self.handed(id, context)),
                 Input::Withdrawn(id) => self.withdrawn(id),
-                Input::TryEnded { id, attempt, outcome, over, report } => {
-                    self.try_ended(id, attempt, outcome, over, report)
+                Input::AttemptEnded { id, attempt, outcome, over, report } => {
+                    self.attempt_ended(id, attempt, outcome, over, report)
                 }
-                Input::NoticeHeard(id) => {
-                    self.ledger.keep(now, Record::Heard { id: id.0 }, None);
+                Input::CallbackAcknowledged(id) => {
+                    self.ledger.keep(now, Record::CallbackAcknowledged { id: id.0 }, None);
                     self.heard(id);
                 }
-                Input::ToldWait { host, dest, wait } => {
+                Input::RetryAfter { host, dest, wait } => {
                     log::debug!(dest = dest.0, wait_s = wait.secs(); "told to wait");
-                    self.events.push(Event::ToldWait { host, dest, wait });
+                    self.events.push(Event::RetryAfter { host, dest, wait });
                 }
-                Input::Hearsay(sightings) => self.hearsay(sightings),
-                Input::ElderSaid(records) => self.elder_said(records),
-                Input::ElderGone => self.elder_gone(),
+                Input::PeerObservations(sightings) => self.hearsay(sightings),
+                Input::PredecessorRecords(records) => self.elder_said(records),
+                Input::PredecessorExited => self.elder_gone(),
             }
         }
-        // The journal may have failed since the last moment, when a try was about to start.
+        // The journal may have failed since the last moment, when an attempt was about to start.
         self.pause();
         self.look_after_elders();
         let mut actions = Vec::new();
@@ -223,7 +223,7 @@
         }
     }
 
-    /// Tells the module that no try can start. Without this it would decide on the tries of all that it holds again
+    /// Tells the module that no attempt can start. Without this it would decide on the attempts of all that it holds again
     /// and again while a disk fails.
     fn pause(&mut self) {
         if self.ledger.stuck() && !self.paused {
@@ -242,13 +242,15 @@
     fn carry_out(&mut self, action: Action) {
         match action {
             Action::Send { id, host, timeout } => self.send(id, host, timeout),
-            Action::Cancel { id, attempt } => self.orders.push(Order::GiveUp { id, attempt }),
-            Action::Refuse { id, after } => self.end(id, End::Deferred(after.map(|a| a.0 / 1_000_000))),
-            Action::Fail(id) => self.end(id, End::Undeliverable),
+            Action::Cancel { id, attempt } => self.orders.push(Output::CancelAttempt { id, attempt }),
+            Action::Reject { id, after } => {
+                self.end(id, Completion::Deferred(after.map(|a| a.0 / 1_000_000)))
+            }
+            Action::Fail(id) => self.end(id, Completion::Undeliverable),
             Action::WakeAt(at) => self.wake = Some(self.wake.map_or(at, |w| w.min(at))),
-            Action::Release(host) => self.orders.push(Order::Release(host)),
+            Action::CloseIdle(host) => self.orders.push(Output::CloseIdle(host)),
             // The watch on the upstream group renews itself.
-            Action::Watch => {}
+            Action::WatchEndpointList => {}
             Action::Log { text, host } => {
                 let member = host.and_then(|h| self.hosts.get(&h));
                 match member {
--- a/src/core/held.rs
+++ b/src/core/pending.rs
@@ -1,13 +1,13 @@
-//! One held message: its tries, what may have run, its end, and the records that the journal needs of it.
-use super::orders::Notice;
+//! One held message: its attempts, what may have run, its end, and the records that the journal needs of it.
+use super::messages::Callback;
 use crate::deduplication::DeduplicationCache;
-use crate::interface::{DestId, HostId, Message, MsgId, Nanos};
-use crate::journal::{End, Journal, Record, Taken};
+use crate::interface::{DestinationId, EndpointId, Message, MessageId, Nanos};
+use crate::journal::{AcceptedMessage, Completion, Journal, Record};
 use crate::request::RequestContext;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// How far a try has come.
+/// How far an attempt has come.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Stage {
     /// Waits for an earlier message's notice, or for this moment to end; not on its way yet.
@@ -23,18 +23,18 @@
     pub(super) started: Nanos,
     pub(super) zone: usize,
     pub(super) stage: Stage,
-    pub(super) host: HostId,
+    pub(super) host: EndpointId,
     pub(super) timeout: Nanos,
 }
 
 pub(super) struct Held {
     pub(super) context: Arc<RequestContext>,
-    pub(super) tries: u32,
+    pub(super) attempts: u32,
     pub(super) out: Option<Out>,
-    /// When, and in which zone, the first try started that may have run.
-    pub(super) maybe: Option<(Nanos, usize)>,
-    /// Set once the message is over; it is kept for its try and its notice.
-    pub(super) end: Option<End>,
+    /// When, and in which zone, the first attempt started that may have run.
+    pub(super) first_possible_run: Option<(Nanos, usize)>,
+    /// Set once the message is over; it is kept for its attempt and its notice.
+    pub(super) end: Option<Completion>,
     pub(super) heard: bool,
     /// The journal knows of it.
     pub(super) logged: bool,
@@ -42,25 +42,25 @@
 }
 
 impl Held {
-    pub(super) fn message(&self, id: MsgId) -> Message {
+    pub(super) fn message(&self, id: MessageId) -> Message {
         let c = &self.context;
         Message {
             id,
             class: c.class,
             tenant: c.tenant,
             key: c.key,
-            dest: DestId(c.dest),
+            dest: DestinationId(c.dest),
             deadline: c.deadline,
         }
     }
 
-    pub(super) fn notice(&self, id: MsgId, end: End) -> Notice {
-        Notice { id, name: self.context.name.clone(), origin: self.context.origin.clone(), end }
+    pub(super) fn notice(&self, id: MessageId, end: Completion) -> Callback {
+        Callback { id, name: self.context.name.clone(), origin: self.context.origin.clone(), end }
     }
 
-    pub(super) fn taken(&self, id: MsgId) -> Taken {
+    pub(super) fn taken(&self, id: MessageId) -> AcceptedMessage {
         let c = &self.context;
-        Taken {
+        AcceptedMessage {
             id: id.0,
             name: c.name.clone(),
             origin: c.origin.clone(),
@@ -75,23 +75,23 @@
     }
 
     /// All that the journal must say of it, in the fewest records.
-    pub(super) fn records(&self, id: MsgId, now: Nanos) -> Vec<Record> {
-        let mut records = vec![Record::Taken(self.taken(id))];
+    pub(super) fn records(&self, id: MessageId, now: Nanos) -> Vec<Record> {
+        let mut records = vec![Record::Accepted(self.taken(id))];
         if let Some(end) = self.end {
-            records.push(Record::Ended { id: id.0, at: now.0, end });
-            records.extend(self.heard.then_some(Record::Heard { id: id.0 }));
+            records.push(Record::Completed { id: id.0, at: now.0, end });
+            records.extend(self.heard.then_some(Record::CallbackAcknowledged { id: id.0 }));
             return records;
         }
-        let done = self.tries - u32::from(self.out.is_some());
+        let done = self.attempts - u32::from(self.out.is_some());
         if done > 0 {
-            let (at, zone) = self.maybe.map_or((0, 0), |(at, zone)| (at.0, zone as u32));
-            records.push(Record::Started { id: id.0, at, zone, before: done - 1 });
-            records.push(Record::Outcome { id: id.0, may_have_run: self.maybe.is_some() });
+            let (at, zone) = self.first_possible_run.map_or((0, 0), |(at, zone)| (at.0, zone as u32));
+            records.push(Record::AttemptStarted { id: id.0, at, zone, before: done - 1 });
+            records.push(Record::AttemptEnded { id: id.0, may_have_run: self.first_possible_run.is_some() });
         }
         let out = self.out.as_ref().filter(|o| o.stage == Stage::Sent);
         records.extend(out.map(|o| {
             let (at, zone) = (o.started.0, o.zone as u32);
-            Record::Started { id: id.0, at, zone, before: 0 }
+            Record::AttemptStarted { id: id.0, at, zone, before: 0 }
         }));
         records
     }
@@ -99,7 +99,7 @@
 
 /// All that the journal must say, in the fewest records.
 pub(super) fn records<'a>(
-    held: &'a BTreeMap<MsgId, Held>, ended: &'a DeduplicationCache, suspended: &'a BTreeSet<String>,
+    held: &'a BTreeMap<MessageId, Held>, ended: &'a DeduplicationCache, suspended: &'a BTreeSet<String>,
     now: Nanos,
 ) -> impl Iterator<Item = Record> + 'a {
     let known = held.iter().filter(|(_, h)| h.logged);
@@ -113,10 +113,10 @@
 }
 
 /// Whether somebody is still to be told of this end.
-pub(super) fn owes_word(context: &RequestContext, end: End) -> bool {
+pub(super) fn owes_word(context: &RequestContext, end: Completion) -> bool {
     match end {
-        End::Withdrawn => false,
-        End::Delivered => !context.origin.is_empty(),
-        End::Undeliverable | End::Deferred(_) => true,
+        Completion::Withdrawn => false,
+        Completion::Delivered => !context.origin.is_empty(),
+        Completion::Undeliverable | Completion::Deferred(_) => true,
     }
 }
--- a/src/core/restart.rs
+++ b/src/core/restart.rs
@@ -1,16 +1,16 @@
-//! What the journal says at a start: messages that are still owed, and tries that may have run.
-use super::held::{owes_word, Out, Stage};
-use super::orders::Order;
+//! What the journal says at a start: messages that are still owed, and attempts that may have run.
+use super::messages::Output;
+use super::pending::{owes_word, Out, Stage};
 use super::Core;
-use crate::interface::{HostId, MsgId, Nanos};
+use crate::interface::{EndpointId, MessageId, Nanos};
 use crate::journal::Record;
 use crate::request::RequestContext;
 
 impl Core {
     pub(super) fn replay(&mut self, record: Record) {
         match record {
-            Record::Taken(t) => {
-                let id = MsgId(t.id);
+            Record::Accepted(t) => {
+                let id = MessageId(t.id);
                 self.next = self.next.max(t.id + 1);
                 let context = RequestContext {
                     name: t.name,
@@ -29,54 +29,55 @@
                     h.logged = true;
                 }
             }
-            Record::Started { id, at, zone, before } => {
-                if let Some(h) = self.held.get_mut(&MsgId(id)) {
-                    h.tries += before;
+            Record::AttemptStarted { id, at, zone, before } => {
+                if let Some(h) = self.held.get_mut(&MessageId(id)) {
+                    h.attempts += before;
                     let (started, zone) = (Nanos(at), zone as usize);
-                    let (host, timeout) = (HostId(0), Nanos(0));
-                    let out = Out { attempt: h.tries, started, zone, stage: Stage::Sent, host, timeout };
-                    h.tries += 1;
-                    self.put_out(MsgId(id), out);
+                    let (host, timeout) = (EndpointId(0), Nanos(0));
+                    let out = Out { attempt: h.attempts, started, zone, stage: Stage::Sent, host, timeout };
+                    h.attempts += 1;
+                    self.put_out(MessageId(id), out);
                 }
             }
-            Record::Outcome { id, may_have_run } => {
-                self.ran(MsgId(id), may_have_run);
+            Record::AttemptEnded { id, may_have_run } => {
+                self.ran(MessageId(id), may_have_run);
             }
-            Record::Ended { id, at, end } => {
-                if let Some(h) = self.held.get_mut(&MsgId(id)).filter(|h| h.end.is_none()) {
+            Record::Completed { id, at, end } => {
+                if let Some(h) = self.held.get_mut(&MessageId(id)).filter(|h| h.end.is_none()) {
                     let (context, at) = (h.context.clone(), Nanos(at));
-                    self.take_out(MsgId(id));
-                    self.close(MsgId(id), end);
+                    self.take_out(MessageId(id));
+                    self.close(MessageId(id), end);
                     self.remember(&context, at, end);
-                    self.drop_if_done(MsgId(id));
+                    self.drop_if_done(MessageId(id));
                 }
             }
-            Record::Heard { id } => self.heard(MsgId(id)),
+            Record::CallbackAcknowledged { id } => self.heard(MessageId(id)),
             // These stand in `late` alone.
-            Record::Late { .. } | Record::Saw { .. } => {}
+            Record::LateOutcome { .. } | Record::Observed { .. } => {}
             Record::Suspended { uid, out } => self.suspend(uid, out),
-            Record::Past { name, repeat_key, until, delivered } => {
+            Record::Deduplicated { name, repeat_key, until, delivered } => {
                 self.ended.add(name, repeat_key, Nanos(until), delivered)
             }
         }
     }
 
     pub(super) fn resume(&mut self, elder: bool) {
-        let out: Vec<MsgId> = self.held.iter().filter(|(_, h)| h.out.is_some()).map(|(id, _)| *id).collect();
+        let out: Vec<MessageId> =
+            self.held.iter().filter(|(_, h)| h.out.is_some()).map(|(id, _)| *id).collect();
         if elder {
             self.leave_to_elder(&out);
         }
         for id in out.into_iter().filter(|_| !elder) {
-            // Guards "no double effect" across restarts: a try that was out may have run.
+            // Guards "no double effect" across restarts: an attempt that was out may have run.
             self.ran(id, true);
         }
         let now = self.now;
         self.ended.forget(now);
-        let all: Vec<MsgId> = self.held.keys().copied().collect();
+        let all: Vec<MessageId> = self.held.keys().copied().collect();
         for id in all {
             let h = &self.held[&id];
             if let Some(end) = h.end {
-                self.orders.extend(owes_word(&h.context, end).then(|| Order::Notice(h.notice(id, end))));
+                self.orders.extend(owes_word(&h.context, end).then(|| Output::Callback(h.notice(id, end))));
             } else if h.out.is_none() && !self.stands_behind(id) {
                 self.tell_module(id);
             }
--- a/src/core/hand.rs
+++ b/src/core/suspensions.rs
@@ -1,8 +1,10 @@
 //! Endpoints that operators take out by hand and call back, and the count of those that are listed and avoided.
-use super::orders::Member;
+use super::messages::Endpoint;
 use super::Core;
-use crate::interface::{DestId, Entry, Event, Hint, HostId, Listed, Nanos, News};
-use crate::journal::{End, Record};
+use crate::interface::{
+    DestinationId, EndpointEntry, EndpointId, EndpointState, Event, Finding, Nanos, Observation,
+};
+use crate::journal::{Completion, Record};
 use crate::metrics::{Ending, Metrics};
 use std::sync::Arc;
 
@@ -14,58 +16,58 @@
 
 /// What came of an operator's word on an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Hand {
+pub enum SuspensionResult {
     /// It holds, and the journal has it.
-    Done,
+    Applied,
     /// No such endpoint was ever listed here.
-    Unknown,
+    UnknownEndpoint,
     /// As many are out by hand as may be: call one back first.
-    Full,
+    LimitReached,
     /// The journal could not be written: what was in force stays. See the log, and ask again.
-    Unwritten,
+    NotPersisted,
 }
 
 /// How a message's end is counted; none where its client ended it.
-pub(super) fn ending(end: End) -> Option<Ending> {
+pub(super) fn ending(end: Completion) -> Option<Ending> {
     match end {
-        End::Delivered => Some(Ending::Fulfilled),
-        End::Undeliverable => Some(Ending::Faulted),
-        End::Deferred(_) => Some(Ending::Throttled),
-        End::Withdrawn => None,
+        Completion::Delivered => Some(Ending::Fulfilled),
+        Completion::Undeliverable => Some(Ending::Faulted),
+        Completion::Deferred(_) => Some(Ending::Throttled),
+        Completion::Withdrawn => None,
     }
 }
 
 impl Core {
     /// An operator takes an endpoint out (`out`) or calls it back. From `Done` on, nothing new goes to one that is out,
     /// whatever discovery says, and a restart knows of it.
-    pub fn hand(&mut self, now: Nanos, uid: String, out: bool) -> Hand {
+    pub fn set_suspended(&mut self, now: Nanos, uid: String, out: bool) -> SuspensionResult {
         if !self.uids.contains_key(&uid) && !self.suspended.contains(&uid) && !self.retired.contains(&uid) {
-            return Hand::Unknown;
+            return SuspensionResult::UnknownEndpoint;
         }
         if self.suspended.contains(&uid) == out {
-            return Hand::Done;
+            return SuspensionResult::Applied;
         }
         if out && self.suspended.len() >= SUSPENDED_MOST {
-            return Hand::Full;
+            return SuspensionResult::LimitReached;
         }
         if !self.ledger.first(now, &Record::Suspended { uid: uid.clone(), out }) {
-            return Hand::Unwritten;
+            return SuspensionResult::NotPersisted;
         }
         log::warn!(host = uid, out; "by an operator's hand");
         let host = self.uids.get(&uid).copied();
         self.suspend(uid, out);
         if let Some((host, member)) = host.and_then(|h| Some((h, self.hosts.get(&h)?))) {
             let entries = vec![self.entry(host, member)];
-            self.events.push(Event::List { whole: false, entries });
+            self.events.push(Event::EndpointList { complete: false, entries });
             if !out {
                 // Guards an endpoint that was restarted meanwhile: it returns cold, as after an outage.
-                let (news, age) = (News::Back { since: Nanos(0) }, Nanos(0));
-                self.events.push(Event::Hint(Hint { host, news, age }));
+                let (finding, age) = (Finding::Recovering { since: Nanos(0) }, Nanos(0));
+                self.events.push(Event::PeerObservation(Observation { host, finding, age }));
             }
-            // At once: a try that waits for its connection is asked anew, and that counts what has been taken in.
+            // At once: an attempt that waits for its connection is asked anew, and that counts what has been taken in.
             self.wake = Some(now);
         }
-        Hand::Done
+        SuspensionResult::Applied
     }
 
     /// Keeps who is out, as an operator said or the journal says.
@@ -78,11 +80,11 @@
     }
 
     /// A member as the module is told of it.
-    pub(super) fn entry(&self, host: HostId, m: &Member) -> Entry {
+    pub(super) fn entry(&self, host: EndpointId, m: &Endpoint) -> EndpointEntry {
         // Guards "out by hand": to the module it is a drain, which it keeps already.
-        let out = m.state == Listed::Running && self.suspended.contains(&m.uid);
-        let state = if out { Listed::Stopping } else { m.state };
-        Entry { host, zone: m.zone, kind: m.kind, dest: DestId(m.dest), state, rate: m.rate }
+        let out = m.state == EndpointState::Running && self.suspended.contains(&m.uid);
+        let state = if out { EndpointState::Draining } else { m.state };
+        EndpointEntry { host, zone: m.zone, kind: m.kind, dest: DestinationId(m.dest), state, rate: m.rate }
     }
 
     /// It is listed no more.
@@ -94,7 +96,7 @@
     }
 
     /// The metrics, which are kept up from now on.
-    pub fn shown(&mut self, now: Nanos) -> Arc<Metrics> {
+    pub fn metrics(&mut self, now: Nanos) -> Arc<Metrics> {
         self.count_at = Some(now);
         self.wake = Some(now);
         self.metrics.clone()
@@ -106,9 +108,9 @@
         self.metrics.set_open(self.open);
         if self.now >= at {
             self.count_at = Some(self.now + COUNT_EACH);
-            let listed = self.hosts.iter().filter(|(_, m)| m.state != Listed::Gone);
-            let avoided = |(host, m): &(&HostId, &Member)| {
-                self.entry(**host, m).state != Listed::Running || self.balancer.avoids(**host)
+            let listed = self.hosts.iter().filter(|(_, m)| m.state != EndpointState::Removed);
+            let avoided = |(host, m): &(&EndpointId, &Endpoint)| {
+                self.entry(**host, m).state != EndpointState::Running || self.balancer.is_avoided(**host)
             };
             let (all, out) = (listed.clone().count(), listed.filter(avoided).count());
             self.metrics.set_endpoints(all, out);
--- a/src/deduplication.rs
+++ b/src/deduplication.rs
@@ -68,7 +68,7 @@
     pub fn records(&self) -> impl Iterator<Item = Record> + '_ {
         self.by_expiry.iter().map(|(expiry, g)| {
             let (name, repeat_key) = (g.name.clone(), g.repeat_key.clone());
-            Record::Past { name, repeat_key, until: expiry.0 .0, delivered: g.delivered }
+            Record::Deduplicated { name, repeat_key, until: expiry.0 .0, delivered: g.delivered }
         })
     }
 }
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -8,10 +8,10 @@
 mod values;
 
 use crate::backoff::Backoff;
-use crate::core::Member;
+use crate::core::Endpoint;
 use crate::exchange::Exchange;
 use crate::settings::{GroupUpdate, Site, Target};
-use crate::Listed;
+use crate::EndpointState;
 use follow::{Follower, Start, Tcp};
 use std::sync::Arc;
 use tokio::sync::watch;
@@ -49,29 +49,29 @@
     held.told.send_replace(held.rev);
     held.serves |= !update.targets.is_empty();
     log::info!(lines = update.targets.len(); "upstream group: version {}", held.rev);
-    exchange.regroup(update.all, members(site, &update));
+    exchange.update_endpoints(update.all, members(site, &update));
 }
 
 /// The members that an update names.
-pub fn members(site: &Site, update: &GroupUpdate) -> Vec<Member> {
+pub fn members(site: &Site, update: &GroupUpdate) -> Vec<Endpoint> {
     update.targets.iter().map(|t| member(site, t)).collect()
 }
 
-fn member(site: &Site, t: &Target) -> Member {
+fn member(site: &Site, t: &Target) -> Endpoint {
     let place = |names: &[String], name: &Option<String>| {
         names.iter().position(|n| Some(n) == name.as_ref()).unwrap_or(0)
     };
-    Member {
+    Endpoint {
         uid: t.uid.clone(),
         address: t.endpoint.clone(),
         zone: place(&site.zones, &t.az),
         kind: place(&site.kinds, &t.model),
         dest: t.pod_group,
         state: match t.state.as_str() {
-            "Ready" => Listed::Running,
-            "Gone" => Listed::Gone,
+            "Ready" => EndpointState::Running,
+            "Gone" => EndpointState::Removed,
             // Guards drains against words that are not known: nothing new goes where it may not be wanted.
-            _ => Listed::Stopping,
+            _ => EndpointState::Draining,
         },
         rate: t.capacity_hint.unwrap_or(0.0),
     }
--- a/src/exchange/command.rs
+++ b/src/exchange/command.rs
@@ -1,8 +1,8 @@
 //! What the exchange is told, and what it has the server side do.
-use crate::core::{Answer, Hand, Input, Sighting, Try};
-use crate::handover::Late;
+use crate::core::{Answer, Attempt, EndpointObservation, Input, SuspensionResult};
 use crate::request::RequestContext;
-use crate::{HostId, MsgId};
+use crate::takeover::Late;
+use crate::{EndpointId, MessageId};
 use bytes::Bytes;
 use tokio::sync::oneshot;
 
@@ -19,9 +19,9 @@
     /// The process is to end.
     ShutDown(oneshot::Sender<()>),
     /// Somebody wants to know what this forwarder has seen of its endpoints.
-    Observations(oneshot::Sender<Vec<Sighting>>),
+    Observations(oneshot::Sender<Vec<EndpointObservation>>),
     /// An operator takes an endpoint out, or calls it back.
-    Suspend { uid: String, out: bool, tell: oneshot::Sender<Hand> },
+    Suspend { uid: String, out: bool, tell: oneshot::Sender<SuspensionResult> },
     /// Whether client connections stay open.
     KeepConnections(bool),
     /// The journal is another process's from now on.
@@ -31,14 +31,14 @@
 /// What the server side does for the exchange.
 pub enum UpstreamCommand {
     /// One call with these messages.
-    Call(Vec<Try>),
+    Call(Vec<Attempt>),
     /// Call this attempt off.
-    GiveUp {
+    CancelAttempt {
         /// The message.
-        id: MsgId,
+        id: MessageId,
         /// The number of its attempt.
         attempt: u32,
     },
     /// Close the idle connections to this endpoint.
-    Release(HostId),
+    CloseIdle(EndpointId),
 }
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -12,12 +12,12 @@
 pub use shutdown::GONE_BY;
 
 use crate::clock;
-use crate::core::{Answer, Core, Hand, Input, Member, Notice, Sighting};
-use crate::handover::Late;
+use crate::core::{Answer, Callback, Core, Endpoint, EndpointObservation, Input, SuspensionResult};
 use crate::journal::Record;
 use crate::metrics::Metrics;
 use crate::request::RequestContext;
-use crate::{DestId, HostId, MsgId, Nanos, Outcome, Report};
+use crate::takeover::Late;
+use crate::{DestinationId, EndpointId, LoadReport, MessageId, Nanos, Outcome};
 use bytes::Bytes;
 use command::Command;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -45,9 +45,9 @@
     /// Calls to make, and what else is to be done with connections to endpoints.
     pub calls: UnboundedReceiver<UpstreamCommand>,
     /// Notices to the platform.
-    pub notices: UnboundedReceiver<Notice>,
+    pub notices: UnboundedReceiver<Callback>,
     /// Notices to the clients of other fronts.
-    pub words: UnboundedReceiver<Notice>,
+    pub words: UnboundedReceiver<Callback>,
 }
 
 impl Exchange {
@@ -67,53 +67,55 @@
         answer.await.unwrap_or(Answer::Reject(None))
     }
 
-    pub fn regroup(&self, whole: bool, members: Vec<Member>) {
-        self.send(Command::Input(Input::Group { whole, members }));
+    pub fn update_endpoints(&self, complete: bool, members: Vec<Endpoint>) {
+        self.send(Command::Input(Input::Endpoints { complete, members }));
     }
 
-    /// Whether a try that has its connection may still go: asked once, right before its first byte, by all fronts.
-    pub fn may_go(&self, id: MsgId, attempt: u32) -> bool {
-        open(&self.core).may_go(clock::now(), id, attempt)
+    /// Whether an attempt that has its connection may still go: asked once, right before its first byte, by all fronts.
+    pub fn may_send(&self, id: MessageId, attempt: u32) -> bool {
+        open(&self.core).may_send(clock::now(), id, attempt)
     }
 
-    pub fn try_ended(&self, id: MsgId, attempt: u32, outcome: Outcome, over: bool, report: Option<Report>) {
-        self.send(Command::Input(Input::TryEnded { id, attempt, outcome, over, report }));
+    pub fn attempt_ended(
+        &self, id: MessageId, attempt: u32, outcome: Outcome, over: bool, report: Option<LoadReport>,
+    ) {
+        self.send(Command::Input(Input::AttemptEnded { id, attempt, outcome, over, report }));
     }
 
-    /// A partner told us to wait, whatever becomes of the try that it answered.
-    pub fn told_wait(&self, host: HostId, dest: DestId, wait: Nanos) {
-        self.send(Command::Input(Input::ToldWait { host, dest, wait }));
+    /// A partner told us to wait, whatever becomes of the attempt that it answered.
+    pub fn retry_after_received(&self, host: EndpointId, dest: DestinationId, wait: Nanos) {
+        self.send(Command::Input(Input::RetryAfter { host, dest, wait }));
     }
 
-    pub fn notice_heard(&self, id: MsgId) {
-        self.send(Command::Input(Input::NoticeHeard(id)));
+    pub fn callback_acknowledged(&self, id: MessageId) {
+        self.send(Command::Input(Input::CallbackAcknowledged(id)));
     }
 
     /// Brings what neighbours saw.
-    pub fn hearsay(&self, sightings: Vec<Sighting>) {
-        self.send(Command::Input(Input::Hearsay(sightings)));
+    pub fn peer_observations(&self, sightings: Vec<EndpointObservation>) {
+        self.send(Command::Input(Input::PeerObservations(sightings)));
     }
 
     /// What this forwarder has seen itself of its endpoints.
-    pub async fn known(&self) -> Vec<Sighting> {
+    pub async fn observations(&self) -> Vec<EndpointObservation> {
         let (tell, known) = oneshot::channel();
         self.send(Command::Observations(tell));
         known.await.unwrap_or_default()
     }
 
     /// An operator takes an endpoint out, or calls it back; answered once that holds.
-    pub async fn hand(&self, uid: String, out: bool) -> Hand {
+    pub async fn set_suspended(&self, uid: String, out: bool) -> SuspensionResult {
         let (tell, done) = oneshot::channel();
         self.send(Command::Suspend { uid, out, tell });
-        done.await.unwrap_or(Hand::Unwritten)
+        done.await.unwrap_or(SuspensionResult::NotPersisted)
     }
 
     /// What operators are shown, kept from now on.
     pub fn metrics(&self) -> Arc<Metrics> {
-        open(&self.core).shown(clock::now())
+        open(&self.core).metrics(clock::now())
     }
 
-    /// Waits for a word that comes by way of a client connection: a receipt for what a try sent.
+    /// Waits for a word that comes by way of a client connection: a receipt for what an attempt sent.
     pub fn expect(&self, topic: &str) -> oneshot::Receiver<Bytes> {
         let (tell, word) = oneshot::channel();
         self.send(Command::ExpectWord(topic.to_string(), tell));
@@ -126,35 +128,35 @@
     }
 
     /// Closes client connections between requests, or leaves those alone that come from now on.
-    pub fn door(&self, open: bool) {
+    pub fn keep_connections(&self, open: bool) {
         self.send(Command::KeepConnections(open));
     }
 
     /// Whether the journal cannot be handed on now.
-    pub fn bound(&self) -> bool {
-        open(&self.core).bound()
+    pub fn is_release_blocked(&self) -> bool {
+        open(&self.core).is_release_blocked()
     }
 
     /// Lets the journal go, and writes here what this process knows and what still comes of its calls. Once this returns,
-    /// it writes the journal no more, takes nothing on and starts no try.
-    pub async fn let_go(&self, late: Late) {
+    /// it writes the journal no more, takes nothing on and starts no attempt.
+    pub async fn release_journal(&self, late: Late) {
         let (tell, done) = oneshot::channel();
         self.send(Command::ReleaseJournal(late, tell));
         let _ = done.await;
     }
 
     /// Calls whose first byte may have gone out.
-    pub fn calls_out(&self) -> usize {
-        open(&self.core).calls_out()
+    pub fn calls_in_flight(&self) -> usize {
+        open(&self.core).calls_in_flight()
     }
 
     /// What the process before this one says of its calls, and whether nothing more comes from it.
-    pub fn elder(&self, records: Vec<Record>, gone: bool) {
+    pub fn predecessor_records(&self, records: Vec<Record>, gone: bool) {
         if !records.is_empty() {
-            self.send(Command::Input(Input::ElderSaid(records)));
+            self.send(Command::Input(Input::PredecessorRecords(records)));
         }
         if gone {
-            self.send(Command::Input(Input::ElderGone));
+            self.send(Command::Input(Input::PredecessorExited));
         }
     }
 
--- a/src/exchange/task.rs
+++ b/src/exchange/task.rs
@@ -3,9 +3,9 @@
 use super::shutdown::{self, Phase};
 use super::{open, Outputs, Shared};
 use crate::clock;
-use crate::core::{Answer, Hand, Input, Notice, Order};
-use crate::handover::Late;
-use crate::MsgId;
+use crate::core::{Answer, Callback, Input, Output, SuspensionResult};
+use crate::takeover::Late;
+use crate::MessageId;
 use bytes::Bytes;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 /// Guards the times of the rules against settings that name a long tick.
 const TICK_MOST: Duration = Duration::from_millis(10);
 
-/// Words waited for, beyond which those of ended tries are forgotten.
+/// Words waited for, beyond which those of ended attempts are forgotten.
 const EXPECTED_MOST: usize = 1024;
 
 /// A shutdown that is under way.
@@ -31,16 +31,16 @@
     core: Shared,
     /// The shortest time between two steps.
     tick: Duration,
-    answers: BTreeMap<MsgId, oneshot::Sender<Answer>>,
+    answers: BTreeMap<MessageId, oneshot::Sender<Answer>>,
     expected: BTreeMap<String, oneshot::Sender<Bytes>>,
     calls: UnboundedSender<UpstreamCommand>,
-    notices: UnboundedSender<Notice>,
-    words: UnboundedSender<Notice>,
+    notices: UnboundedSender<Callback>,
+    words: UnboundedSender<Callback>,
     close: watch::Sender<bool>,
     /// The journal is another process's; what comes of calls goes here.
     late: Option<Late>,
     /// Operators' words of this step: heard after all else that was said before them, the list among it.
-    suspensions: Vec<(String, bool, oneshot::Sender<Hand>)>,
+    suspensions: Vec<(String, bool, oneshot::Sender<SuspensionResult>)>,
     shutdown: Option<Shutdown>,
 }
 
@@ -100,31 +100,31 @@
 
     /// When the core or the shutdown has something to do, whatever is told meanwhile.
     fn wake_at(&self) -> Option<Instant> {
-        let core = open(&self.core).wake().map(clock::instant);
+        let core = open(&self.core).next_wake().map(clock::instant);
         let shutdown = self.shutdown.as_ref().map(|s| s.asked + shutdown::next_look(s.asked.elapsed()));
         core.into_iter().chain(shutdown).min()
     }
 
     /// Lets the core decide on all that happened, and carries its orders out.
     fn step(&mut self, inputs: Vec<Input>) {
-        let orders = open(&self.core).moment(clock::now(), inputs);
+        let orders = open(&self.core).step(clock::now(), inputs);
         for (uid, out, tell) in std::mem::take(&mut self.suspensions) {
-            let _ = tell.send(open(&self.core).hand(clock::now(), uid, out));
+            let _ = tell.send(open(&self.core).set_suspended(clock::now(), uid, out));
         }
         let mut withdrawn = Vec::new();
         orders.into_iter().for_each(|o| withdrawn.extend(self.carry_out(o)));
         if !withdrawn.is_empty() {
-            let orders = open(&self.core).moment(clock::now(), withdrawn);
+            let orders = open(&self.core).step(clock::now(), withdrawn);
             orders.into_iter().for_each(|o| drop(self.carry_out(o)));
         }
     }
 
     fn advance_shutdown(&mut self) {
         let Some(shutdown) = &mut self.shutdown else { return };
-        let attempts_out = open(&self.core).tries_out();
+        let attempts_out = open(&self.core).attempts_in_flight();
         shutdown.phase = shutdown.phase.after(shutdown.asked.elapsed(), attempts_out);
         if shutdown.phase >= Phase::Draining {
-            open(&self.core).rest();
+            open(&self.core).start_draining();
         }
         if shutdown.phase == Phase::Closing {
             let _ = self.close.send(true);
@@ -139,12 +139,12 @@
             Command::Submit(context, tell) => {
                 let id = open(&self.core).next_id();
                 self.answers.insert(id, tell);
-                inputs.push(Input::Handed { id, context });
+                inputs.push(Input::Submitted { id, context });
             }
             Command::Input(input) => inputs.push(input),
             Command::ExpectWord(topic, tell) => self.expect_word(topic, tell),
             Command::Word(topic, word) => self.pass_word(&topic, word),
-            Command::Observations(tell) => drop(tell.send(open(&self.core).known(clock::now()))),
+            Command::Observations(tell) => drop(tell.send(open(&self.core).observations(clock::now()))),
             Command::Suspend { uid, out, tell } => self.suspensions.push((uid, out, tell)),
             Command::KeepConnections(open) => drop(self.close.send(!open)),
             Command::ReleaseJournal(late, tell) => self.release_journal(late, tell, inputs),
@@ -175,45 +175,52 @@
     /// What was said before is taken in first, on the journal that is still this process's.
     fn release_journal(&mut self, mut late: Late, tell: oneshot::Sender<()>, inputs: &mut Vec<Input>) {
         let now = clock::now();
-        let orders = open(&self.core).moment(now, std::mem::take(inputs));
+        let orders = open(&self.core).step(now, std::mem::take(inputs));
         orders.into_iter().for_each(|o| inputs.extend(self.carry_out(o)));
-        open(&self.core).let_go(now).iter().for_each(|record| late.add(record));
+        open(&self.core).release_journal(now).iter().for_each(|record| late.add(record));
         self.late = Some(late);
         let _ = tell.send(());
     }
 
     /// Returns a withdrawal where the client has not waited for its answer.
-    fn carry_out(&mut self, order: Order) -> Option<Input> {
+    fn carry_out(&mut self, order: Output) -> Option<Input> {
         match order {
-            Order::Answer(id, answer) => {
+            Output::Answer(id, answer) => {
                 let tell = self.answers.remove(&id)?;
                 return tell.send(answer).is_err().then_some(Input::Withdrawn(id));
             }
-            Order::Call(tries) => drop(self.calls.send(UpstreamCommand::Call(tries))),
-            Order::GiveUp { id, attempt } => drop(self.calls.send(UpstreamCommand::GiveUp { id, attempt })),
-            Order::Release(host) => drop(self.calls.send(UpstreamCommand::Release(host))),
-            Order::Notice(notice) if notice.origin.is_empty() => drop(self.notices.send(notice)),
-            Order::Notice(notice) => drop(self.words.send(notice)),
+            Output::Call(attempts) => drop(self.calls.send(UpstreamCommand::Call(attempts))),
+            Output::CancelAttempt { id, attempt } => {
+                drop(self.calls.send(UpstreamCommand::CancelAttempt { id, attempt }))
+            }
+            Output::CloseIdle(host) => drop(self.calls.send(UpstreamCommand::CloseIdle(host))),
+            Output::Callback(notice) if notice.origin.is_empty() => drop(self.notices.send(notice)),
+            Output::Callback(notice) => drop(self.words.send(notice)),
         }
         None
     }
 }
 
 /// What happens to a process that has let the journal go: its calls end, and it takes nothing on.
-fn after_release(core: &Shared, late: &mut Late, inputs: Vec<Input>) -> Vec<Order> {
+fn after_release(core: &Shared, late: &mut Late, inputs: Vec<Input>) -> Vec<Output> {
     let (now, mut core, mut orders) = (clock::now(), open(core), Vec::new());
     for input in inputs {
         match input {
-            Input::Handed { id, .. } => orders.push(Order::Answer(id, Answer::Reject(core.come_back()))),
-            Input::TryEnded { id, attempt, outcome, over, .. } => {
-                core.late(id, attempt, outcome, over).iter().for_each(|record| late.add(record));
+            Input::Submitted { id, .. } => {
+                orders.push(Output::Answer(id, Answer::Reject(core.rejection_retry_after())))
+            }
+            Input::AttemptEnded { id, attempt, outcome, over, .. } => {
+                core.late_outcome(id, attempt, outcome, over).iter().for_each(|record| late.add(record));
             }
-            Input::ToldWait { host, wait, .. } => {
-                core.late_wait(now, host, wait).iter().for_each(|record| late.add(record));
+            Input::RetryAfter { host, wait, .. } => {
+                core.late_retry_after(now, host, wait).iter().for_each(|record| late.add(record));
             }
             // The next process hears of these itself.
-            Input::Group { .. } | Input::Hearsay(_) | Input::NoticeHeard(_) | Input::Withdrawn(_) => {}
-            Input::ElderSaid(_) | Input::ElderGone => {}
+            Input::Endpoints { .. }
+            | Input::PeerObservations(_)
+            | Input::CallbackAcknowledged(_)
+            | Input::Withdrawn(_) => {}
+            Input::PredecessorRecords(_) | Input::PredecessorExited => {}
         }
     }
     orders
--- a/src/hints.rs
+++ b/src/hints.rs
@@ -14,60 +14,60 @@
 impl Balancer {
     /// What this module has seen itself, with its age. What it has from neighbours is not among it, so that no echo
     /// keeps a rumour alive.
-    pub fn known(&self, now: Nanos) -> Vec<Hint> {
+    pub fn observations(&self, now: Nanos) -> Vec<Observation> {
         let mut hints = Vec::new();
         for (id, h) in &self.hosts {
             let Some(own_at) = h.own_at else { continue };
-            let mut add = |news, at: Nanos| hints.push(Hint { host: *id, news, age: now - at });
+            let mut add = |finding, at: Nanos| hints.push(Observation { host: *id, finding, age: now - at });
             match h.breaker {
                 Breaker::Open { since, risky, .. } if !h.hearsay => {
-                    add(News::Out { since: now - since.max(h.own_since), risky }, own_at)
+                    add(Finding::Outage { since: now - since.max(h.own_since), risky }, own_at)
                 }
                 Breaker::Ramp { since } if !h.hearsay => {
-                    add(News::Back { since: now - since.max(h.own_since) }, own_at)
+                    add(Finding::Recovering { since: now - since.max(h.own_since) }, own_at)
                 }
                 _ if h.mean > 0.0 && h.heard > Nanos(0) => {
-                    add(News::Well { mean: h.mean, dev: h.dev }, h.heard)
+                    add(Finding::Healthy { mean: h.mean, dev: h.dev }, h.heard)
                 }
                 _ => {}
             }
             if let Some(room) = h.room.filter(|_| !h.room_hearsay) {
-                add(News::Room { calls: room }, own_at);
+                add(Finding::ConnectionCapacity { calls: room }, own_at);
             }
             let Some(r) = self.routes.get(&h.route) else { continue };
             if r.own_wait > now {
-                add(News::Wait { left: r.own_wait - now }, r.cut_at);
+                add(Finding::RetryAfter { left: r.own_wait - now }, r.cut_at);
             }
             if let Some(rate) = r.pace.filter(|_| !r.hearsay) {
-                add(News::Pace { rate }, r.cut_at);
+                add(Finding::RateLimit { rate }, r.cut_at);
             }
         }
         hints
     }
 
     /// Whether usual messages are kept from this host by choice: calls fail there, and only trials go.
-    pub fn avoids(&self, host: HostId) -> bool {
+    pub fn is_avoided(&self, host: EndpointId) -> bool {
         self.hosts.get(&host).is_some_and(|h| matches!(h.breaker, Breaker::Open { .. }))
     }
 
     /// Takes a neighbour's word.
-    pub(crate) fn hint(&mut self, hint: &Hint) {
+    pub(crate) fn hint(&mut self, hint: &Observation) {
         let (now, luck) = (self.now, self.random.next());
         let Some(host) = self.hosts.get_mut(&hint.host) else { return };
         let route = self.routes.entry(host.route).or_default();
         let seen = now - hint.age;
-        match hint.news {
-            News::Wait { left } => route.told_another(now, left),
-            News::Pace { rate } if route.cut_at < seen && rate.is_finite() => route.paced(now, rate),
+        match hint.finding {
+            Finding::RetryAfter { left } => route.told_another(now, left),
+            Finding::RateLimit { rate } if route.cut_at < seen && rate.is_finite() => route.paced(now, rate),
             // Own experience wins over hearsay unless it is older.
             _ if host.own_at.is_some_and(|at| at >= seen) => {}
-            News::Out { since, risky } => host.hear_out(now, since, risky, luck),
-            News::Back { since } => host.hear_back(now, since, self.set.ramp, luck),
-            News::Well { mean, dev } => host.hear_well(mean, dev),
-            News::Room { calls } if host.room.is_none() && calls.is_finite() => {
+            Finding::Outage { since, risky } => host.hear_out(now, since, risky, luck),
+            Finding::Recovering { since } => host.hear_back(now, since, self.set.warm_up, luck),
+            Finding::Healthy { mean, dev } => host.hear_well(mean, dev),
+            Finding::ConnectionCapacity { calls } if host.room.is_none() && calls.is_finite() => {
                 (host.room, host.room_hearsay) = (Some(calls.max(1.0)), true);
             }
-            News::Room { .. } | News::Pace { .. } => {}
+            Finding::ConnectionCapacity { .. } | Finding::RateLimit { .. } => {}
         }
     }
 }
@@ -76,14 +76,14 @@
     /// An own outcome: from now on what is known here is own experience, whatever it was before.
     pub(crate) fn saw(&mut self, now: Nanos, outcome: Outcome) {
         // These say nothing of the host.
-        if matches!(outcome, Outcome::Cancelled | Outcome::Moot | Outcome::Unsent) {
+        if matches!(outcome, Outcome::Cancelled | Outcome::Skipped | Outcome::NotSent) {
             return;
         }
         if self.hearsay || self.own_at.is_none() {
             self.own_since = now;
         }
         (self.own_at, self.hearsay) = (Some(now), false);
-        self.room_hearsay &= outcome != Outcome::Crowded;
+        self.room_hearsay &= outcome != Outcome::ConnectionLimit;
         if matches!(outcome, Outcome::Ok | Outcome::Timeout) && std::mem::take(&mut self.mean_hearsay) {
             // The sample that follows is the first.
             self.mean = 0.0;
@@ -99,11 +99,11 @@
         self.hearsay = true;
     }
 
-    fn hear_back(&mut self, now: Nanos, since: Nanos, ramp: Nanos, luck: f64) {
+    fn hear_back(&mut self, now: Nanos, since: Nanos, warm_up: Nanos, luck: f64) {
         match &mut self.breaker {
             // A trial of its own says whether it is so: soon, and not with all others at once.
             Breaker::Open { next, .. } => *next = (*next).min(now + TRIAL_WITHIN * luck),
-            Breaker::Closed if since < ramp => {
+            Breaker::Closed if since < warm_up => {
                 self.breaker = Breaker::Ramp { since: now - since };
                 self.bucket = Bucket { level: luck, at: now };
                 self.hearsay = true;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -40,60 +40,60 @@
 
 /// A message, as the caller names it. Never used twice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct MsgId(pub u64);
+pub struct MessageId(pub u64);
 /// One endpoint address, as the caller numbers it. Carries no meaning.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct HostId(pub u32);
+pub struct EndpointId(pub u32);
 /// A destination: the set of hosts that a message may go to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct DestId(pub u64);
+pub struct DestinationId(pub u64);
 
 /// How often a message may take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Repeating it is harmless.
-    Repeatable,
+    Idempotent,
     /// Repeats are dropped for `window` from the first send that may have run, by the hosts of `group`.
-    Keyed {
+    IdempotentByKey {
         /// Which hosts drop repeats.
-        group: Group,
+        scope: IdempotencyScope,
         /// For how long.
         window: Nanos,
     },
     /// It must never take effect twice.
-    Once,
+    AtMostOnce,
 }
 
 /// The hosts of a destination that drop repeats of a keyed message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum IdempotencyScope {
     /// All of them.
-    All,
+    AllEndpoints,
     /// Those in the zone of the host that may have run it.
-    Zone,
+    SameZone,
 }
 
 /// How worth falls once the aim has passed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Fade {
+pub enum ValueDecay {
     /// Evenly, to the late share at the deadline.
     #[default]
-    Line,
+    Linear,
     /// By half with each further aim, not under the late share.
-    Halves,
+    Halving,
 }
 
 /// A class of message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// Full worth when delivered within this time.
-    pub aim: Nanos,
+    pub latency_objective: Nanos,
     /// Given up after this time.
     pub deadline: Nanos,
     /// Worth.
-    pub points: f64,
+    pub priority_weight: f64,
     /// Share of the worth left at the deadline.
-    pub late_share: f64,
+    pub late_weight_share: f64,
     /// Effect kind.
     pub effect: Effect,
     /// Messages that share a key go one at a time, in the order taken; those without a key are free.
@@ -102,23 +102,23 @@
 
 /// A kind of destination.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Kind {
+pub struct EndpointKind {
     /// Its hosts are routes apart: each has its own limit, waits, pace and outages.
-    pub apart: bool,
+    pub separate_routes: bool,
     /// Most messages in one call.
-    pub per_call: usize,
+    pub max_batch: usize,
 }
 
 /// What a listed rate is worth.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Weights {
+pub enum ListedRates {
     /// No rate is listed.
     #[default]
-    Off,
+    Absent,
     /// Calls a second that the destination (or route apart) takes from all relays together.
     Nominal,
     /// The same, but only roughly.
-    Rough,
+    Approximate,
 }
 
 /// What a relay is told at its start. A deployment without a feature leaves its field empty or zero, as the
@@ -128,23 +128,23 @@
     /// Calls out at once.
     pub slots: usize,
     /// Messages held at once, sent or not.
-    pub open_cap: usize,
+    pub max_pending: usize,
     /// Attempts of one message at most.
-    pub most_tries: u32,
+    pub max_attempts: u32,
     /// Relays in this deployment.
-    pub relays: usize,
+    pub forwarders: usize,
     /// Shortest time between two batches.
     pub tick: Nanos,
     /// Classes of message.
     pub classes: Vec<Class>,
     /// Kinds of destination.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<EndpointKind>,
     /// How worth falls.
-    pub fade: Fade,
+    pub value_decay: ValueDecay,
     /// Calls a second of each tenant's agreed share, over all relays; empty without tenants.
     pub tenant_quota: Vec<f64>,
     /// Worth of traffic past a share, as a fraction of the usual.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// This relay's zone.
     pub zone: usize,
     /// Points for a message that a route apart in each zone takes on.
@@ -154,56 +154,56 @@
     /// Points for a new connection.
     pub handshake_fee: f64,
     /// Idle connections close after this.
-    pub conn_idle: Nanos,
+    pub connection_idle_timeout: Nanos,
     /// Calls that one connection carries at once.
-    pub streams: u32,
+    pub streams_per_connection: u32,
     /// Longest wait that clients obey with a refusal; none: clients hear no wait.
     pub retry_after: Option<Nanos>,
     /// Attempts may be called off.
     pub may_cancel: bool,
     /// The list answers only when asked, and at least this often it must be.
-    pub must_ask: Option<Nanos>,
+    pub poll_interval: Option<Nanos>,
     /// Answers tell their destination's limit, where it has one.
-    pub limits_told: bool,
+    pub limits_reported: bool,
     /// What a listed rate holds.
-    pub weights: Weights,
+    pub listed_rates: ListedRates,
     /// A returning destination has this share of its capacity or more.
-    pub cold_from: f64,
+    pub cold_capacity_share: f64,
     /// And all of it after this.
-    pub ramp: Nanos,
+    pub warm_up: Nanos,
     /// Sent more than this multiple of its present capacity
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// for this long, it falls over.
-    pub fall_after: Nanos,
+    pub overload_window: Nanos,
     /// A key's pause after an attempt that may still run; zero where none is asked for.
-    pub order_pause: Nanos,
+    pub ordering_pause: Nanos,
 }
 
 /// State of a listed host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
+pub enum EndpointState {
     /// May be sent to; says nothing of health.
     Running,
     /// Nothing new may go there.
-    Stopping,
+    Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// One line of the list of hosts.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct EndpointEntry {
     /// The host.
-    pub host: HostId,
+    pub host: EndpointId,
     /// Its zone.
     pub zone: usize,
     /// Its kind.
     pub kind: usize,
     /// Its destination.
-    pub dest: DestId,
+    pub dest: DestinationId,
     /// Its state.
-    pub state: Listed,
-    /// Listed rate, see [`Weights`].
+    pub state: EndpointState,
+    /// Listed rate, see [`ListedRates`].
     pub rate: f64,
 }
 
@@ -215,48 +215,52 @@
     /// The destination answered with an error; it may have run.
     Error,
     /// Turned away unseen, with the wait told, if any.
-    Full(Option<Nanos>),
+    Rejected(Option<Nanos>),
     /// No answer in time; it may have run or run yet.
     Timeout,
     /// No connection; it never ran.
     ConnectFailed,
     /// Turned away on a new connection, since the host holds no further one; it never ran.
-    Crowded,
+    ConnectionLimit,
     /// The connection broke; it may have run.
     Reset,
     /// Called off; it may have run.
     Cancelled,
     /// It ran, but its answer cannot be read: that says nothing of its host.
-    Spoilt,
+    UnreadableAnswer,
     /// Not sent.
-    Moot,
+    Skipped,
     /// Not sent, since what it was decided on holds no longer: it counts for no attempt, and is decided anew.
-    Unsent,
+    NotSent,
 }
 
 impl Outcome {
     /// Whether the host said anything.
     pub fn answered(self) -> bool {
         match self {
-            Outcome::Ok | Outcome::Error | Outcome::Full(_) | Outcome::Crowded | Outcome::Spoilt => true,
+            Outcome::Ok
+            | Outcome::Error
+            | Outcome::Rejected(_)
+            | Outcome::ConnectionLimit
+            | Outcome::UnreadableAnswer => true,
             Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset | Outcome::Cancelled => false,
-            Outcome::Moot | Outcome::Unsent => false,
+            Outcome::Skipped | Outcome::NotSent => false,
         }
     }
     /// Whether it proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         match self {
-            Outcome::Full(_) | Outcome::ConnectFailed | Outcome::Crowded => true,
-            Outcome::Moot | Outcome::Unsent => true,
+            Outcome::Rejected(_) | Outcome::ConnectFailed | Outcome::ConnectionLimit => true,
+            Outcome::Skipped | Outcome::NotSent => true,
             Outcome::Ok | Outcome::Error | Outcome::Timeout | Outcome::Reset => false,
-            Outcome::Cancelled | Outcome::Spoilt => false,
+            Outcome::Cancelled | Outcome::UnreadableAnswer => false,
         }
     }
 }
 
 /// What an answer told of its destination's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Share of the limit that is left.
     pub left: f64,
     /// Calls a second that the limit allows; zero: no limit.
@@ -267,7 +271,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Message {
     /// Its id.
-    pub id: MsgId,
+    pub id: MessageId,
     /// Its class, an index into the settings' list.
     pub class: usize,
     /// Its tenant, an index into the settings' list.
@@ -275,25 +279,25 @@
     /// Its key, where the class has one.
     pub key: Option<u64>,
     /// Its destination.
-    pub dest: DestId,
+    pub dest: DestinationId,
     /// It is given up at this time.
     pub deadline: Nanos,
 }
 
 /// What a message has behind it that an earlier process of this relay had taken on.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Past {
+pub struct PriorAttempts {
     /// Attempts made.
-    pub tries: u32,
+    pub attempts: u32,
     /// When, and to a host of which zone, the first attempt that may have run was sent.
-    pub maybe: Option<(Nanos, usize)>,
+    pub first_possible_run: Option<(Nanos, usize)>,
 }
 
 /// An attempt that ended. Each send has exactly one.
 #[derive(Clone, Copy, Debug)]
-pub struct Ended {
+pub struct AttemptEnded {
     /// The message.
-    pub id: MsgId,
+    pub id: MessageId,
     /// Number of the attempt, from 0.
     pub attempt: u32,
     /// How.
@@ -303,43 +307,43 @@
     /// Time since the send.
     pub took: Nanos,
     /// What the answer told of the limit.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 /// What happened, as the relay tells it. All events of one `handle` call share its time.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The list of hosts: all of it, or only what changed.
-    List {
+    EndpointList {
         /// Hosts that are missing are gone.
-        whole: bool,
+        complete: bool,
         /// The lines.
-        entries: Vec<Entry>,
+        entries: Vec<EndpointEntry>,
     },
     /// Asking for the list failed, or the watch on it broke.
-    ListFailed,
+    EndpointListFailed,
     /// A message was handed in.
     Message(Message),
     /// A message that is still owed its end after a restart; in the order in which they were taken.
-    Resumed(Message, Past),
+    Resumed(Message, PriorAttempts),
     /// An attempt ended.
-    Ended(Ended),
+    AttemptEnded(AttemptEnded),
     /// A destination told this relay at a host to wait, whatever became of the call that it answered. Its outcome, where
     /// it still counts, says the same once more.
-    ToldWait {
+    RetryAfter {
         /// The host.
-        host: HostId,
+        host: EndpointId,
         /// Its destination; the host may be forgotten.
-        dest: DestId,
+        dest: DestinationId,
         /// How long nothing may be sent there.
         wait: Nanos,
     },
     /// The client has withdrawn the message.
-    Gone(MsgId),
+    Withdrawn(MessageId),
     /// From now on no send can start (true), or sends can start again (false). What is out goes on.
     Paused(bool),
     /// A neighbour's word on a host. Own experience wins over it unless that is older.
-    Hint(Hint),
+    PeerObservation(Observation),
     /// The timer asked for is due.
     Due,
 }
@@ -350,90 +354,90 @@
     /// Call a host with a message. Sends of one reply to one host travel as one call, as far as its kind allows.
     Send {
         /// The message.
-        id: MsgId,
+        id: MessageId,
         /// The host.
-        host: HostId,
+        host: EndpointId,
         /// Time-out of this attempt.
         timeout: Nanos,
     },
     /// Call off an attempt that is out; its outcome still comes.
     Cancel {
         /// The message.
-        id: MsgId,
+        id: MessageId,
         /// Number of the attempt.
         attempt: u32,
     },
     /// Final answer: not delivered, the client may safely come again (after this time, if told).
-    Refuse {
+    Reject {
         /// The message.
-        id: MsgId,
+        id: MessageId,
         /// When to come back.
         after: Option<Nanos>,
     },
     /// Final answer: given up, nothing promised.
-    Fail(MsgId),
+    Fail(MessageId),
     /// Call `handle` with [`Event::Due`] at this time.
     WakeAt(Nanos),
     /// Close this relay's idle connections to a host.
-    Release(HostId),
+    CloseIdle(EndpointId),
     /// Watch the list of hosts.
-    Watch,
+    WatchEndpointList,
     /// A line for the operator.
     Log {
         /// What happened.
         text: &'static str,
         /// The host concerned, if one is.
-        host: Option<HostId>,
+        host: Option<EndpointId>,
     },
 }
 
 /// What is known of a host beside what the list says: this module's own experience, or a neighbour's. Times are spans,
 /// never stamps, so that no two clocks are compared.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum News {
+pub enum Finding {
     /// Calls fail there, and have for so long. `risky`: what is sent may be swallowed or half done.
-    Out {
+    Outage {
         /// How long the outage has lasted.
         since: Nanos,
         /// Whether calls are lost rather than turned away.
         risky: bool,
     },
     /// It serves again after an outage, and has for so long; it may still be cold.
-    Back {
+    Recovering {
         /// How long ago the first call was served.
         since: Nanos,
     },
     /// It serves. Seconds of latency: the mean, and the mean deviation.
-    Well {
+    Healthy {
         /// Mean latency in seconds.
         mean: f64,
         /// Mean deviation of the latency in seconds.
         dev: f64,
     },
     /// Its route told a wait, of which so much is left.
-    Wait {
+    RetryAfter {
         /// How long nothing may be sent there.
         left: Nanos,
     },
     /// Its route turned calls away; one forwarder's pace there, in calls a second.
-    Pace {
+    RateLimit {
         /// Calls a second.
         rate: f64,
     },
     /// It takes so many calls at once.
-    Room {
+    ConnectionCapacity {
         /// Calls at once.
         calls: f64,
     },
 }
 
-/// News of a host, and how long ago it was seen by the one that tells it.
+/// A finding on a host, and how long ago it was seen by the one that tells it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Hint {
+pub struct Observation {
     /// The host, as this module knows it.
-    pub host: HostId,
+    pub host: EndpointId,
     /// What was seen there.
-    pub news: News,
+    pub finding: Finding,
     /// How long ago.
     pub age: Nanos,
 }
--- a/src/journal/mod.rs
+++ b/src/journal/mod.rs
@@ -11,29 +11,29 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
     /// Taken on, in the order of these records.
-    Taken(Taken),
-    /// A try is about to start, to an endpoint in this zone. In a log that was written anew it may stand for further
+    Accepted(AcceptedMessage),
+    /// An attempt is about to start, to an endpoint in this zone. In a log that was written anew it may stand for further
     /// ones before it, all of which are over.
-    Started { id: u64, at: u64, zone: u32, before: u32 },
-    /// A try ended without delivering.
-    Outcome { id: u64, may_have_run: bool },
+    AttemptStarted { id: u64, at: u64, zone: u32, before: u32 },
+    /// An attempt ended without delivering.
+    AttemptEnded { id: u64, may_have_run: bool },
     /// The message is over: delivered or withdrawn, or a notice is owed for it.
-    Ended { id: u64, at: u64, end: End },
+    Completed { id: u64, at: u64, end: Completion },
     /// Its notice was answered.
-    Heard { id: u64 },
+    CallbackAcknowledged { id: u64 },
     /// A message that is over, whose repeats are answered alike until this time.
-    Past { name: String, repeat_key: String, until: u64, delivered: bool },
+    Deduplicated { name: String, repeat_key: String, until: u64, delivered: bool },
     /// An operator took an endpoint out, or called it back. Older programs read no further than the first of these.
     Suspended { uid: String, out: bool },
-    /// What came of a try that the process before this one had out when it let the journal go; `at` is when it started.
-    Late { id: u64, at: u64, how: Late },
+    /// What came of an attempt that the process before this one had out when it let the journal go; `at` is when it started.
+    LateOutcome { id: u64, at: u64, how: LateOutcome },
     /// What that process had seen of an endpoint, in the core's numbers.
-    Saw { uid: String, at: u64, kind: u8, values: [u64; 2] },
+    Observed { uid: String, at: u64, kind: u8, values: [u64; 2] },
 }
 
-/// How such a try ended.
+/// How such an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Late {
+pub enum LateOutcome {
     Delivered,
     /// The endpoint says that nothing more is owed.
     Over,
@@ -43,7 +43,7 @@
 
 /// What is kept of a message.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Taken {
+pub struct AcceptedMessage {
     pub id: u64,
     pub name: String,
     pub origin: String,
@@ -58,7 +58,7 @@
 
 /// How a message ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum End {
+pub enum Completion {
     Delivered,
     Withdrawn,
     Undeliverable,
@@ -66,7 +66,7 @@
     Deferred(Option<u64>),
 }
 
-/// Bytes of a message's records beside its texts: taken, a try with its outcome, and its end with the word that it
+/// Bytes of a message's records beside its texts: taken, an attempt with its outcome, and its end with the word that it
 /// was heard.
 const TAKEN: u64 = 76;
 const TRY: u64 = 52;
@@ -82,7 +82,7 @@
 const OWED: f64 = 0.4;
 /// Nothing more is taken on in the log before it is written anew.
 const FULL: f64 = 0.45;
-/// The reserve above that is for what has been taken on: its tries, outcomes and ends, where the log cannot be
+/// The reserve above that is for what has been taken on: its attempts, outcomes and ends, where the log cannot be
 /// written anew.
 const LAST: f64 = 0.52;
 
@@ -142,8 +142,8 @@
         Ok((journal, records))
     }
 
-    /// Bytes that a message is reckoned at: no less than its records take in a log that is written anew. Tries that
-    /// are over take one record; and once the message is over, what is remembered of it takes the place of its tries.
+    /// Bytes that a message is reckoned at: no less than its records take in a log that is written anew. Attempts that
+    /// are over take one record; and once the message is over, what is remembered of it takes the place of its attempts.
     pub fn weight(name: &str, origin: &str, repeat_key: &str, body: usize) -> u64 {
         let texts = (name.len() + repeat_key.len() + origin.len() + body) as u64;
         texts + TAKEN + END + Journal::past_weight(name, repeat_key).max(2 * TRY)
@@ -172,7 +172,7 @@
     /// Adds a record; it outlives the process once this returns. Where it fails, the log is as it was before.
     pub fn append(&mut self, record: &Record) -> Result<(), Fault> {
         let line = encode(record);
-        let share = if matches!(record, Record::Taken(_)) { FULL } else { LAST };
+        let share = if matches!(record, Record::Accepted(_)) { FULL } else { LAST };
         if self.size + line.len() as u64 > (self.most * share) as u64 {
             return Err(Fault::Limit);
         }
@@ -240,47 +240,47 @@
 pub(crate) fn encode(record: &Record) -> Vec<u8> {
     let mut out = Out(vec![0; 8]);
     match record {
-        Record::Taken(t) => {
+        Record::Accepted(t) => {
             out.byte(1).num(t.id).text(&t.name).text(&t.origin).num(t.class.into()).num(t.tenant.into());
             out.byte(t.key.is_some().into()).num(t.key.unwrap_or(0)).num(t.dest).num(t.deadline);
             out.text(&t.repeat_key).bytes(&t.body);
         }
-        Record::Started { id, at, zone, before } => {
+        Record::AttemptStarted { id, at, zone, before } => {
             // Older programs read the lower half of the last number only.
             out.byte(2).num(*id).num(*at).num(u64::from(*zone) | u64::from(*before) << 32);
         }
-        Record::Outcome { id, may_have_run } => {
+        Record::AttemptEnded { id, may_have_run } => {
             out.byte(3).num(*id).byte((*may_have_run).into());
         }
-        Record::Ended { id, at, end } => {
+        Record::Completed { id, at, end } => {
             let (kind, wait) = match end {
-                End::Delivered => (0, 0),
-                End::Withdrawn => (1, 0),
-                End::Undeliverable => (2, 0),
-                End::Deferred(None) => (3, 0),
-                End::Deferred(Some(ms)) => (4, *ms),
+                Completion::Delivered => (0, 0),
+                Completion::Withdrawn => (1, 0),
+                Completion::Undeliverable => (2, 0),
+                Completion::Deferred(None) => (3, 0),
+                Completion::Deferred(Some(ms)) => (4, *ms),
             };
             out.byte(4).num(*id).num(*at).byte(kind).num(wait);
         }
-        Record::Heard { id } => {
+        Record::CallbackAcknowledged { id } => {
             out.byte(5).num(*id);
         }
-        Record::Past { name, repeat_key, until, delivered } => {
+        Record::Deduplicated { name, repeat_key, until, delivered } => {
             out.byte(6).text(name).text(repeat_key).num(*until).byte((*delivered).into());
         }
         Record::Suspended { uid, out: away } => {
             out.byte(7).text(uid).byte((*away).into());
         }
-        Record::Late { id, at, how } => {
+        Record::LateOutcome { id, at, how } => {
             let how = match how {
-                Late::Delivered => 0,
-                Late::Over => 1,
-                Late::MayHaveRun => 2,
-                Late::NeverRan => 3,
+                LateOutcome::Delivered => 0,
+                LateOutcome::Over => 1,
+                LateOutcome::MayHaveRun => 2,
+                LateOutcome::NeverRan => 3,
             };
             out.byte(8).num(*id).num(*at).byte(how);
         }
-        Record::Saw { uid, at, kind, values } => {
+        Record::Observed { uid, at, kind, values } => {
             out.byte(9).text(uid).num(*at).byte(*kind).num(values[0]).num(values[1]);
         }
     }
@@ -318,26 +318,37 @@
             let (dest, deadline, repeat_key) = (i.num()?, i.num()?, i.text()?);
             let body = Bytes::copy_from_slice(i.bytes()?);
             let key = keyed.then_some(key);
-            Record::Taken(Taken { id, name, origin, class, tenant, key, dest, deadline, repeat_key, body })
+            Record::Accepted(AcceptedMessage {
+                id,
+                name,
+                origin,
+                class,
+                tenant,
+                key,
+                dest,
+                deadline,
+                repeat_key,
+                body,
+            })
         }
         2 => {
             let (id, at, place) = (i.num()?, i.num()?, i.num()?);
-            Record::Started { id, at, zone: place as u32, before: (place >> 32) as u32 }
+            Record::AttemptStarted { id, at, zone: place as u32, before: (place >> 32) as u32 }
         }
-        3 => Record::Outcome { id: i.num()?, may_have_run: i.byte()? == 1 },
+        3 => Record::AttemptEnded { id: i.num()?, may_have_run: i.byte()? == 1 },
         4 => {
             let (id, at, kind, wait) = (i.num()?, i.num()?, i.byte()?, i.num()?);
             let ends = [
-                End::Delivered,
-                End::Withdrawn,
-                End::Undeliverable,
-                End::Deferred(None),
-                End::Deferred(Some(wait)),
+                Completion::Delivered,
+                Completion::Withdrawn,
+                Completion::Undeliverable,
+                Completion::Deferred(None),
+                Completion::Deferred(Some(wait)),
             ];
-            Record::Ended { id, at, end: *ends.get(kind as usize)? }
+            Record::Completed { id, at, end: *ends.get(kind as usize)? }
         }
-        5 => Record::Heard { id: i.num()? },
-        6 => Record::Past {
+        5 => Record::CallbackAcknowledged { id: i.num()? },
+        6 => Record::Deduplicated {
             name: i.text()?,
             repeat_key: i.text()?,
             until: i.num()?,
@@ -346,10 +357,11 @@
         7 => Record::Suspended { uid: i.text()?, out: i.byte()? == 1 },
         8 => {
             let (id, at, how) = (i.num()?, i.num()?, i.byte()?);
-            let all = [Late::Delivered, Late::Over, Late::MayHaveRun, Late::NeverRan];
-            Record::Late { id, at, how: *all.get(how as usize)? }
+            let all =
+                [LateOutcome::Delivered, LateOutcome::Over, LateOutcome::MayHaveRun, LateOutcome::NeverRan];
+            Record::LateOutcome { id, at, how: *all.get(how as usize)? }
         }
-        9 => Record::Saw { uid: i.text()?, at: i.num()?, kind: i.byte()?, values: [i.num()?, i.num()?] },
+        9 => Record::Observed { uid: i.text()?, at: i.num()?, kind: i.byte()?, values: [i.num()?, i.num()?] },
         _ => return None,
     })
 }
--- a/src/logger.rs
+++ b/src/logger.rs
@@ -14,28 +14,45 @@
 const MODULES: [&str; 23] = [
     "acme",
     "as2",
+    "callbacks",
     "check",
     "client",
+    "config_error",
     "core",
     "deduplication",
     "discovery",
     "exchange",
-    "fault",
     "flags",
     "fleet",
-    "handover",
     "journal",
     "logger",
     "logic",
     "mgmt",
-    "neighbours",
-    "notices",
+    "peers",
     "plugins",
     "reload",
     "settings",
     "state",
+    "takeover",
     "upstream",
 ];
+/// Modules that had another name, and the path that a filter with the old one means today. Filters in use go on working.
+const RENAMED_MODULES: [(&str, &str); 14] = [
+    ("fault", "config_error"),
+    ("handover", "takeover"),
+    ("neighbours", "peers"),
+    ("notices", "callbacks"),
+    ("core::busy", "core::in_flight"),
+    ("core::door", "core::admission"),
+    ("core::elder", "core::takeover"),
+    ("core::ends", "core::completions"),
+    ("core::group", "core::endpoints"),
+    ("core::hand", "core::suspensions"),
+    ("core::held", "core::pending"),
+    ("core::ledger", "core::journal_writer"),
+    ("core::orders", "core::messages"),
+    ("core::tries", "core::attempts"),
+];
 /// From each place so many lines a second come through once its burst is used up.
 const RATE: f64 = 1.0;
 
@@ -66,7 +83,8 @@
             match part.split_once('=') {
                 None => filter[0].1 = level(part)?,
                 Some((module, word)) => {
-                    let first = module.split("::").next().unwrap_or(module);
+                    let module = current_path(module);
+                    let first = module.split("::").next().unwrap_or(&module);
                     if !MODULES.contains(&first) {
                         return Err(format!("no module {module:?}; there are {}", MODULES.join(", ")));
                     }
@@ -78,6 +96,18 @@
     }
 }
 
+/// The path by which a module that a filter names is known today.
+fn current_path(named: &str) -> String {
+    for (old, new) in RENAMED_MODULES {
+        match named.strip_prefix(old) {
+            Some("") => return new.to_string(),
+            Some(below) if below.starts_with("::") => return format!("{new}{below}"),
+            _ => {}
+        }
+    }
+    named.to_string()
+}
+
 /// A place's allowance: a bucket of lines.
 struct Place {
     left: f64,
--- a/src/logger/tests.rs
+++ b/src/logger/tests.rs
@@ -18,7 +18,10 @@
 #[rstest]
 #[case("", Ok(vec![("micaladder", LevelFilter::Info)]))]
 #[case("debug", Ok(vec![("micaladder", LevelFilter::Debug)]))]
-#[case("warn,core::door=trace", Ok(vec![("micaladder", LevelFilter::Warn), ("micaladder::core::door", LevelFilter::Trace)]))]
+#[case("warn,core::admission=trace", Ok(vec![("micaladder", LevelFilter::Warn), ("micaladder::core::admission", LevelFilter::Trace)]))]
+#[case::former_name("notices=debug", Ok(vec![("micaladder", LevelFilter::Info), ("micaladder::callbacks", LevelFilter::Debug)]))]
+#[case::former_path("core::door=trace", Ok(vec![("micaladder", LevelFilter::Info), ("micaladder::core::admission", LevelFilter::Trace)]))]
+#[case::below_a_former_name("neighbours::link=warn", Ok(vec![("micaladder", LevelFilter::Info), ("micaladder::peers::link", LevelFilter::Warn)]))]
 #[case("loud", Err("no level \"loud\""))]
 #[case("kore=debug", Err("no module \"kore\""))]
 fn a_filter_names_a_level_or_modules(
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -104,21 +104,23 @@
     /// Guards "no double effect": a refusal promises that coming again is safe.
     fn refusable(&self, class: &Class) -> bool {
         let safe = match class.effect {
-            Effect::Repeatable => true,
-            Effect::Keyed { group, .. } => self.maybe.is_none() || group == Group::All,
-            Effect::Once => self.maybe.is_none(),
+            Effect::Idempotent => true,
+            Effect::IdempotentByKey { scope, .. } => {
+                self.first_possible_run.is_none() || scope == IdempotencyScope::AllEndpoints
+            }
+            Effect::AtMostOnce => self.first_possible_run.is_none(),
         };
         safe && self.out.is_none()
     }
 
     /// Guards "no double effect": whether a further attempt is allowed at all, and at a host of this zone.
     fn repeat_ok(&self, class: &Class, now: Nanos, zone: Option<usize>) -> bool {
-        let Some((since, first_zone)) = self.maybe else { return true };
+        let Some((since, first_zone)) = self.first_possible_run else { return true };
         match class.effect {
-            Effect::Repeatable => true,
-            Effect::Once => false,
-            Effect::Keyed { group, window } => {
-                let near = group == Group::All || zone.is_none_or(|z| z == first_zone);
+            Effect::Idempotent => true,
+            Effect::AtMostOnce => false,
+            Effect::IdempotentByKey { scope, window } => {
+                let near = scope == IdempotencyScope::AllEndpoints || zone.is_none_or(|z| z == first_zone);
                 near && (now - since).secs() < window.secs() * WINDOW_SHARE
             }
         }
@@ -145,7 +147,7 @@
         }
         // Guards against a jam that feeds itself: refused calls may use up the limit too. Each further one
         // halves the pace, until all relays together ask for a part of the limit.
-        let even = if self.limit > 0.0 { self.limit } else { self.listed } / set.relays.max(1) as f64;
+        let even = if self.limit > 0.0 { self.limit } else { self.listed } / set.forwarders.max(1) as f64;
         let least = if even > 0.0 { (even * PACE_LEAST).max(1.0 / REST_TOP) } else { PACE_FLOOR };
         let seen = self.served.len() as f64;
         let own = if even > 0.0 { even.max(demand) } else { seen };
@@ -157,7 +159,7 @@
         self.strikes += 1;
         self.fill(now);
         let pace = (was * PACE_CUT).max(least);
-        let part = if set.limits_told && even <= 0.0 { 0.0 } else { 1.0 / even };
+        let part = if set.limits_reported && even <= 0.0 { 0.0 } else { 1.0 / even };
         let top = set.least_aim() * if even > 0.0 { 1.0 } else { AIM_SHARE };
         let first = (part / PACE_CUT).min(top).max(FULL_WAIT);
         let gap = first * 2f64.powi(self.strikes.min(8) as i32 - 1);
@@ -219,17 +221,18 @@
     /// demand, times the told cold share and multiple. Where all do so, the sum is what the host can take.
     fn fill(&mut self, set: &Settings, now: Nanos, demand: f64) {
         let since = if let Breaker::Ramp { since } = self.breaker { since } else { now };
-        let warm = ((now - since).secs() / set.ramp.secs().max(1e-3)).min(1.0);
-        let share = (set.cold_from + (1.0 - set.cold_from) * warm) * set.fall_multiple.max(1.0);
-        self.allowed = (demand * share).max(RAMP_LEAST / set.relays.max(1) as f64);
+        let warm = ((now - since).secs() / set.warm_up.secs().max(1e-3)).min(1.0);
+        let share = (set.cold_capacity_share + (1.0 - set.cold_capacity_share) * warm)
+            * set.overload_multiple.max(1.0);
+        self.allowed = (demand * share).max(RAMP_LEAST / set.forwarders.max(1) as f64);
         self.bucket.fill(now, self.allowed, (self.allowed * BURST).max(self.bucket.level).max(1.0));
     }
     fn review(&mut self, now: Nanos, set: &Settings) {
-        if matches!(self.breaker, Breaker::Ramp { since } if now - since >= set.ramp) {
+        if matches!(self.breaker, Breaker::Ramp { since } if now - since >= set.warm_up) {
             self.breaker = Breaker::Closed;
         }
         self.losing.values_mut().for_each(|l| *l *= GAIN_KEEP);
-        self.conns = if now - self.used_at >= set.conn_idle { self.calls } else { self.conns };
+        self.conns = if now - self.used_at >= set.connection_idle_timeout { self.calls } else { self.conns };
     }
 }
 
@@ -242,10 +245,10 @@
     }
     /// ARR's gain; true if it rose. Departure: only the wait that this relay could have helped is judged; a
     /// slow destination would else miss its aim by its own latency and take the front for good.
-    fn review(&mut self, now: Nanos, aim: f64) -> bool {
+    fn review(&mut self, now: Nanos, latency_objective: f64) -> bool {
         self.rate += RATE_GAIN * (f64::from(self.served) - self.rate);
         self.demand *= 1.0 - DEMAND_GAIN;
-        let missed = self.sent > 0 && self.waited / f64::from(self.sent) > aim * AIM_SHARE;
+        let missed = self.sent > 0 && self.waited / f64::from(self.sent) > latency_objective * AIM_SHARE;
         self.raised = if missed { self.raised + GAMMA } else { self.raised * GAIN_KEEP };
         (self.waited, self.sent, self.served) = (0.0, 0, 0);
         if now - self.last > FORGET && self.calls == 0 && self.held.is_empty() {
@@ -264,20 +267,20 @@
     pub(crate) random: Random,
     pub(crate) now: Nanos,
     act: Vec<Action>,
-    msgs: HashMap<MsgId, Msg>,
+    msgs: HashMap<MessageId, Msg>,
     /// By when a round must look at which: no round looks at all that is held.
-    held_until: BTreeSet<(Nanos, MsgId)>,
-    repeat_until: BTreeSet<(Nanos, MsgId)>,
-    out: BTreeSet<MsgId>,
+    held_until: BTreeSet<(Nanos, MessageId)>,
+    repeat_until: BTreeSet<(Nanos, MessageId)>,
+    out: BTreeSet<MessageId>,
     /// Messages that are owed an answer.
     open: usize,
     /// No send can start.
     paused: bool,
     lanes: BTreeMap<u64, Lane>,
-    flows: BTreeMap<DestId, Flow>,
+    flows: BTreeMap<DestinationId, Flow>,
     /// Those with a message held or out.
-    active: BTreeSet<DestId>,
-    pub(crate) hosts: BTreeMap<HostId, Host>,
+    active: BTreeSet<DestinationId>,
+    pub(crate) hosts: BTreeMap<EndpointId, Host>,
     pub(crate) routes: BTreeMap<RouteKey, Route>,
     /// Messages still out in each call.
     calls: BTreeMap<u64, usize>,
@@ -288,7 +291,7 @@
     ask_wait: f64,
     /// Kinds, with signs that idle connections harm there; hosts with a call ended in this round.
     scarce: BTreeSet<usize>,
-    rested: BTreeSet<HostId>,
+    rested: BTreeSet<EndpointId>,
     /// Seconds without use after which a connection is taken for dropped, once one was.
     idle_limit: Option<f64>,
 }
@@ -297,7 +300,7 @@
     /// A fresh module. It knows nothing but its settings; `seed` feeds its random numbers. With no slots it
     /// sends nothing and answers each message at its deadline; a message of an unknown class is refused.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let (ask_at, random) = (settings.must_ask.map(|_| Nanos(0)), Random(seed | 1));
+        let (ask_at, random) = (settings.poll_interval.map(|_| Nanos(0)), Random(seed | 1));
         Balancer { set: settings, random, ask_at, ask_wait: ASK_WAIT, ..Balancer::default() }
     }
 
@@ -320,16 +323,16 @@
         1.0 - SPREAD + 2.0 * SPREAD * self.random.next()
     }
 
-    fn log(&mut self, text: &'static str, host: Option<HostId>) {
+    fn log(&mut self, text: &'static str, host: Option<EndpointId>) {
         self.act.push(Action::Log { text, host });
     }
 
     /// A round looks at these alone, so that its cost does not grow with the fleet.
-    fn busy(&self) -> impl Iterator<Item = (&DestId, &Flow)> {
+    fn busy(&self) -> impl Iterator<Item = (&DestinationId, &Flow)> {
         self.active.iter().filter_map(|d| self.flows.get_key_value(d))
     }
 
-    fn flow(&mut self, dest: DestId) -> &mut Flow {
+    fn flow(&mut self, dest: DestinationId) -> &mut Flow {
         self.flows.entry(dest).or_default()
     }
 
@@ -337,41 +340,42 @@
 
     fn ingest(&mut self, event: &Event) {
         match event {
-            Event::List { whole, entries } => self.listed(*whole, entries),
-            Event::ListFailed => {
+            Event::EndpointList { complete, entries } => self.listed(*complete, entries),
+            Event::EndpointListFailed => {
                 self.ask_at = Some(self.now + self.ask_wait * self.spread());
                 self.ask_wait = (self.ask_wait * 2.0).min(ASK_TOP);
                 self.log("list not to be had: asking again", None);
             }
             Event::Message(m) => self.accept(m),
             Event::Resumed(m, past) => self.resume(m, past),
-            Event::Ended(e) => self.ended(e),
-            Event::ToldWait { host, dest, wait } => {
+            Event::AttemptEnded(e) => self.ended(e),
+            Event::RetryAfter { host, dest, wait } => {
                 let route = self.hosts.get(host).map_or((*dest, None), |h| h.route);
                 self.routes.entry(route).or_default().told(self.now, *wait);
             }
-            Event::Gone(id) => self.finish(*id),
+            Event::Withdrawn(id) => self.finish(*id),
             Event::Paused(on) => self.paused = *on,
-            Event::Hint(hint) => self.hint(hint),
+            Event::PeerObservation(hint) => self.hint(hint),
             // A timer may fire a little early, by rounding of clocks: what it was for is armed anew.
             Event::Due => self.armed = None,
         }
     }
 
     /// Guards "drains are kept": a stopping or missing host is unlisted at once.
-    fn listed(&mut self, whole: bool, entries: &[Entry]) {
-        self.hosts.values_mut().filter(|_| whole).for_each(|h| (h.listed, h.gone) = (false, true));
+    fn listed(&mut self, complete: bool, entries: &[EndpointEntry]) {
+        self.hosts.values_mut().filter(|_| complete).for_each(|h| (h.listed, h.gone) = (false, true));
         for e in entries {
-            let apart = self.set.kinds.get(e.kind).is_some_and(|k| k.apart);
+            let apart = self.set.kinds.get(e.kind).is_some_and(|k| k.separate_routes);
             let route = (e.dest, apart.then_some(e.host));
             let host = self.hosts.entry(e.host).or_default();
             (host.dest, host.zone, host.kind, host.route) = (e.dest, e.zone, e.kind, route);
-            (host.listed, host.rate) = (e.state == Listed::Running, e.rate);
-            host.gone = e.state == Listed::Gone;
+            (host.listed, host.rate) = (e.state == EndpointState::Running, e.rate);
+            host.gone = e.state == EndpointState::Removed;
             // Stands in where answers tell no limits; a rough one only where a call carries several, since
             // too low a pace costs little there.
-            let several = self.set.weights == Weights::Rough && self.per_call(e.host) > 1;
-            let counts = !self.set.limits_told && (several || self.set.weights == Weights::Nominal);
+            let several = self.set.listed_rates == ListedRates::Approximate && self.max_batch(e.host) > 1;
+            let counts =
+                !self.set.limits_reported && (several || self.set.listed_rates == ListedRates::Nominal);
             self.routes.entry(route).or_default().listed = if counts { e.rate } else { 0.0 };
             let flow = self.flow(e.dest);
             if !flow.hosts.contains(&e.host) {
@@ -386,7 +390,7 @@
             return;
         }
         let Some(class) = self.set.classes.get(m.class) else {
-            return self.act.push(Action::Refuse { id: m.id, after: None });
+            return self.act.push(Action::Reject { id: m.id, after: None });
         };
         let key = m.key.filter(|_| class.fifo_by_key);
         if let Some(k) = key {
@@ -402,35 +406,36 @@
         self.open += 1;
     }
 
-    /// Guards "no double effect" and the most tries across restarts: what is past counts as if seen here.
+    /// Guards "no double effect" and the most attempts across restarts: what is past counts as if seen here.
     /// What may not go again is answered by `expire`. It was taken on before this moment.
-    fn resume(&mut self, m: &Message, past: &Past) {
+    fn resume(&mut self, m: &Message, past: &PriorAttempts) {
         self.accept(m);
         let Some(msg) = self.msgs.get_mut(&m.id) else { return };
-        (msg.tries, msg.maybe, msg.arrived) = (past.tries, past.maybe, self.now - Nanos(1));
+        (msg.attempts, msg.first_possible_run, msg.arrived) =
+            (past.attempts, past.first_possible_run, self.now - Nanos(1));
         self.hold(m.id);
-        self.repeat_until.extend(past.maybe.map(|_| (self.now, m.id)));
-        (past.tries >= self.set.most_tries).then(|| self.answer(m.id, 1.0));
+        self.repeat_until.extend(past.first_possible_run.map(|_| (self.now, m.id)));
+        (past.attempts >= self.set.max_attempts).then(|| self.answer(m.id, 1.0));
     }
 
-    fn ended(&mut self, e: &Ended) {
+    fn ended(&mut self, e: &AttemptEnded) {
         let (id, now) = (e.id, self.now);
         let Some(msg) = self.msgs.get_mut(&id) else { return };
         let Some(sent) = msg.out.take() else { return };
         self.out.remove(&id);
         if !e.outcome.never_ran() {
             let zone = self.hosts.get(&sent.host).map_or(0, |h| h.zone);
-            msg.maybe.get_or_insert((sent.sent, zone));
+            msg.first_possible_run.get_or_insert((sent.sent, zone));
         }
-        msg.tries -= u32::from(e.outcome == Outcome::Unsent);
+        msg.attempts -= u32::from(e.outcome == Outcome::NotSent);
         // Guards "order by key": the key rests where the attempt may still run.
         if let Some(lane) = msg.key.and_then(|k| self.lanes.get_mut(&k)) {
             lane.out = lane.out.saturating_sub(1);
             if matches!(e.outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
-                lane.free_at = lane.free_at.max(now + self.set.order_pause);
+                lane.free_at = lane.free_at.max(now + self.set.ordering_pause);
             }
         }
-        let (dest, key, done, spent) = (msg.dest, msg.key, msg.done, msg.tries >= self.set.most_tries);
+        let (dest, key, done, spent) = (msg.dest, msg.key, msg.done, msg.attempts >= self.set.max_attempts);
         let over = spent || !msg.repeat_ok(&self.set.classes[msg.class], now, None);
         let left = self.calls.entry(sent.call).or_insert(1);
         *left -= 1;
@@ -455,11 +460,12 @@
     }
 
     /// A message is not out: its place among those of its destination, and when it may have to be answered.
-    fn hold(&mut self, id: MsgId) {
+    fn hold(&mut self, id: MessageId) {
         self.unhold(id);
         let Some(m) = self.msgs.get_mut(&id) else { return };
         self.held_until.insert((m.deadline, id));
-        if let (Some((since, _)), Effect::Keyed { window, .. }) = (m.maybe, self.set.classes[m.class].effect)
+        if let (Some((since, _)), Effect::IdempotentByKey { window, .. }) =
+            (m.first_possible_run, self.set.classes[m.class].effect)
         {
             m.look_at = Some(since + window.secs() * WINDOW_SHARE);
         }
@@ -468,7 +474,7 @@
         self.flows.entry(m.dest).or_default().held.push(id, m.sort(), m.deadline, in_turn);
     }
 
-    fn unhold(&mut self, id: MsgId) {
+    fn unhold(&mut self, id: MessageId) {
         let Some(m) = self.msgs.get_mut(&id) else { return };
         self.held_until.remove(&(m.deadline, id));
         m.look_at.take().map(|at| self.repeat_until.remove(&(at, id)));
@@ -483,7 +489,7 @@
     }
 
     /// What an outcome says of its host and route.
-    fn learn(&mut self, e: &Ended, sent: &Out) {
+    fn learn(&mut self, e: &AttemptEnded, sent: &Out) {
         let (now, luck) = (self.now, self.random.next());
         let Some(host) = self.hosts.get_mut(&sent.host) else { return };
         let route = self.routes.entry(host.route).or_default();
@@ -515,7 +521,7 @@
                 }
                 self.flow(dest).served += 1;
             }
-            Outcome::Full(wait) => {
+            Outcome::Rejected(wait) => {
                 let demand = self.flows.get(&host.dest).map_or(0.0, |f| f.demand);
                 let (key, at) = (host.route, (now, sent.sent));
                 let cut = route.refused(&self.set, at, wait, demand, luck);
@@ -533,7 +539,7 @@
             // Guards against taking a full table of connections for a limit or an outage: only as many calls
             // at once go there as it takes. And the table against relays that knock on for a place. May hurt
             // where another relay lets go: the room grows bit by bit.
-            Outcome::Crowded => {
+            Outcome::ConnectionLimit => {
                 host.room = Some(f64::from(host.calls.max(1)));
                 self.scarce.insert(host.kind);
                 if host.calls == 0 {
@@ -557,13 +563,13 @@
                 (!sent.mute).then(|| self.lost(sent, mute && e.outcome != Outcome::Error));
             }
             // All hosts spoil answers alike: no cause to shut one out.
-            Outcome::Cancelled | Outcome::Spoilt | Outcome::Moot | Outcome::Unsent => {}
+            Outcome::Cancelled | Outcome::UnreadableAnswer | Outcome::Skipped | Outcome::NotSent => {}
         }
     }
 
     /// Guards against a lossy path: one call lost is no outage. Where it was served before and not turned
     /// away now, one more may go at once, the rest as `fill` allows; a second unanswered opens the breaker.
-    fn failed(&mut self, id: HostId, mute: bool, risk: bool) {
+    fn failed(&mut self, id: EndpointId, mute: bool, risk: bool) {
         let (now, luck, first) = (self.now, self.random.next(), TRIAL_GAP * self.spread());
         let Some(host) = self.hosts.get_mut(&id) else { return };
         if !host.doubt && host.breaker == Breaker::Closed {
@@ -599,12 +605,12 @@
         host.suspect = Some((self.now, out.idle)).filter(|_| rested);
         if rested {
             host.conns = host.calls;
-            self.act.push(Action::Release(out.host));
+            self.act.push(Action::CloseIdle(out.host));
         }
     }
 
     /// Ends a message for the module; its attempt, if out, is still followed.
-    fn finish(&mut self, id: MsgId) {
+    fn finish(&mut self, id: MessageId) {
         let Some(msg) = self.msgs.get_mut(&id).filter(|m| !m.done) else { return };
         msg.done = true;
         self.open -= 1;
@@ -621,7 +627,7 @@
 
     /// Whether a send may still go as it was decided, asked when its connection stands. Guards waits, drains
     /// and trials against a connect that took long: what came since counts. Its turn and its pace it has.
-    pub fn stands(&self, now: Nanos, id: MsgId) -> bool {
+    pub fn may_still_send(&self, now: Nanos, id: MessageId) -> bool {
         let Some(m) = self.msgs.get(&id).filter(|m| !m.done && m.deadline > now) else { return false };
         let Some(o) = m.out.filter(|o| !o.called_off) else { return false };
         let Some(h) = self.hosts.get(&o.host).filter(|h| h.listed) else { return false };
@@ -635,10 +641,10 @@
     }
 
     /// Final answer for a message that is given up: a refusal where it is safe, else a failure.
-    fn answer(&mut self, id: MsgId, after: f64) {
+    fn answer(&mut self, id: MessageId, after: f64) {
         let Some(msg) = self.msgs.get(&id) else { return };
         self.act.push(if msg.refusable(&self.set.classes[msg.class]) {
-            Action::Refuse { id, after: self.set.retry_after.map(|top| Nanos::from_secs(after).min(top)) }
+            Action::Reject { id, after: self.set.retry_after.map(|top| Nanos::from_secs(after).min(top)) }
         } else {
             Action::Fail(id)
         });
@@ -649,7 +655,7 @@
 
     fn review(&mut self) {
         let now = self.now;
-        self.act.extend(self.ask_at.take_if(|t| *t <= now).map(|_| Action::Watch));
+        self.act.extend(self.ask_at.take_if(|t| *t <= now).map(|_| Action::WatchEndpointList));
         if now < self.review_at {
             return;
         }
@@ -666,7 +672,7 @@
         for f in self.flows.values_mut().filter(|_| missed || high) {
             (f.a, f.raised) = (0.0, if high { f.raised / 2.0 } else { f.raised });
         }
-        let kept = |h: &HostId| self.hosts.get(h).is_some_and(|x| x.listed || x.calls > 0);
+        let kept = |h: &EndpointId| self.hosts.get(h).is_some_and(|x| x.listed || x.calls > 0);
         self.flows.values_mut().for_each(|f| f.hosts.retain(kept));
         self.flows.retain(|_, f| !f.hosts.is_empty() || !f.held.is_empty() || f.calls > 0);
         self.lanes.retain(|_, l| !l.queue.is_empty() || l.out > 0 || l.free_at > now);
@@ -715,12 +721,12 @@
         }
     }
 
-    fn class(&self, id: &MsgId) -> &Class {
+    fn class(&self, id: &MessageId) -> &Class {
         &self.set.classes[self.msgs[id].class]
     }
 
-    fn worth(&self, id: &MsgId, at: Nanos) -> f64 {
-        self.msgs[id].worth(self.class(id), self.set.fade, at)
+    fn worth(&self, id: &MessageId, at: Nanos) -> f64 {
+        self.msgs[id].worth(self.class(id), self.set.value_decay, at)
     }
 
     /// Guards the slots against calls that nobody answers, whatever the cause: where all are taken and over a
@@ -728,32 +734,32 @@
     /// slow hosts would have answered yet.
     fn relieve(&mut self) {
         let full = self.set.may_cancel && self.calls.len() >= self.set.slots;
-        // Past its patience twice, also where the host answers others all the while.
+        // PriorAttempts its patience twice, also where the host answers others all the while.
         let class = |m: &Msg| &self.set.classes[m.class];
         let spent = |m: &Msg, o: &Out| (self.now - o.sent).0 / 2 > self.patience(o.host, class(m)).0;
         let mute = |m: &Msg, o: &Out| full && !o.called_off && (o.mute || spent(m, o));
         let out = self.out.iter().filter_map(|id| Some((id, self.msgs.get(id)?)));
         let out = out.filter_map(|(id, m)| m.out.filter(|o| mute(m, o)).map(|o| (id, m, o)));
-        let rows: Vec<(MsgId, bool)> = out.map(|(id, m, o)| (*id, spent(m, &o))).collect();
+        let rows: Vec<(MessageId, bool)> = out.map(|(id, m, o)| (*id, spent(m, &o))).collect();
         let over = rows.len() as f64 > (self.set.slots as f64 * MUTE_SHARE).max(1.0);
         let may = rows.iter().filter(|r| over || r.1).map(|r| &r.0);
-        let worth = |id: &&MsgId| self.worth(id, self.now);
+        let worth = |id: &&MessageId| self.worth(id, self.now);
         let least = may.min_by(|a, b| worth(a).total_cmp(&worth(b)));
         let Some(id) = least.filter(|_| self.busy().any(|(_, f)| self.could_send(f))) else { return };
         let Some(m) = self.msgs.get_mut(id) else { return };
         m.out = m.out.map(|o| Out { called_off: true, ..o });
-        self.act.push(Action::Cancel { id: *id, attempt: m.tries.saturating_sub(1) });
+        self.act.push(Action::Cancel { id: *id, attempt: m.attempts.saturating_sub(1) });
     }
 
     /// How long a call is given that may be made again.
-    fn patience(&self, host: HostId, class: &Class) -> Nanos {
+    fn patience(&self, host: EndpointId, class: &Class) -> Nanos {
         let silence = self.hosts.get(&host).map_or(SILENCE_UNKNOWN, Host::silence);
-        Nanos::from_secs((2.0 * silence).max(class.aim.secs()))
+        Nanos::from_secs((2.0 * silence).max(class.latency_objective.secs()))
     }
 
     /// Load shedding: what is worth least when its turn would come is given back before the hold is full.
     fn shed(&mut self) {
-        let cap = self.set.open_cap;
+        let cap = self.set.max_pending;
         let keep = cap.saturating_sub(((cap as f64 * RESERVE) as usize).max(1)).max(1);
         let mut least = BTreeMap::new();
         while self.open > keep {
@@ -770,7 +776,7 @@
     }
 
     /// What of a flow is worth least when its turn would come, and in how many seconds that is.
-    fn least(&self, flow: &Flow) -> Option<(f64, MsgId, f64)> {
+    fn least(&self, flow: &Flow) -> Option<(f64, MessageId, f64)> {
         let wait = flow.backlog();
         let at = self.now + wait;
         // Of a sort, that with the least time left is worth least, and all may be refused or none.
@@ -780,10 +786,12 @@
     }
 
     /// What giving a message back now costs beside its worth.
-    fn early(&self, id: &MsgId) -> f64 {
+    fn early(&self, id: &MessageId) -> f64 {
         let (m, class) = (&self.msgs[id], self.class(id));
         let young = (m.deadline - self.now).secs() > class.deadline.secs() * (1.0 - EARLY_UNTIL);
-        f64::from(u8::from(young && m.arrived < self.now && m.maybe.is_none())) * class.points * EARLY_COST
+        f64::from(u8::from(young && m.arrived < self.now && m.first_possible_run.is_none()))
+            * class.priority_weight
+            * EARLY_COST
     }
 
     // ---- The send gate: every send passes here, retries and trials included.
@@ -805,7 +813,7 @@
         ((slots * SICK_SHARE) as usize).saturating_sub(all - flow.calls).max(1)
     }
 
-    fn open_hosts(&self, flow: &Flow) -> Vec<HostId> {
+    fn open_hosts(&self, flow: &Flow) -> Vec<EndpointId> {
         if self.calls.len() >= self.set.slots || flow.calls >= self.slot_cap(flow) {
             return Vec::new();
         }
@@ -814,11 +822,11 @@
 
     /// Whether a slot is all that it lacks.
     fn could_send(&self, flow: &Flow) -> bool {
-        let takes = |h: &&HostId| flow.held.in_turn().any(|id| self.msg_gate(id, **h));
+        let takes = |h: &&EndpointId| flow.held.in_turn().any(|id| self.msg_gate(id, **h));
         flow.calls < self.slot_cap(flow) && flow.hosts.iter().filter(takes).any(|h| self.host_gate(*h))
     }
 
-    fn host_gate(&self, id: HostId) -> bool {
+    fn host_gate(&self, id: EndpointId) -> bool {
         let Some(h) = self.hosts.get(&id) else { return false };
         let Some(r) = self.routes.get(&h.route) else { return false };
         let paid = h.bucket.level >= 1.0;
@@ -837,15 +845,15 @@
     }
 
     /// Whether this message may go to this host now, if a call may.
-    fn msg_gate(&self, id: MsgId, host: HostId) -> bool {
+    fn msg_gate(&self, id: MessageId, host: EndpointId) -> bool {
         let (Some(m), Some(h)) = (self.msgs.get(&id), self.hosts.get(&host)) else { return false };
         let class = &self.set.classes[m.class];
         let lane = m.key.and_then(|k| self.lanes.get(&k));
-        let in_turn = lane.is_none_or(|l| l.in_turn(id) && (m.tries > 0 || self.now >= l.free_at));
+        let in_turn = lane.is_none_or(|l| l.in_turn(id) && (m.attempts > 0 || self.now >= l.free_at));
         h.dest == m.dest
             && m.out.is_none()
             && !m.done
-            && m.tries < self.set.most_tries
+            && m.attempts < self.set.max_attempts
             && m.deadline > self.now
             && m.repeat_ok(class, self.now, Some(h.zone))
             && in_turn
@@ -858,21 +866,21 @@
         if hosts.is_empty() {
             return 0;
         }
-        let per_call = hosts.iter().map(|h| self.per_call(*h)).max().unwrap_or(1);
-        let most = self.slot_cap(flow).saturating_sub(flow.calls) * per_call;
-        let fits = |id: &MsgId| hosts.iter().any(|h| self.msg_gate(*id, *h));
+        let max_batch = hosts.iter().map(|h| self.max_batch(*h)).max().unwrap_or(1);
+        let most = self.slot_cap(flow).saturating_sub(flow.calls) * max_batch;
+        let fits = |id: &MessageId| hosts.iter().any(|h| self.msg_gate(*id, *h));
         flow.held.in_turn().filter(fits).take(most).count()
     }
 
-    fn per_call(&self, host: HostId) -> usize {
-        self.hosts.get(&host).and_then(|h| self.set.kinds.get(h.kind)).map_or(1, |k| k.per_call.max(1))
+    fn max_batch(&self, host: EndpointId) -> usize {
+        self.hosts.get(&host).and_then(|h| self.set.kinds.get(h.kind)).map_or(1, |k| k.max_batch.max(1))
     }
 
     /// T of the design: listed agreed rate of a destination, else one for all.
     fn listed_rate(&self, flow: &Flow) -> f64 {
         let rates = flow.hosts.iter().filter_map(|h| self.hosts.get(h)).filter(|h| h.listed);
         let sum = rates.fold(0.0, |s: f64, h| if h.route.1.is_some() { s + h.rate } else { s.max(h.rate) });
-        Some(sum).filter(|s| self.set.weights != Weights::Off && *s > 0.0).unwrap_or(1.0)
+        Some(sum).filter(|s| self.set.listed_rates != ListedRates::Absent && *s > 0.0).unwrap_or(1.0)
     }
 
     fn promote(&mut self) {
@@ -880,8 +888,9 @@
         for f in self.active.iter().filter_map(|d| self.flows.get(d)) {
             for h in &f.hosts {
                 let Some(h) = self.hosts.get_mut(h) else { continue };
-                let even = self.set.weights == Weights::Nominal && matches!(h.breaker, Breaker::Ramp { .. });
-                let listed = if even { h.rate * EVEN_SURE / self.set.relays.max(1) as f64 } else { 0.0 };
+                let even = self.set.listed_rates == ListedRates::Nominal
+                    && matches!(h.breaker, Breaker::Ramp { .. });
+                let listed = if even { h.rate * EVEN_SURE / self.set.forwarders.max(1) as f64 } else { 0.0 };
                 h.fill(&self.set, self.now, f.demand.max(listed) / f.hosts.len() as f64);
                 self.routes.entry(h.route).or_default().fill(self.now);
             }
@@ -921,7 +930,7 @@
     }
 
     /// Tmin: lagging active flows are lifted, so that a flow is not starved for what others did not use.
-    fn lift(&mut self, rows: &[(DestId, f64, usize)], most: f64) {
+    fn lift(&mut self, rows: &[(DestinationId, f64, usize)], most: f64) {
         let eta: Vec<f64> = rows.iter().map(|(d, w, _)| self.flows[d].b / w).collect();
         let top = eta.iter().copied().fold(0.0, f64::max);
         let lag = |t: f64| eta.iter().map(|e| top - e.max(t)).sum::<f64>();
@@ -948,16 +957,16 @@
     }
 
     /// Fills one slot from a flow: the message that loses most by waiting, at the host that costs least.
-    fn serve(&mut self, dest: DestId) -> bool {
+    fn serve(&mut self, dest: DestinationId) -> bool {
         let flow = &self.flows[&dest];
         let hosts = self.open_hosts(flow);
         let pairs = hosts.iter().filter_map(|h| self.urgent(flow, *h).map(|(loss, id)| (loss, id, *h)));
-        let cost = |p: &(f64, MsgId, HostId)| self.host_cost(p.1, p.2);
+        let cost = |p: &(f64, MessageId, EndpointId)| self.host_cost(p.1, p.2);
         let best = pairs.min_by(|a, b| b.0.total_cmp(&a.0).then(cost(a).total_cmp(&cost(b))));
         let Some((_, first, host)) = best else { return false };
         // Messages of one call share its fate, so a trial carries one.
         let trial = matches!(self.hosts[&host].breaker, Breaker::Open { .. });
-        let most = if trial { 1 } else { self.per_call(host) };
+        let most = if trial { 1 } else { self.max_batch(host) };
         let call = self.open_call(dest, host, first);
         self.send(first, host, call);
         for _ in 1..most {
@@ -967,11 +976,11 @@
         true
     }
 
-    fn urgent(&self, flow: &Flow, host: HostId) -> Option<(f64, MsgId)> {
+    fn urgent(&self, flow: &Flow, host: EndpointId) -> Option<(f64, MessageId)> {
         let soon = self.now + self.hosts.get(&host).map_or(0.0, |h| h.mean);
         let later = soon + flow.backlog();
         // What is lost grows and falls with the deadline and turns where the wait ends or the aim passes.
-        let aim = |class: usize| self.set.classes[class].deadline - self.set.classes[class].aim;
+        let aim = |class: usize| self.set.classes[class].deadline - self.set.classes[class].latency_objective;
         let fit = flow.held.next_to(|c| [later, soon + aim(c)], |id| self.msg_gate(id, host));
         let loss = fit.map(|p| (self.worth(&p.2, soon) - self.worth(&p.2, later), p.1, p.2));
         let most = loss.max_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1)));
@@ -979,24 +988,29 @@
     }
 
     /// Points that a send to this host is likely to cost: lateness, fees, a new connection, failure.
-    fn host_cost(&self, id: MsgId, host: HostId) -> f64 {
+    fn host_cost(&self, id: MessageId, host: EndpointId) -> f64 {
         let (h, m) = (&self.hosts[&host], &self.msgs[&id]);
-        let late = h.mean * f64::from(h.calls + 1) / self.set.classes[m.class].aim.secs().max(1e-3);
+        let late =
+            h.mean * f64::from(h.calls + 1) / self.set.classes[m.class].latency_objective.secs().max(1e-3);
         let fee = h.route.1.and(self.set.route_fee.get(h.zone)).copied().unwrap_or(0.0);
         let cross = if h.zone == self.set.zone { 0.0 } else { self.set.cross_fee };
-        let cold = if h.calls < h.conns * self.set.streams.max(1) { 0.0 } else { self.set.handshake_fee };
+        let cold = if h.calls < h.conns * self.set.streams_per_connection.max(1) {
+            0.0
+        } else {
+            self.set.handshake_fee
+        };
         late * LATE_COST + fee + cross + cold + h.losing.get(&m.class).copied().unwrap_or(0.0)
     }
 
-    fn open_call(&mut self, dest: DestId, host: HostId, first: MsgId) -> u64 {
-        let (now, streams, spread) = (self.now, self.set.streams.max(1), self.spread());
+    fn open_call(&mut self, dest: DestinationId, host: EndpointId, first: MessageId) -> u64 {
+        let (now, streams, spread) = (self.now, self.set.streams_per_connection.max(1), self.spread());
         self.next_call += 1;
         self.flow(dest).calls += 1;
         let h = self.hosts.entry(host).or_default();
         h.idle = if h.calls < h.conns * streams { (now - h.used_at).secs() } else { 0.0 };
         if h.calls == 0 && self.idle_limit.is_some_and(|l| h.idle > l) {
             (h.idle, h.conns) = (0.0, 0);
-            self.act.push(Action::Release(host));
+            self.act.push(Action::CloseIdle(host));
         }
         h.calls += 1;
         h.conns = h.conns.max(h.calls.div_ceil(streams));
@@ -1011,14 +1025,14 @@
         self.next_call
     }
 
-    fn send(&mut self, id: MsgId, host: HostId, call: u64) {
+    fn send(&mut self, id: MessageId, host: EndpointId, call: u64) {
         let (now, patience) = (self.now, self.patience(host, self.class(&id)));
         let (Some(m), Some(h)) = (self.msgs.get_mut(&id), self.hosts.get(&host)) else { return };
         let class = &self.set.classes[m.class];
         let left = m.deadline - now;
         // Giving up on a message that must not repeat forfeits its worth: it may use all of its time.
-        let timeout = if class.effect == Effect::Once { left } else { patience.min(left) };
-        m.tries += 1;
+        let timeout = if class.effect == Effect::AtMostOnce { left } else { patience.min(left) };
+        m.attempts += 1;
         m.out = Some(Out { host, class: m.class, sent: now, call, idle: h.idle, ..Out::default() });
         *self.calls.entry(call).or_default() += 1;
         if let Some(lane) = m.key.and_then(|k| self.lanes.get_mut(&k)) {
@@ -1036,13 +1050,13 @@
     fn release(&mut self) {
         for id in std::mem::take(&mut self.rested) {
             let Some(h) = self.hosts.get_mut(&id).filter(|h| self.scarce.contains(&h.kind)) else { continue };
-            let used = h.calls.div_ceil(self.set.streams.max(1));
+            let used = h.calls.div_ceil(self.set.streams_per_connection.max(1));
             // Kept as long as a call takes, all relays together hold no more than twice what is in use.
             if h.conns == used + 1 && self.now < h.used_at + h.mean {
                 self.rested.insert(id);
             } else if h.conns > used {
                 h.conns = used;
-                self.act.push(Action::Release(id));
+                self.act.push(Action::CloseIdle(id));
             }
         }
     }
@@ -1065,7 +1079,7 @@
                 times.extend(self.routes.get(&h.route).map(|r| r.next(now)));
             }
         }
-        if self.set.order_pause > Nanos(0) {
+        if self.set.ordering_pause > Nanos(0) {
             times.extend(self.lanes.values().filter(|l| !l.queue.is_empty()).map(|l| l.free_at));
         }
         let due = times.into_iter().filter(|t| *t > now).min().map(|t| t.max(now + self.set.tick));
