--- a/src/main.rs
+++ b/src/main.rs
@@ -1,11 +1,11 @@
 //! The daemon: wires its parts together and sees them through start and stop.
 #![forbid(unsafe_code)]
 use micaladder::flags::{self, Command, Run};
-use micaladder::handover::turn::{Do, Seen, Stage, Turn, LOOK_EACH};
-use micaladder::handover::{Folder, Hold, Left, Name};
+use micaladder::takeover::turn::{Do, Seen, Stage, Turn, LOOK_EACH};
+use micaladder::takeover::{Folder, Hold, Left, Name};
 use micaladder::{
-    acme, as2, backoff, check, client, clock, core, discovery, exchange, fault, journal, logger, mgmt,
-    neighbours, notices, plugins, reload, settings, upstream,
+    acme, as2, backoff, callbacks, check, client, clock, config_error, core, discovery, exchange, journal,
+    logger, mgmt, peers, plugins, reload, settings, upstream,
 };
 use std::error::Error;
 use std::process::ExitCode;
@@ -41,7 +41,7 @@
                 flags::Fleet::Watch { look, every } => (look, Some(Duration::from_secs_f64(*every))),
             };
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-            runtime.map_or(ExitCode::FAILURE, |r| r.block_on(neighbours::look::run(look, every)))
+            runtime.map_or(ExitCode::FAILURE, |r| r.block_on(peers::look::run(look, every)))
         }
         Command::Completions(shell) => {
             flags::complete(shell);
@@ -51,7 +51,7 @@
 }
 
 /// Says what is wrong, a line a fault.
-fn said(faults: &[fault::Fault], files: &flags::Files) -> ExitCode {
+fn said(faults: &[config_error::ConfigError], files: &flags::Files) -> ExitCode {
     faults.iter().for_each(|f| eprintln!("{f}"));
     if faults.is_empty() {
         println!("{}: good", files.config.display());
@@ -122,10 +122,10 @@
 async fn hear_elder(mut left: Left, exchange: exchange::Exchange) {
     loop {
         let (records, over) = left.read();
-        exchange.elder(records, over);
+        exchange.predecessor_records(records, over);
         if over {
             // Guards what it says against a kill before it is in the journal.
-            while exchange.bound() {
+            while exchange.is_release_blocked() {
                 tokio::time::sleep(LOOK_EACH).await;
             }
             return left.remove();
@@ -155,17 +155,17 @@
     let (elder, now) = (left.is_some(), clock::now());
     let core = core::Core::new(&config.site, config.seed, standing, plugins, journal, elder, now);
     let (exchange, exchange::Outputs { calls, notices, words }) = exchange::Exchange::new(core);
-    exchange.regroup(true, discovery::members(&config.site, &config.known));
+    exchange.update_endpoints(true, discovery::members(&config.site, &config.known));
     if let Some(left) = left {
         tokio::spawn(hear_elder(left, exchange.clone()));
     }
     tokio::spawn(upstream::run(config.site.clone(), book.clone(), exchange.clone(), calls));
     let (moves, discovery) = tokio::sync::watch::channel(config.discovery.clone());
     let (told, list) = tokio::sync::watch::channel(config.known.rev);
-    let changes = neighbours::Changes { list, discovery: discovery.clone() };
-    let fleet = neighbours::start(&said.files.neighbours, &config, &exchange, changes);
+    let changes = peers::Changes { list, discovery: discovery.clone() };
+    let fleet = peers::start(&said.files.neighbours, &config, &exchange, changes);
     tokio::spawn(reload::run(config.clone(), hangup, moves));
-    tokio::spawn(notices::run(discovery.clone(), exchange.clone(), notices));
+    tokio::spawn(callbacks::run(discovery.clone(), exchange.clone(), notices));
     let longest = discovery::timing::longest_pause(config.site.askers() > 1);
     let again = backoff::Backoff::new(config.site.askers(), longest, config.seed);
     let held = discovery::Held { rev: config.known.rev, serves: !config.known.targets.is_empty(), told };
@@ -205,19 +205,19 @@
             () = tokio::time::sleep(turn.pause()), if shared => {}
         }
         let clients = !serving.is_finished();
-        let (asked, bound) = (folder.is_held(Name::Next), exchange.bound());
+        let (asked, bound) = (folder.is_held(Name::Next), exchange.is_release_blocked());
         match turn.look(clock::now(), Seen { asked, clients, bound, ..Seen::default() }) {
             None => {}
             Some(Do::Close) => {
                 log::info!("another process asks for the folder: handing over");
-                exchange.door(false);
+                exchange.keep_connections(false);
             }
             Some(Do::Open) => {
                 log::warn!(
                     "the process that asked is gone, or the journal cannot be handed on: serving again"
                 );
                 serving.abort();
-                exchange.door(true);
+                exchange.keep_connections(true);
                 serving = open(client::listen(config.listen, shared)?);
             }
             Some(Do::LetGo) => {
@@ -231,9 +231,9 @@
                     }
                 };
                 process.mgmt.iter().for_each(|m| m.serves(None));
-                exchange.let_go(late).await;
+                exchange.release_journal(late).await;
                 drop(owner);
-                log::info!(calls = exchange.calls_out(); "handed over; ending the calls that are out");
+                log::info!(calls = exchange.calls_in_flight(); "handed over; ending the calls that are out");
                 return Ok(end_calls(&exchange, &mut turn, &mut terminate).await);
             }
             Some(Do::Serve | Do::Forget) => {}
@@ -257,7 +257,7 @@
 async fn end_calls(exchange: &exchange::Exchange, turn: &mut Turn, terminate: &mut Signal) -> Done {
     let mut gone_by = None;
     loop {
-        let seen = Seen { calls: exchange.calls_out() > 0, ..Seen::default() };
+        let seen = Seen { calls: exchange.calls_in_flight() > 0, ..Seen::default() };
         let forgets = turn.look(clock::now(), seen) == Some(Do::Forget);
         if forgets || gone_by.is_some_and(|at| tokio::time::Instant::now() >= at) {
             log::info!("calls ended, or given up for lack of time");
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -55,7 +55,7 @@
     pub throttled: u64,
     /// Messages failed.
     pub faulted: u64,
-    /// Messages written to endpoints, each try of its own.
+    /// Messages written to endpoints, each attempt of its own.
     pub relayed: u64,
 }
 
--- a/src/mgmt.rs
+++ b/src/mgmt.rs
@@ -1,7 +1,7 @@
 //! The operators' address: whether this process serves, what it counts, and endpoints taken out by hand. It has a
 //! thread of its own, so that no load on the path of requests delays an answer here, and no caller here holds up a
 //! message. Absent from the configuration, there is no listener and no thread.
-use crate::core::Hand;
+use crate::core::SuspensionResult;
 use crate::exchange::Exchange;
 use crate::metrics::Metrics;
 use axum::extract::{Path, State};
@@ -106,11 +106,17 @@
     let Some((exchange, _)) = mgmt.serving() else {
         return no(StatusCode::SERVICE_UNAVAILABLE, "this process does not serve; ask the one that does\n");
     };
-    match timeout(HAND_FOR, exchange.hand(id, out)).await {
-        Ok(Hand::Done) => StatusCode::NO_CONTENT.into_response(),
-        Ok(Hand::Unknown) => no(StatusCode::NOT_FOUND, "no such endpoint was ever listed here\n"),
-        Ok(Hand::Full) => no(StatusCode::CONFLICT, "too many are out by hand; call one back first\n"),
-        Ok(Hand::Unwritten) => no(StatusCode::SERVICE_UNAVAILABLE, "not written; see the log, ask again\n"),
+    match timeout(HAND_FOR, exchange.set_suspended(id, out)).await {
+        Ok(SuspensionResult::Applied) => StatusCode::NO_CONTENT.into_response(),
+        Ok(SuspensionResult::UnknownEndpoint) => {
+            no(StatusCode::NOT_FOUND, "no such endpoint was ever listed here\n")
+        }
+        Ok(SuspensionResult::LimitReached) => {
+            no(StatusCode::CONFLICT, "too many are out by hand; call one back first\n")
+        }
+        Ok(SuspensionResult::NotPersisted) => {
+            no(StatusCode::SERVICE_UNAVAILABLE, "not written; see the log, ask again\n")
+        }
         Err(_) => no(StatusCode::GATEWAY_TIMEOUT, "no answer in time; it may hold: ask again\n"),
     }
 }
--- a/src/neighbours/frame.rs
+++ b/src/peers/frame.rs
@@ -4,7 +4,7 @@
 //! payload: a kind, and the message as `postcard` (<https://postcard.jamesmunns.com/wire-format>). A frame of a later
 //! version, a kind that is not known, an item of a kind that is not known, and fields behind those that are known are
 //! passed over. All times are spans in nanoseconds.
-use crate::interface::{Nanos, News};
+use crate::interface::{Finding, Nanos};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -57,8 +57,8 @@
     pub items: Vec<Item>,
 }
 
-/// News of an endpoint that all forwarders know by the same uid; its age is that at which the frame was built.
-pub use crate::core::Sighting as Item;
+/// Finding of an endpoint that all forwarders know by the same uid; its age is that at which the frame was built.
+pub use crate::core::EndpointObservation as Item;
 
 /// Why a peer's bytes are not read any further.
 #[derive(Debug, PartialEq, thiserror::Error)]
@@ -152,13 +152,13 @@
     fn rest<T: Serialize>(value: &T) -> Vec<u8> {
         postcard::to_stdvec(value).unwrap_or_default()
     }
-    match item.news {
-        News::Out { since, risky } => (1, both(rest(&(since.0, risky)))),
-        News::Back { since } => (2, both(rest(&since.0))),
-        News::Well { mean, dev } => (3, both(rest(&(mean, dev)))),
-        News::Wait { left } => (4, both(rest(&left.0))),
-        News::Pace { rate } => (5, both(rest(&rate))),
-        News::Room { calls } => (6, both(rest(&calls))),
+    match item.finding {
+        Finding::Outage { since, risky } => (1, both(rest(&(since.0, risky)))),
+        Finding::Recovering { since } => (2, both(rest(&since.0))),
+        Finding::Healthy { mean, dev } => (3, both(rest(&(mean, dev)))),
+        Finding::RetryAfter { left } => (4, both(rest(&left.0))),
+        Finding::RateLimit { rate } => (5, both(rest(&rate))),
+        Finding::ConnectionCapacity { calls } => (6, both(rest(&calls))),
     }
 }
 
@@ -167,31 +167,31 @@
         return Ok(None);
     }
     let (head, bytes): (WireItem, &[u8]) = postcard::take_from_bytes(bytes).map_err(|_| Fault::Garbled)?;
-    let news = match kind {
+    let finding = match kind {
         1 => {
             let (since, risky) = take(bytes)?;
-            News::Out { since: Nanos(since), risky }
+            Finding::Outage { since: Nanos(since), risky }
         }
-        2 => News::Back { since: Nanos(take(bytes)?) },
+        2 => Finding::Recovering { since: Nanos(take(bytes)?) },
         3 => {
             let (mean, dev) = take(bytes)?;
-            News::Well { mean, dev }
+            Finding::Healthy { mean, dev }
         }
-        4 => News::Wait { left: Nanos(take(bytes)?) },
-        5 => News::Pace { rate: take(bytes)? },
-        _ => News::Room { calls: take(bytes)? },
+        4 => Finding::RetryAfter { left: Nanos(take(bytes)?) },
+        5 => Finding::RateLimit { rate: take(bytes)? },
+        _ => Finding::ConnectionCapacity { calls: take(bytes)? },
     };
     // Guards the module's arithmetic against figures that are none.
-    let figures = match news {
-        News::Well { mean, dev } => [mean, dev],
-        News::Pace { rate } => [rate, 0.0],
-        News::Room { calls } => [calls, 0.0],
-        News::Out { .. } | News::Back { .. } | News::Wait { .. } => [0.0, 0.0],
+    let figures = match finding {
+        Finding::Healthy { mean, dev } => [mean, dev],
+        Finding::RateLimit { rate } => [rate, 0.0],
+        Finding::ConnectionCapacity { calls } => [calls, 0.0],
+        Finding::Outage { .. } | Finding::Recovering { .. } | Finding::RetryAfter { .. } => [0.0, 0.0],
     };
     if head.uid.len() > NAME_MOST || figures.iter().any(|f| !(0.0..=1e9).contains(f)) {
         return Err(Fault::Garbled);
     }
-    Ok(Some(Item { uid: head.uid, news, age: Nanos(head.age) }))
+    Ok(Some(Item { uid: head.uid, finding, age: Nanos(head.age) }))
 }
 
 /// Items in parts that fit into a frame each; one empty part if there is none.
--- a/src/neighbours/frame/tests.rs
+++ b/src/peers/frame/tests.rs
@@ -2,22 +2,22 @@
 use super::*;
 use proptest::prelude::*;
 
-fn news() -> impl Strategy<Value = News> {
+fn finding() -> impl Strategy<Value = Finding> {
     let span = || (0..u64::MAX / 4).prop_map(Nanos);
     let figure = || 0.0..1e6f64;
     prop_oneof![
-        (span(), any::<bool>()).prop_map(|(since, risky)| News::Out { since, risky }),
-        span().prop_map(|since| News::Back { since }),
-        (figure(), figure()).prop_map(|(mean, dev)| News::Well { mean, dev }),
-        span().prop_map(|left| News::Wait { left }),
-        figure().prop_map(|rate| News::Pace { rate }),
-        figure().prop_map(|calls| News::Room { calls }),
+        (span(), any::<bool>()).prop_map(|(since, risky)| Finding::Outage { since, risky }),
+        span().prop_map(|since| Finding::Recovering { since }),
+        (figure(), figure()).prop_map(|(mean, dev)| Finding::Healthy { mean, dev }),
+        span().prop_map(|left| Finding::RetryAfter { left }),
+        figure().prop_map(|rate| Finding::RateLimit { rate }),
+        figure().prop_map(|calls| Finding::ConnectionCapacity { calls }),
     ]
 }
 
 fn message() -> impl Strategy<Value = Message> {
-    let item = ("[a-z0-9-]{0,40}", news(), any::<u64>());
-    let item = item.prop_map(|(uid, news, age)| Item { uid, news, age: Nanos(age) });
+    let item = ("[a-z0-9-]{0,40}", finding(), any::<u64>());
+    let item = item.prop_map(|(uid, finding, age)| Item { uid, finding, age: Nanos(age) });
     let told = (any::<u64>(), any::<u64>(), any::<bool>(), prop::collection::vec(item, 0..20));
     prop_oneof![
         ("[a-z]{0,20}", "[a-z]{0,20}", prop::option::of(any::<(u16, u64)>())).prop_map(|(name, group, m)| {
@@ -85,7 +85,8 @@
     let mut longer = kind(PING, &7u64);
     longer.extend([1, 2, 3]);
     reader.push(&frame(VERSION, &longer));
-    let known = item(&Item { uid: "s-1".into(), news: News::Back { since: Nanos(5) }, age: Nanos(1) });
+    let known =
+        item(&Item { uid: "s-1".into(), finding: Finding::Recovering { since: Nanos(5) }, age: Nanos(1) });
     let told = WireTold { ping: 1, held: 2, whole: true, items: vec![(77, vec![9]), known] };
     reader.push(&frame(VERSION, &kind(TOLD, &told)));
     let heard = all(&mut reader).expect("no fault");
@@ -102,7 +103,7 @@
     ];
     let item = Item {
         uid: "s-1".into(),
-        news: News::Out { since: Nanos(2_000_000_000), risky: true },
+        finding: Finding::Outage { since: Nanos(2_000_000_000), risky: true },
         age: Nanos(1_000_000_000),
     };
     let told = Message::Told(Told { ping: 5, held: Nanos(9), whole: true, items: vec![item] });
@@ -115,7 +116,7 @@
 #[test]
 fn figures_that_are_none_are_refused() {
     for rate in [f64::NAN, f64::INFINITY, -1.0] {
-        let bad = Item { uid: "s".into(), news: News::Pace { rate }, age: Nanos(0) };
+        let bad = Item { uid: "s".into(), finding: Finding::RateLimit { rate }, age: Nanos(0) };
         let mut reader = Reader::default();
         reader.push(&encode(&Message::Told(Told { items: vec![bad], ..Told::default() })));
         assert_eq!(reader.message(), Err(Fault::Garbled));
@@ -127,8 +128,11 @@
 
 #[test]
 fn a_large_table_goes_in_parts_that_fit() {
-    let item =
-        |n: u32| Item { uid: format!("{n:0>200}"), news: News::Back { since: Nanos(1) }, age: Nanos(1) };
+    let item = |n: u32| Item {
+        uid: format!("{n:0>200}"),
+        finding: Finding::Recovering { since: Nanos(1) },
+        age: Nanos(1),
+    };
     let parts = parts((0..5000).map(item).collect());
     assert_eq!(parts.iter().map(Vec::len).sum::<usize>(), 5000);
     for items in parts {
--- a/src/neighbours/link/tests.rs
+++ b/src/peers/link/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of `link`.
 use super::*;
-use crate::core::Sighting as Item;
-use crate::interface::News;
+use crate::core::EndpointObservation as Item;
+use crate::interface::Finding;
 use rstest::rstest;
 use std::sync::Arc;
 use tokio::io::{duplex, DuplexStream};
@@ -10,12 +10,12 @@
     Me { name: "n0".into(), group: "g".into(), fleet: None }
 }
 
-fn item(uid: &str, news: News) -> Item {
-    Item { uid: uid.into(), news, age: Nanos(0) }
+fn item(uid: &str, finding: Finding) -> Item {
+    Item { uid: uid.into(), finding, age: Nanos(0) }
 }
 
 fn out(uid: &str) -> Item {
-    item(uid, News::Out { since: Nanos::from_secs(5.0), risky: true })
+    item(uid, Finding::Outage { since: Nanos::from_secs(5.0), risky: true })
 }
 
 fn own(items: Vec<Item>) -> Own {
@@ -104,7 +104,8 @@
 #[tokio::test(start_paused = true)]
 async fn a_snapshot_comes_first_and_then_what_changes() {
     let (near, far) = pair();
-    let (say, own_now) = watch::channel(own(vec![out("s-1"), item("s-2", News::Room { calls: 2.0 })]));
+    let (say, own_now) =
+        watch::channel(own(vec![out("s-1"), item("s-2", Finding::ConnectionCapacity { calls: 2.0 })]));
     let teacher = tokio::spawn(async move { teach(far, &me(), own_now).await });
     let (tell, mut heard) = tokio::sync::mpsc::unbounded_channel();
     let learner = tokio::spawn(async move { learn(near, &me(), |_, told| drop(tell.send(told))).await });
@@ -112,8 +113,8 @@
     assert!(first.whole);
     assert_eq!(first.items.len(), 2);
     say.send_replace(own(vec![
-        item("s-1", News::Back { since: Nanos(0) }),
-        item("s-2", News::Room { calls: 2.0 }),
+        item("s-1", Finding::Recovering { since: Nanos(0) }),
+        item("s-2", Finding::ConnectionCapacity { calls: 2.0 }),
     ]));
     let change = loop {
         let told = heard.recv().await.expect("it goes on");
--- a/src/neighbours/mod.rs
+++ b/src/peers/mod.rs
@@ -158,7 +158,7 @@
         ticks.tick().await;
         // One receiver is the listener's own.
         if own.receiver_count() > 1 {
-            let items = Arc::new(exchange.known().await);
+            let items = Arc::new(exchange.observations().await);
             own.send_replace(Own { items, at: clock::now() });
         }
     }
@@ -187,7 +187,7 @@
         }
         let counts = weigh.counts(clock::now());
         if !counts.is_empty() {
-            exchange.hearsay(counts);
+            exchange.peer_observations(counts);
         }
     }
 }
@@ -225,7 +225,7 @@
 async fn learn_all(mut teachers: Teachers, dial: Dial, learned: mpsc::Sender<Learned>) {
     let began = Instant::now();
     let (ended_in, mut ended) = mpsc::unbounded_channel();
-    // One line for each that is shunned, not one for each try.
+    // One line for each that is shunned, not one for each attempt.
     let mut shunned: BTreeMap<SocketAddr, String> = BTreeMap::new();
     let mut next = 0;
     let mut ticks = interval(LOOK);
--- a/src/neighbours/teachers/tests.rs
+++ b/src/peers/teachers/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of `teachers`.
 use super::*;
 use crate::fleet::members::tests::{address, member};
-use crate::neighbours::turns::SHUNNED;
+use crate::peers::turns::SHUNNED;
 
 #[test]
 fn three_teach_and_one_that_ended_is_left_alone_for_a_while() {
--- a/src/neighbours/trust.rs
+++ b/src/peers/trust.rs
@@ -1,7 +1,7 @@
 //! Whom to believe: mutual TLS between forwarders. Each has a certificate of the authority that a file names, made out
 //! to the one name that all forwarders share; the standard verifiers check both sides. The files are read again when
 //! they change, so a certificate is renewed without a restart; new files that cannot be used change nothing.
-use crate::fault::Fault;
+use crate::config_error::ConfigError;
 use crate::flags;
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -57,7 +57,7 @@
     /// # Errors
     ///
     /// A file that cannot be read or used, named.
-    pub fn new(files: Files) -> Result<Trust, Fault> {
+    pub fn new(files: Files) -> Result<Trust, ConfigError> {
         let held = Held { stamp: files.stamp(), sides: files.read()? };
         Ok(Trust { files, held: Mutex::new(held) })
     }
@@ -107,8 +107,8 @@
     /// # Errors
     ///
     /// A file that cannot be read or used, named.
-    pub fn read(&self) -> Result<Sides, Fault> {
-        let said = |path: &Path, e: &dyn std::fmt::Display| Fault {
+    pub fn read(&self) -> Result<Sides, ConfigError> {
+        let said = |path: &Path, e: &dyn std::fmt::Display| ConfigError {
             file: path.into(),
             key: String::new(),
             what: e.to_string(),
--- a/src/neighbours/weigh.rs
+++ b/src/peers/weigh.rs
@@ -10,7 +10,7 @@
 //! | wait | to the end that the partner told | the latest end |
 //! | pace, room | ten seconds | the youngest sight |
 use super::frame::Item;
-use crate::interface::{Nanos, News};
+use crate::interface::{Finding, Nanos};
 use std::collections::BTreeMap;
 
 /// Bad news counts at the least and at the most for so long, in seconds.
@@ -113,16 +113,16 @@
     pub fn take(&mut self, now: Nanos, from: Neighbour, way: Nanos, items: Vec<Item>) {
         for item in items {
             let at = now - item.age - way;
-            let sight = match item.news {
-                News::Out { since, risky } => Sight::Out { began: now - way - since, risky },
-                News::Back { since } => Sight::Back { began: now - way - since },
-                News::Well { mean, dev } => Sight::Well { mean, dev },
-                News::Wait { left } => {
+            let sight = match item.finding {
+                Finding::Outage { since, risky } => Sight::Out { began: now - way - since, risky },
+                Finding::Recovering { since } => Sight::Back { began: now - way - since },
+                Finding::Healthy { mean, dev } => Sight::Well { mean, dev },
+                Finding::RetryAfter { left } => {
                     let left = left - way;
                     Sight::Wait { until: if left.secs() > WAIT_MOST { now } else { now + left } }
                 }
-                News::Pace { rate } => Sight::Pace { rate },
-                News::Room { calls } => Sight::Room { calls },
+                Finding::RateLimit { rate } => Sight::Pace { rate },
+                Finding::ConnectionCapacity { calls } => Sight::Room { calls },
             };
             let seen = Seen { at, sight };
             if seen.until() <= now || !self.make_room(now, &item.uid) {
@@ -161,7 +161,11 @@
             endpoint.seen.retain(|_, s| s.until() > now);
             if endpoint.fresh || (now - endpoint.said).secs() >= AGAIN {
                 (endpoint.said, endpoint.fresh) = (now, false);
-                items.extend(endpoint.counts(now).map(|(news, age)| Item { uid: uid.clone(), news, age }));
+                items.extend(endpoint.counts(now).map(|(finding, age)| Item {
+                    uid: uid.clone(),
+                    finding,
+                    age,
+                }));
             }
             !endpoint.seen.is_empty()
         });
@@ -184,13 +188,13 @@
         self.seen.iter().filter(move |(k, _)| k.0 == topic).map(|(_, s)| s)
     }
 
-    fn counts(&self, now: Nanos) -> impl Iterator<Item = (News, Nanos)> {
+    fn counts(&self, now: Nanos) -> impl Iterator<Item = (Finding, Nanos)> {
         let youngest = |topic| self.of(topic).max_by_key(|s| s.at).copied();
         let latest = self.of(Topic::Wait).max_by_key(|s| s.until()).copied();
         [self.state(), latest, youngest(Topic::Pace), youngest(Topic::Room)]
             .into_iter()
             .flatten()
-            .map(move |s| (s.news(now), now - s.at))
+            .map(move |s| (s.finding(now), now - s.at))
     }
 
     fn state(&self) -> Option<Seen> {
@@ -214,14 +218,14 @@
 }
 
 impl Seen {
-    fn news(&self, now: Nanos) -> News {
+    fn finding(&self, now: Nanos) -> Finding {
         match self.sight {
-            Sight::Out { began, risky } => News::Out { since: now - began, risky },
-            Sight::Back { began } => News::Back { since: now - began },
-            Sight::Well { mean, dev } => News::Well { mean, dev },
-            Sight::Wait { until } => News::Wait { left: until - now },
-            Sight::Pace { rate } => News::Pace { rate },
-            Sight::Room { calls } => News::Room { calls },
+            Sight::Out { began, risky } => Finding::Outage { since: now - began, risky },
+            Sight::Back { began } => Finding::Recovering { since: now - began },
+            Sight::Well { mean, dev } => Finding::Healthy { mean, dev },
+            Sight::Wait { until } => Finding::RetryAfter { left: until - now },
+            Sight::Pace { rate } => Finding::RateLimit { rate },
+            Sight::Room { calls } => Finding::ConnectionCapacity { calls },
         }
     }
 }
--- a/src/pile.rs
+++ b/src/pile.rs
@@ -11,7 +11,7 @@
 pub(crate) type Sort = (usize, Option<usize>, u32);
 
 /// By when it has to be delivered, when it came here, and which it is.
-pub(crate) type Place = (Nanos, u64, MsgId);
+pub(crate) type Place = (Nanos, u64, MessageId);
 
 /// Messages of a sort, by deadline and by when they came here: of those that are worth the same the first goes first.
 #[derive(Default)]
@@ -50,7 +50,7 @@
     }
 
     /// Adds one that is not there.
-    pub fn push(&mut self, id: MsgId, sort: Sort, deadline: Nanos, in_turn: bool) {
+    pub fn push(&mut self, id: MessageId, sort: Sort, deadline: Nanos, in_turn: bool) {
         self.next += 1;
         let place = (deadline, self.next, id);
         self.places.insert(id.0, (sort, place));
@@ -61,14 +61,14 @@
     }
 
     /// No earlier message holds it up any more; nothing if it is not here.
-    pub fn turn(&mut self, id: MsgId) {
+    pub fn turn(&mut self, id: MessageId) {
         if let Some((sort, place)) = self.places.get(&id.0) {
             self.in_turn.entry(*sort).or_default().insert(*place);
         }
     }
 
     /// Takes one out; nothing if it is not here.
-    pub fn remove(&mut self, id: MsgId) {
+    pub fn remove(&mut self, id: MessageId) {
         let Some((sort, place)) = self.places.remove(&id.0) else { return };
         for rows in [&mut self.all, &mut self.in_turn] {
             let Some(row) = rows.get_mut(&sort) else { continue };
@@ -89,19 +89,19 @@
     }
 
     /// Those in turn, sort by sort.
-    pub fn in_turn(&self) -> impl Iterator<Item = MsgId> + '_ {
+    pub fn in_turn(&self) -> impl Iterator<Item = MessageId> + '_ {
         self.in_turn.values().flat_map(|row| row.by_arrival.values()).map(|place| place.2)
     }
 
     /// Of each sort those in turn that `fits` and that are next to one of the points in time, and the first that came.
     /// `points` gives a class's.
     pub fn next_to<'a, const N: usize>(
-        &'a self, points: impl Fn(usize) -> [Nanos; N] + 'a, fits: impl Fn(MsgId) -> bool + 'a,
+        &'a self, points: impl Fn(usize) -> [Nanos; N] + 'a, fits: impl Fn(MessageId) -> bool + 'a,
     ) -> impl Iterator<Item = Place> + 'a {
         self.in_turn.iter().flat_map(move |(sort, row)| {
             let fit = |place: &&Place| fits(place.2);
             let around = points(sort.0).into_iter().flat_map(|at| {
-                let at = (at, u64::MAX, MsgId(u64::MAX));
+                let at = (at, u64::MAX, MessageId(u64::MAX));
                 let row = &row.by_deadline;
                 [row.range(..=at).rev().find(fit), row.range(at..).find(fit)]
             });
--- a/src/pile/tests.rs
+++ b/src/pile/tests.rs
@@ -6,12 +6,12 @@
 const SECOND: u64 = 1_000_000_000;
 
 fn classes() -> Vec<Class> {
-    let class = |aim: u64, deadline: u64, late_share| Class {
-        aim: Nanos(aim * SECOND),
+    let class = |latency_objective: u64, deadline: u64, late_weight_share| Class {
+        latency_objective: Nanos(latency_objective * SECOND),
         deadline: Nanos(deadline * SECOND),
-        points: 1.0 + aim as f64,
-        late_share,
-        effect: Effect::Repeatable,
+        priority_weight: 1.0 + latency_objective as f64,
+        late_weight_share,
+        effect: Effect::Idempotent,
         fifo_by_key: false,
     };
     vec![class(3, 24, 0.5), class(4, 16, 0.2), class(2, 20, 0.0)]
@@ -41,15 +41,15 @@
     fn the_neighbours_of_two_points_hold_the_one_that_loses_most(
         all in prop::collection::vec(held(), 0..40), wait in 0..40u64, halves in any::<bool>(),
     ) {
-        let (classes, fade) = (classes(), if halves { Fade::Halves } else { Fade::Line });
+        let (classes, fade) = (classes(), if halves { ValueDecay::Halving } else { ValueDecay::Linear });
         let mut pile = Pile::default();
         for (n, h) in all.iter().enumerate() {
-            pile.push(MsgId(n as u64), (h.class, h.zone, 0), h.deadline, false);
+            pile.push(MessageId(n as u64), (h.class, h.zone, 0), h.deadline, false);
             if h.in_turn {
-                pile.turn(MsgId(n as u64));
+                pile.turn(MessageId(n as u64));
             }
         }
-        all.iter().enumerate().filter(|(_, h)| h.gone).for_each(|(n, _)| pile.remove(MsgId(n as u64)));
+        all.iter().enumerate().filter(|(_, h)| h.gone).for_each(|(n, _)| pile.remove(MessageId(n as u64)));
         let left = || all.iter().enumerate().filter(|(_, h)| !h.gone);
         prop_assert_eq!(pile.len(), left().count());
         let worth = |h: &Held, at| {
@@ -58,7 +58,7 @@
         };
         let (soon, later) = (Nanos(101 * SECOND), Nanos(101 * SECOND) + wait as f64);
         let loss = |n: usize| worth(&all[n], soon) - worth(&all[n], later);
-        let points = |c: usize| [later, soon + (classes[c].deadline - classes[c].aim)];
+        let points = |c: usize| [later, soon + (classes[c].deadline - classes[c].latency_objective)];
         let near = pile.next_to(points, |id| all[id.0 as usize].fits).map(|p| loss(p.2.0 as usize));
         let near = near.reduce(f64::max);
         let plain = left().filter(|(_, h)| h.in_turn && h.fits).map(|(n, _)| loss(n)).reduce(f64::max);
--- a/src/plugins.rs
+++ b/src/plugins.rs
@@ -1,5 +1,6 @@
 //! Plug-ins: scripts (rhai) that see each request context and each outcome. `docs/plugins.md` tells how.
-use crate::fault::Fault;
+use crate::config_error::ConfigError;
+use crate::interface::Outcome;
 use crate::request::{Outlook, RequestContext};
 use rhai::{CallFnOptions, Dynamic, Engine, Map, Scope, AST};
 use std::path::{Path, PathBuf};
@@ -76,7 +77,7 @@
         Verdict::Pass(tags)
     }
 
-    /// Shows the scripts how a try ended. What they say to that changes nothing.
+    /// Shows the scripts how an attempt ended. What they say to that changes nothing.
     pub fn outcome(&self, context: &RequestContext, outlook: Outlook, outcome: &str) {
         let facts = |_: &Script| vec![facts(context, outlook).into(), outcome.to_string().into()];
         self.call("on_outcome", facts).for_each(drop);
@@ -96,18 +97,36 @@
     }
 }
 
+/// The text by which scripts know an outcome. Scripts in use compare these texts (`docs/plugins.md`), so they outlive any
+/// renaming of the variants.
+pub fn outcome_text(outcome: Outcome) -> String {
+    match outcome {
+        Outcome::Ok => "Ok".into(),
+        Outcome::Error => "Error".into(),
+        Outcome::Rejected(retry_after) => format!("Full({retry_after:?})"),
+        Outcome::Timeout => "Timeout".into(),
+        Outcome::ConnectFailed => "ConnectFailed".into(),
+        Outcome::ConnectionLimit => "Crowded".into(),
+        Outcome::Reset => "Reset".into(),
+        Outcome::Cancelled => "Cancelled".into(),
+        Outcome::UnreadableAnswer => "Spoilt".into(),
+        Outcome::Skipped => "Moot".into(),
+        Outcome::NotSent => "Unsent".into(),
+    }
+}
+
 /// All that is wrong with the scripts of the folder; nothing where there is none.
-pub fn check(folder: &Path) -> Vec<Fault> {
+pub fn check(folder: &Path) -> Vec<ConfigError> {
     let files = match files(folder) {
         Err(e) if e.kind() != std::io::ErrorKind::NotFound => {
-            return vec![Fault { file: folder.into(), key: String::new(), what: e.to_string() }];
+            return vec![ConfigError { file: folder.into(), key: String::new(), what: e.to_string() }];
         }
         files => files.unwrap_or_default(),
     };
     let engine = Plugins::none().engine;
     let fault = |file: PathBuf| {
         let what = engine.compile_file(file.clone()).err()?.to_string();
-        Some(Fault { file, key: String::new(), what })
+        Some(ConfigError { file, key: String::new(), what })
     };
     files.into_iter().filter_map(fault).collect()
 }
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -1,6 +1,6 @@
 //! What is wrong in a configuration: keys that nobody knows, words that mean nothing, figures that cannot be.
 use super::{is_address, Conf, File, GroupUpdate, Site};
-use crate::fault::{Fault, Faults};
+use crate::config_error::{ConfigError, ConfigErrors};
 use std::path::Path;
 
 /// What the platform's file holds beside what this program uses.
@@ -43,8 +43,8 @@
 ];
 
 /// All that is wrong in the file, and the settings where they can be read.
-pub fn file(path: &Path) -> (Vec<Fault>, Option<Site>) {
-    let mut faults = Faults::of(path);
+pub fn file(path: &Path) -> (Vec<ConfigError>, Option<Site>) {
+    let mut faults = ConfigErrors::of(path);
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
         Err(e) => {
@@ -59,7 +59,7 @@
     (faults.found, Some(super::site(file.settings)))
 }
 
-fn whole(f: &File, faults: &mut Faults) {
+fn whole(f: &File, faults: &mut ConfigErrors) {
     faults.unless(!f.name.is_empty(), "name", "is empty");
     faults.socket_address(&f.listen, "listen");
     f.mgmt.iter().for_each(|m| faults.socket_address(m, "mgmt"));
@@ -72,7 +72,7 @@
     faults.unless(f.limits.sockets >= 16, "limits.sockets", "leaves none for clients; 16 or more");
 }
 
-fn settings(c: &Conf, faults: &mut Faults) {
+fn settings(c: &Conf, faults: &mut ConfigErrors) {
     faults.unless(!c.classes.is_empty(), "settings.classes", "is empty");
     faults.twice(c.classes.iter().map(|c| c.name.as_str()), |i| format!("settings.classes[{i}].name"));
     for (i, class) in c.classes.iter().enumerate() {
@@ -81,7 +81,7 @@
         faults.one_of(class.group.as_deref(), &["all", "zone", "cell"], key("group"));
         faults.unless(class.deadline_ns > 0, key("deadlineNs"), "is 0");
         faults.unless(class.aim_ns <= class.deadline_ns, key("aimNs"), "is beyond deadlineNs");
-        faults.unless((0.0..=1.0).contains(&class.late_share), key("lateShare"), "is not from 0 to 1");
+        faults.unless((0.0..=1.0).contains(&class.late_weight_share), key("lateShare"), "is not from 0 to 1");
         faults.unless(class.points >= 0.0, key("points"), "is below 0");
         let window = class.effect != "by_key" || class.window_ns.is_some();
         faults.unless(window, key("windowNs"), "is missing; a class by_key has one");
@@ -92,8 +92,8 @@
     }
     faults.one_of(c.family_info.fades.as_deref(), &["line", "halves"], "settings.familyInfo.fades");
     faults.unless(c.family_info.workers > 0, "settings.familyInfo.workers", "is 0; nothing would be sent");
-    faults.unless(c.limits.open_cap > 0, "settings.limits.openCap", "is 0; nothing would be taken on");
-    faults.unless(c.limits.most_tries > 0, "settings.limits.mostTries", "is 0; nothing would be sent");
+    faults.unless(c.limits.max_pending > 0, "settings.limits.openCap", "is 0; nothing would be taken on");
+    faults.unless(c.limits.max_attempts > 0, "settings.limits.mostTries", "is 0; nothing would be sent");
     faults.unless(c.n_instances > 0, "settings.nInstances", "is 0");
     faults.one_of(c.registry_mode.as_deref(), &["pushed", "on_request"], "settings.registryMode");
     let source = c.reporting.as_ref().map(|r| r.source.as_str());
@@ -101,11 +101,11 @@
     faults.one_of(c.weight_kind.as_deref(), &["nominal", "rough", "off"], "settings.weightKind");
     let zone = c.my_zone.unwrap_or(0) as usize;
     faults.unless(zone < c.localities.len().max(1), "settings.myZone", "is no place in localities");
-    faults.unless(c.rules.cold_from > 0.0, "settings.rules.coldFrom", "is not above 0");
-    faults.unless(c.rules.fall_multiple > 0.0, "settings.rules.fallMultiple", "is not above 0");
+    faults.unless(c.rules.cold_capacity_share > 0.0, "settings.rules.coldFrom", "is not above 0");
+    faults.unless(c.rules.overload_multiple > 0.0, "settings.rules.fallMultiple", "is not above 0");
 }
 
-fn group(known: &GroupUpdate, c: &Conf, faults: &mut Faults) {
+fn group(known: &GroupUpdate, c: &Conf, faults: &mut ConfigErrors) {
     faults.twice(known.targets.iter().map(|t| t.uid.as_str()), |i| format!("known.targets[{i}].uid"));
     for (i, t) in known.targets.iter().enumerate() {
         let key = |k: &str| format!("known.targets[{i}].{k}");
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -2,7 +2,7 @@
 pub mod check;
 
 use crate::flags::Run;
-use crate::{Class, Effect, Fade, Group, Kind, Nanos, Settings, Weights};
+use crate::{Class, Effect, EndpointKind, IdempotencyScope, ListedRates, Nanos, Settings, ValueDecay};
 use hyper::http::uri::Authority;
 use miniserde::{json, Deserialize};
 use sha2::{Digest, Sha256};
@@ -103,7 +103,7 @@
     #[serde(rename = "nInstances")]
     n_instances: u32,
     #[serde(rename = "overShareWorth")]
-    over_share_worth: Option<f64>,
+    over_quota_weight: Option<f64>,
     #[serde(rename = "registryMode")]
     registry_mode: Option<String>,
     reporting: Option<Reporting>,
@@ -127,7 +127,7 @@
     fifo_by_key: Option<bool>,
     group: Option<String>,
     #[serde(rename = "lateShare")]
-    late_share: f64,
+    late_weight_share: f64,
     points: f64,
     #[serde(rename = "windowNs")]
     window_ns: Option<u64>,
@@ -139,7 +139,7 @@
     #[serde(rename = "kindApart")]
     kind_apart: Vec<bool>,
     #[serde(rename = "perCall")]
-    per_call: Vec<u32>,
+    max_batch: Vec<u32>,
     #[serde(rename = "routeFee")]
     route_fee: Option<Vec<f64>>,
     workers: u32,
@@ -163,9 +163,9 @@
     #[serde(rename = "mayCancel")]
     may_cancel: bool,
     #[serde(rename = "mostTries")]
-    most_tries: u32,
+    max_attempts: u32,
     #[serde(rename = "openCap")]
-    open_cap: u32,
+    max_pending: u32,
     #[serde(rename = "retryAfter")]
     retry_after: bool,
 }
@@ -178,9 +178,9 @@
 #[derive(Deserialize, serde::Deserialize)]
 struct Rules {
     #[serde(rename = "coldFrom")]
-    cold_from: f64,
+    cold_capacity_share: f64,
     #[serde(rename = "fallMultiple")]
-    fall_multiple: f64,
+    overload_multiple: f64,
     #[serde(rename = "mustAskInNs")]
     must_ask_in_ns: Option<u64>,
     #[serde(rename = "orderPauseNs")]
@@ -203,8 +203,8 @@
     /// to the others, and what it holds counts as told from then on: who waits for a turn breaks drains meanwhile.
     /// One that answers on request loads a place that all share.
     pub fn askers(&self) -> usize {
-        if self.module.must_ask.is_some() {
-            self.module.relays
+        if self.module.poll_interval.is_some() {
+            self.module.forwarders
         } else {
             1
         }
@@ -288,20 +288,24 @@
 
 fn read(path: &Path) -> Result<File, Box<dyn Error>> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    json::from_str(&text).map_err(|_| crate::fault::why::<File>(path, &text).into())
+    json::from_str(&text).map_err(|_| crate::config_error::why::<File>(path, &text).into())
 }
 
 fn class(c: &ConfClass) -> Class {
-    let group = if c.group.as_deref() == Some("all") { Group::All } else { Group::Zone };
+    let group = if c.group.as_deref() == Some("all") {
+        IdempotencyScope::AllEndpoints
+    } else {
+        IdempotencyScope::SameZone
+    };
     Class {
-        aim: Nanos(c.aim_ns),
+        latency_objective: Nanos(c.aim_ns),
         deadline: Nanos(c.deadline_ns),
-        points: c.points,
-        late_share: c.late_share,
+        priority_weight: c.points,
+        late_weight_share: c.late_weight_share,
         effect: match c.effect.as_str() {
-            "repeatable" => Effect::Repeatable,
-            "by_key" => Effect::Keyed { group, window: Nanos(c.window_ns.unwrap_or(0)) },
-            _ => Effect::Once,
+            "repeatable" => Effect::Idempotent,
+            "by_key" => Effect::IdempotentByKey { scope: group, window: Nanos(c.window_ns.unwrap_or(0)) },
+            _ => Effect::AtMostOnce,
         },
         fifo_by_key: c.fifo_by_key == Some(true),
     }
@@ -309,44 +313,48 @@
 
 fn site(c: Conf) -> Site {
     let info = &c.family_info;
-    let kind = |i: usize| Kind {
-        apart: info.kind_apart.get(i).copied().unwrap_or(false),
-        per_call: info.per_call.get(i).map_or(1, |n| *n as usize).max(1),
+    let kind = |i: usize| EndpointKind {
+        separate_routes: info.kind_apart.get(i).copied().unwrap_or(false),
+        max_batch: info.max_batch.get(i).map_or(1, |n| *n as usize).max(1),
     };
     let source = c.reporting.as_ref().map(|r| r.source.as_str());
     let module = Settings {
         slots: info.workers as usize,
-        open_cap: c.limits.open_cap as usize,
-        most_tries: c.limits.most_tries,
-        relays: c.n_instances as usize,
+        max_pending: c.limits.max_pending as usize,
+        max_attempts: c.limits.max_attempts,
+        forwarders: c.n_instances as usize,
         tick: Nanos(c.resolution_ns),
         classes: c.classes.iter().map(class).collect(),
         kinds: (0..c.flavors.len().max(info.kind_apart.len())).map(kind).collect(),
-        fade: if info.fades.as_deref() == Some("halves") { Fade::Halves } else { Fade::Line },
+        value_decay: if info.fades.as_deref() == Some("halves") {
+            ValueDecay::Halving
+        } else {
+            ValueDecay::Linear
+        },
         tenant_quota: c.tenants.iter().map(|t| t.quota_rps).collect(),
-        over_share_worth: c.over_share_worth.unwrap_or(1.0),
+        over_quota_weight: c.over_quota_weight.unwrap_or(1.0),
         zone: c.my_zone.unwrap_or(0) as usize,
         route_fee: info.route_fee.clone().unwrap_or_default(),
         cross_fee: c.fees.cross_zone,
         handshake_fee: c.fees.handshake,
-        conn_idle: Nanos(c.limits.conn_idle_ns),
+        connection_idle_timeout: Nanos(c.limits.conn_idle_ns),
         // On these sockets a connection carries one call at a time, whatever the simulator's figure says.
-        streams: 1,
+        streams_per_connection: 1,
         retry_after: c.limits.retry_after.then_some(Nanos(c.limits.max_retry_after_ns)),
         may_cancel: c.limits.may_cancel,
-        must_ask: (c.registry_mode.as_deref() == Some("on_request"))
+        poll_interval: (c.registry_mode.as_deref() == Some("on_request"))
             .then_some(Nanos(c.rules.must_ask_in_ns.unwrap_or(0))),
-        limits_told: source == Some("inline"),
-        weights: match c.weight_kind.as_deref() {
-            Some("nominal") => Weights::Nominal,
-            Some("rough") => Weights::Rough,
-            _ => Weights::Off,
+        limits_reported: source == Some("inline"),
+        listed_rates: match c.weight_kind.as_deref() {
+            Some("nominal") => ListedRates::Nominal,
+            Some("rough") => ListedRates::Approximate,
+            _ => ListedRates::Absent,
         },
-        cold_from: c.rules.cold_from,
-        ramp: Nanos(c.rules.ramp_time_ns),
-        fall_multiple: c.rules.fall_multiple,
-        fall_after: Nanos(c.rules.tip_after_ns),
-        order_pause: Nanos(c.rules.order_pause_ns.unwrap_or(0)),
+        cold_capacity_share: c.rules.cold_capacity_share,
+        warm_up: Nanos(c.rules.ramp_time_ns),
+        overload_multiple: c.rules.overload_multiple,
+        overload_window: Nanos(c.rules.tip_after_ns),
+        ordering_pause: Nanos(c.rules.order_pause_ns.unwrap_or(0)),
     };
     Site {
         module,
--- a/src/state.rs
+++ b/src/state.rs
@@ -6,7 +6,7 @@
 /// One attempt that is out.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Out {
-    pub host: HostId,
+    pub host: EndpointId,
     pub class: usize,
     pub sent: Nanos,
     pub call: u64,
@@ -21,12 +21,12 @@
 pub(crate) struct Msg {
     pub class: usize,
     pub key: Option<u64>,
-    pub dest: DestId,
+    pub dest: DestinationId,
     pub arrived: Nanos,
     pub deadline: Nanos,
-    pub tries: u32,
+    pub attempts: u32,
     /// Effect ledger: when and in which zone the first attempt that may have run was sent.
-    pub maybe: Option<(Nanos, usize)>,
+    pub first_possible_run: Option<(Nanos, usize)>,
     /// When a round must see whether it may still go again.
     pub look_at: Option<Nanos>,
     pub out: Option<Out>,
@@ -37,51 +37,51 @@
 impl Msg {
     /// What it has in common with others that lose worth and are refused alike.
     pub fn sort(&self) -> Sort {
-        (self.class, self.maybe.map(|m| m.1), self.tries)
+        (self.class, self.first_possible_run.map(|m| m.1), self.attempts)
     }
     /// Worth if delivered at this time, as the settings define it.
-    pub fn worth(&self, class: &Class, fade: Fade, at: Nanos) -> f64 {
+    pub fn worth(&self, class: &Class, value_decay: ValueDecay, at: Nanos) -> f64 {
         if at >= self.deadline {
             return 0.0;
         }
-        let late = class.deadline.secs() - (self.deadline - at).secs() - class.aim.secs();
+        let late = class.deadline.secs() - (self.deadline - at).secs() - class.latency_objective.secs();
         if late <= 0.0 {
-            return class.points;
+            return class.priority_weight;
         }
-        let span = (class.deadline - class.aim).secs().max(1e-3);
-        let share = match fade {
-            Fade::Line => 1.0 - (1.0 - class.late_share) * late / span,
-            Fade::Halves => 0.5f64.powf(late / class.aim.secs().max(1e-3)),
+        let span = (class.deadline - class.latency_objective).secs().max(1e-3);
+        let share = match value_decay {
+            ValueDecay::Linear => 1.0 - (1.0 - class.late_weight_share) * late / span,
+            ValueDecay::Halving => 0.5f64.powf(late / class.latency_objective.secs().max(1e-3)),
         };
-        class.points * share.max(class.late_share)
+        class.priority_weight * share.max(class.late_weight_share)
     }
 }
 
 impl Settings {
     /// The shortest aim of all classes, in seconds.
     pub(crate) fn least_aim(&self) -> f64 {
-        self.classes.iter().map(|c| c.aim.secs()).fold(f64::INFINITY, f64::min)
+        self.classes.iter().map(|c| c.latency_objective.secs()).fold(f64::INFINITY, f64::min)
     }
 }
 
 /// Per-key order: the open messages of a key in the order taken, and until when it rests.
 #[derive(Default)]
 pub(crate) struct Lane {
-    pub queue: VecDeque<MsgId>,
+    pub queue: VecDeque<MessageId>,
     pub out: usize,
     pub free_at: Nanos,
 }
 
 impl Lane {
     /// Whether no earlier message, and none on its way, holds this one up.
-    pub fn in_turn(&self, id: MsgId) -> bool {
+    pub fn in_turn(&self, id: MessageId) -> bool {
         self.out == 0 && self.queue.front() == Some(&id)
     }
     /// Whose turn it is, if none is on its way.
-    pub fn next(&self) -> Option<MsgId> {
+    pub fn next(&self) -> Option<MessageId> {
         self.queue.front().copied().filter(|_| self.out == 0)
     }
-    pub fn leave(&mut self, id: MsgId) {
+    pub fn leave(&mut self, id: MessageId) {
         // Most leave from the front.
         match self.queue.front() == Some(&id) {
             true => drop(self.queue.pop_front()),
@@ -91,7 +91,7 @@
 }
 
 /// What a limit, a wait and a pace belong to: a destination, or one host where routes are apart.
-pub(crate) type RouteKey = (DestId, Option<HostId>);
+pub(crate) type RouteKey = (DestinationId, Option<EndpointId>);
 
 /// Token bucket.
 #[derive(Clone, Copy, Default)]
@@ -172,14 +172,14 @@
 
 #[derive(Default)]
 pub(crate) struct Host {
-    pub dest: DestId,
+    pub dest: DestinationId,
     pub zone: usize,
     pub kind: usize,
     pub route: RouteKey,
     pub listed: bool,
     /// Removed from the list: forgotten with its last call.
     pub gone: bool,
-    /// Listed rate.
+    /// EndpointState rate.
     pub rate: f64,
     pub calls: u32,
     /// Latency in seconds: mean, mean deviation, lowest mean seen.
@@ -206,7 +206,7 @@
     /// The same for each class that was lost here.
     pub losing: BTreeMap<usize, f64>,
     pub breaker: Breaker,
-    pub trial: Option<MsgId>,
+    pub trial: Option<MessageId>,
     pub bucket: Bucket,
     /// Its last call failed.
     pub doubt: bool,
@@ -238,7 +238,7 @@
 #[derive(Default)]
 pub(crate) struct Flow {
     pub held: Pile,
-    pub hosts: Vec<HostId>,
+    pub hosts: Vec<EndpointId>,
     /// Places in the ready queue. Which message takes one is settled when a slot is there.
     pub ready: usize,
     /// Messages taken a second, lately.
@@ -264,7 +264,7 @@
 
 impl Flow {
     /// One of its messages goes out.
-    pub fn took(&mut self, id: MsgId, arrived: Nanos, now: Nanos) {
+    pub fn took(&mut self, id: MessageId, arrived: Nanos, now: Nanos) {
         self.held.remove(id);
         self.b += if self.ready == 0 { 1.0 } else { 0.0 };
         self.ready = self.ready.saturating_sub(1);
--- a/src/handover/tests.rs
+++ b/src/takeover/tests.rs
@@ -20,7 +20,7 @@
     let mut late = folder.late().expect("made");
     assert!(folder.late().is_err(), "one at a time");
     let mut left = folder.left().expect("there");
-    let (first, second) = (Record::Heard { id: 1 }, Record::Heard { id: 2 });
+    let (first, second) = (Record::CallbackAcknowledged { id: 1 }, Record::CallbackAcknowledged { id: 2 });
     late.add(&first);
     assert_eq!(left.read(), (vec![first], false));
     let whole = journal::encode(&second);
--- a/src/handover/turn.rs
+++ b/src/takeover/turn.rs
@@ -57,7 +57,7 @@
     Close,
     /// Take clients again.
     Open,
-    /// Write what it knows into `late` and hold it; then take nothing on any more, start no try, let the owner's lock go.
+    /// Write what it knows into `late` and hold it; then take nothing on any more, start no attempt, let the owner's lock go.
     LetGo,
     /// Let `late` go, and forget all: the journal is another's.
     Forget,
--- a/src/upstream/as2.rs
+++ b/src/upstream/as2.rs
@@ -1,10 +1,10 @@
-//! The AS2 encoding of a try: a signed message to a partner, and what its receipt means.
+//! The AS2 encoding of an attempt: a signed message to a partner, and what its receipt means.
 use super::pool::Pool;
 use super::{platform, Ending};
 use crate::as2::mdn::{self, Meaning};
 use crate::as2::smime::{self, Entity};
 use crate::as2::{Book, Partner};
-use crate::core::Try;
+use crate::core::Attempt;
 use crate::exchange::Exchange;
 use crate::Outcome;
 use bytes::Bytes;
@@ -17,26 +17,28 @@
 
 type Fault = Box<dyn std::error::Error + Send + Sync>;
 
-/// The id that a message keeps in all its tries, so that the partner knows a repeat.
+/// The id that a message keeps in all its attempts, so that the partner knows a repeat.
 fn message_id(name: &str, us: &str) -> String {
     let plain = |c: char| if c.is_ascii_alphanumeric() || "._-".contains(c) { c } else { '-' };
     format!("<{}@{us}>", name.chars().map(plain).collect::<String>())
 }
 
 /// Makes the call and waits for its receipt; dropping it closes its connection.
-pub async fn call(pool: Arc<Pool>, one: &Try, book: &Book, partner: &Partner, exchange: &Exchange) -> Ending {
+pub async fn call(
+    pool: Arc<Pool>, one: &Attempt, book: &Book, partner: &Partner, exchange: &Exchange,
+) -> Ending {
     let id = message_id(&one.context.name, &book.name);
     let (request, mic) = match request(one, book, partner, &id) {
         Ok(made) => made,
         Err(e) => {
             log::error!("AS2: message {id} to {} cannot be made: {e}", partner.name);
-            return Outcome::Moot.into();
+            return Outcome::Skipped.into();
         }
     };
     // Known before the first byte goes out: a receipt may overtake the answer.
     let word = exchange.expect(&id);
     let to = request.uri().clone();
-    let make = || exchange.may_go(one.id, one.attempt).then_some(request);
+    let make = || exchange.may_send(one.id, one.attempt).then_some(request);
     let mut call = match pool.call(to, make, platform::listener(one, false, exchange)).await {
         Ok(call) => call,
         Err(fault) => return platform::broken(&partner.url, &fault),
@@ -74,7 +76,7 @@
 }
 
 fn request(
-    one: &Try, book: &Book, partner: &Partner, id: &str,
+    one: &Attempt, book: &Book, partner: &Partner, id: &str,
 ) -> Result<(Request<Full<Bytes>>, String), Fault> {
     let mut part =
         b"Content-Type: application/octet-stream\r\nContent-Transfer-Encoding: binary\r\n\r\n".to_vec();
@@ -119,7 +121,7 @@
         Some(r) => match r.meaning() {
             Meaning::Processed if r.mic.as_deref() == Some(mic) => Outcome::Ok.into(),
             Meaning::Processed => fault("its receipt has another digest", Outcome::Error),
-            Meaning::NeverRan => fault(&r.disposition, Outcome::Full(None)),
+            Meaning::NeverRan => fault(&r.disposition, Outcome::Rejected(None)),
             Meaning::MayHaveRun => fault(&r.disposition, Outcome::Error),
         },
     }
--- a/src/upstream/batch.rs
+++ b/src/upstream/batch.rs
@@ -3,9 +3,9 @@
 use super::platform::{self, ending};
 use super::pool::Pool;
 use super::{limit, tell, Ending};
-use crate::core::Try;
+use crate::core::Attempt;
 use crate::exchange::Exchange;
-use crate::{MsgId, Outcome};
+use crate::{MessageId, Outcome};
 use bytes::{BufMut, Bytes, BytesMut};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::header::HeaderMap;
@@ -23,21 +23,23 @@
 const REST_FOR: Duration = Duration::from_secs(1);
 
 /// Which try of which message.
-pub type Place = (MsgId, u32);
+pub type Place = (MessageId, u32);
 
 /// One message of the call, until its end is told.
 struct Open<'a> {
-    one: &'a Try,
+    one: &'a Attempt,
     until: Instant,
     called_off: bool,
 }
 
 /// Carries out one call with several messages, and tells the end of each.
-pub async fn run(pool: Arc<Pool>, tries: Vec<Try>, exchange: Exchange, mut off: UnboundedReceiver<Place>) {
+pub async fn run(
+    pool: Arc<Pool>, attempts: Vec<Attempt>, exchange: Exchange, mut off: UnboundedReceiver<Place>,
+) {
     let now = Instant::now();
     let begin = |one| Open { one, until: now + limit(one), called_off: false };
-    let mut open: Vec<Open<'_>> = tries.iter().map(begin).collect();
-    let call = call(pool, &tries, &exchange);
+    let mut open: Vec<Open<'_>> = attempts.iter().map(begin).collect();
+    let call = call(pool, &attempts, &exchange);
     tokio::pin!(call);
     loop {
         let Some(next) = open.iter().map(|o| o.until).min() else { return };
@@ -89,25 +91,25 @@
         Endings { each: HashMap::new(), rest }
     }
 
-    fn of(&self, one: &Try) -> Ending {
+    fn of(&self, one: &Attempt) -> Ending {
         *self.each.get(&one.context.name).unwrap_or(&self.rest)
     }
 }
 
 /// Makes the call; dropping it closes its connection.
-async fn call(pool: Arc<Pool>, tries: &[Try], exchange: &Exchange) -> Endings {
-    let Some(first) = tries.first() else { return Endings::all(Outcome::Moot.into()) };
+async fn call(pool: Arc<Pool>, attempts: &[Attempt], exchange: &Exchange) -> Endings {
+    let Some(first) = attempts.first() else { return Endings::all(Outcome::Skipped.into()) };
     let place = &first.address;
     let Ok(to) = format!("http://{place}/v1/messages:batch").parse::<Uri>() else {
         log::error!("{place} is no address: what goes there is not sent");
-        return Endings::all(Outcome::Moot.into());
+        return Endings::all(Outcome::Skipped.into());
     };
     let mut unsent = HashMap::new();
     let make = || {
         // Each is asked anew, as in a call of its own, and journalled before the first byte.
-        let (go, stay): (Vec<&Try>, Vec<&Try>) =
-            tries.iter().partition(|one| exchange.may_go(one.id, one.attempt));
-        unsent.extend(stay.iter().map(|one| (one.context.name.clone(), Outcome::Unsent.into())));
+        let (go, stay): (Vec<&Attempt>, Vec<&Attempt>) =
+            attempts.iter().partition(|one| exchange.may_send(one.id, one.attempt));
+        unsent.extend(stay.iter().map(|one| (one.context.name.clone(), Outcome::NotSent.into())));
         if go.is_empty() {
             return None;
         }
@@ -134,7 +136,7 @@
         (StatusCode::OK, Err(e)) => platform::spoilt(place, &e.to_string()),
         (StatusCode::BAD_REQUEST | StatusCode::PAYLOAD_TOO_LARGE, _) => {
             log::error!("{place}: a call with several messages was answered {}; none has run", head.status);
-            Outcome::Moot.into()
+            Outcome::Skipped.into()
         }
         (status, _) => ending(status, &head.headers),
     };
@@ -146,9 +148,9 @@
 }
 
 /// A line with id, key and length for each message, and its bytes.
-fn body(tries: &[&Try]) -> Bytes {
+fn body(attempts: &[&Attempt]) -> Bytes {
     let mut body = BytesMut::new();
-    for one in tries {
+    for one in attempts {
         let c = &one.context;
         let key = if c.repeat_key.is_empty() { "-" } else { &c.repeat_key };
         body.put_slice(format!("{} {key} {}\r\n", c.name, c.body.len()).as_bytes());
@@ -167,9 +169,9 @@
         let (outcome, over) = match word.trim() {
             "done" => (Outcome::Ok, false),
             "failed" => (Outcome::Error, false),
-            "busy" => (Outcome::Full(platform::wait(headers)), false),
-            "void" => (Outcome::Moot, true),
-            "used_up" => (Outcome::Moot, false),
+            "busy" => (Outcome::Rejected(platform::wait(headers)), false),
+            "void" => (Outcome::Skipped, true),
+            "used_up" => (Outcome::Skipped, false),
             _ => return None,
         };
         Some((name.to_string(), Ending { outcome, over, report }))
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Tries on the wire: one task each, over pooled connections, one pool for each host.
+//! Attempts on the wire: one task each, over pooled connections, one pool for each host.
 mod as2;
 mod batch;
 mod platform;
@@ -8,10 +8,10 @@
 mod tests;
 
 use crate::as2::Book;
-use crate::core::Try;
+use crate::core::Attempt;
 use crate::exchange::{Exchange, UpstreamCommand};
 use crate::settings::Site;
-use crate::{HostId, Nanos, Outcome, Report};
+use crate::{EndpointId, LoadReport, Nanos, Outcome};
 use pool::Pool;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,12 +20,12 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-/// How a try ended, whether the endpoint says that the message is over, and what it told of its limit.
+/// How an attempt ended, whether the endpoint says that the message is over, and what it told of its limit.
 #[derive(Clone, Copy, Debug)]
 pub struct Ending {
     pub outcome: Outcome,
     pub over: bool,
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 impl From<Outcome> for Ending {
@@ -34,7 +34,7 @@
     }
 }
 
-/// By what a try that is out is called off.
+/// By what an attempt that is out is called off.
 enum Out {
     /// Its call carries it alone.
     Alone(AbortHandle),
@@ -51,12 +51,12 @@
     }
 }
 
-/// Carries out tries as the exchange hands them over.
+/// Carries out attempts as the exchange hands them over.
 pub async fn run(
     site: Arc<Site>, book: Option<Arc<Book>>, exchange: Exchange,
     mut works: UnboundedReceiver<UpstreamCommand>,
 ) {
-    let mut pools: BTreeMap<HostId, Arc<Pool>> = BTreeMap::new();
+    let mut pools: BTreeMap<EndpointId, Arc<Pool>> = BTreeMap::new();
     let mut out: BTreeMap<batch::Place, Out> = BTreeMap::new();
     let mut sweep = tokio::time::interval(pool::sweep(&site));
     loop {
@@ -70,8 +70,8 @@
         };
         let Some(work) = work else { return };
         match work {
-            UpstreamCommand::Call(tries) => {
-                let Some(first) = tries.first() else { continue };
+            UpstreamCommand::Call(attempts) => {
+                let Some(first) = attempts.first() else { continue };
                 let new = || Arc::new(Pool::new(&site, first.address.clone()));
                 let pool = pools.entry(first.host).or_insert_with(new);
                 if pool.address != first.address {
@@ -79,37 +79,37 @@
                 }
                 out.retain(|_, call| !call.is_over());
                 let partner = book.as_ref().is_some_and(|b| b.at(&first.address).is_some());
-                if tries.len() > 1 && !partner {
+                if attempts.len() > 1 && !partner {
                     let (off, calls_off) = unbounded_channel();
-                    let places = tries.iter().map(|one| (one.id, one.attempt));
+                    let places = attempts.iter().map(|one| (one.id, one.attempt));
                     out.extend(places.map(|place| (place, Out::Among(off.clone()))));
-                    tokio::spawn(batch::run(pool.clone(), tries, exchange.clone(), calls_off));
+                    tokio::spawn(batch::run(pool.clone(), attempts, exchange.clone(), calls_off));
                     continue;
                 }
-                for one in tries {
+                for one in attempts {
                     let place = (one.id, one.attempt);
                     let task = tokio::spawn(attempt(pool.clone(), one, book.clone(), exchange.clone()));
                     out.insert(place, Out::Alone(task.abort_handle()));
                 }
             }
-            UpstreamCommand::GiveUp { id, attempt } => {
+            UpstreamCommand::CancelAttempt { id, attempt } => {
                 match out.remove(&(id, attempt)).filter(|call| !call.is_over()) {
                     // Dropping the call closes its connection, which calls it off.
                     Some(Out::Alone(task)) => {
                         task.abort();
-                        exchange.try_ended(id, attempt, Outcome::Cancelled, false, None);
+                        exchange.attempt_ended(id, attempt, Outcome::Cancelled, false, None);
                     }
                     Some(Out::Among(off)) => drop(off.send((id, attempt))),
                     None => {}
                 }
             }
             // Calls that are out go on, and close theirs when they end.
-            UpstreamCommand::Release(host) => pools.remove(&host).into_iter().for_each(|p| p.close()),
+            UpstreamCommand::CloseIdle(host) => pools.remove(&host).into_iter().for_each(|p| p.close()),
         }
     }
 }
 
-async fn attempt(pool: Arc<Pool>, one: Try, book: Option<Arc<Book>>, exchange: Exchange) {
+async fn attempt(pool: Arc<Pool>, one: Attempt, book: Option<Arc<Book>>, exchange: Exchange) {
     let partner = book.as_ref().and_then(|b| Some((b, b.at(&one.address)?)));
     let call = async {
         match partner {
@@ -121,14 +121,14 @@
     tell(&exchange, &one, ending);
 }
 
-/// How long this try may take; 1 ms at the least.
-fn limit(one: &Try) -> Duration {
+/// How long this attempt may take; 1 ms at the least.
+fn limit(one: &Attempt) -> Duration {
     Duration::from_nanos(one.timeout.max(Nanos(1_000_000)).0)
 }
 
-/// The one place where a try's end is told, alone in its call or among others.
-fn tell(exchange: &Exchange, one: &Try, ending: Ending) {
+/// The one place where an attempt's end is told, alone in its call or among others.
+fn tell(exchange: &Exchange, one: &Attempt, ending: Ending) {
     let (message, dest) = (&one.context.name, one.context.dest);
     log::debug!(message, outcome:? = ending.outcome, "try" = one.attempt, dest, report:? = ending.report; "try ended");
-    exchange.try_ended(one.id, one.attempt, ending.outcome, ending.over, ending.report);
+    exchange.attempt_ended(one.id, one.attempt, ending.outcome, ending.over, ending.report);
 }
--- a/src/upstream/platform.rs
+++ b/src/upstream/platform.rs
@@ -1,10 +1,10 @@
-//! The platform's encoding of a try: a call to an endpoint, and what its answer means.
+//! The platform's encoding of an attempt: a call to an endpoint, and what its answer means.
 use super::pool::{Fault, Pool, Seat};
 use super::tap::{Listener, Watch};
 use super::Ending;
-use crate::core::Try;
+use crate::core::Attempt;
 use crate::exchange::Exchange;
-use crate::{DestId, Nanos, Outcome, Report};
+use crate::{DestinationId, LoadReport, Nanos, Outcome};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, CONNECTION, RETRY_AFTER};
@@ -28,7 +28,7 @@
 const WAIT_MOST: f64 = 3600.0;
 
 /// Makes the call; dropping it closes its connection.
-pub async fn call(pool: Arc<Pool>, one: &Try, exchange: &Exchange) -> Ending {
+pub async fn call(pool: Arc<Pool>, one: &Attempt, exchange: &Exchange) -> Ending {
     let context = &one.context;
     let mut request = Request::post(format!("http://{}/v1/messages", one.address))
         .header("x-request-id", &context.name)
@@ -40,11 +40,11 @@
         Ok(request) => request,
         Err(e) => {
             log::error!("try of {} cannot be put into words: {e}", context.name);
-            return Outcome::Moot.into();
+            return Outcome::Skipped.into();
         }
     };
     let to = request.uri().clone();
-    let make = || exchange.may_go(one.id, one.attempt).then_some(request);
+    let make = || exchange.may_send(one.id, one.attempt).then_some(request);
     let mut call = match pool.call(to, make, listener(one, false, exchange)).await {
         Ok(call) => call,
         Err(fault) => return broken(&one.address, &fault),
@@ -71,14 +71,14 @@
 /// Hears the wait that an answer tells, line by line as its head comes, and passes it on at once. A wait belongs to the
 /// partner and not to the message: it counts also where the head never ends or cannot be read, and where nobody waits
 /// for the answer any more.
-pub fn listener(one: &Try, several: bool, exchange: &Exchange) -> Listener {
-    let (host, dest, exchange) = (one.host, DestId(one.context.dest), exchange.clone());
+pub fn listener(one: &Attempt, several: bool, exchange: &Exchange) -> Listener {
+    let (host, dest, exchange) = (one.host, DestinationId(one.context.dest), exchange.clone());
     // An answer for several may turn some of them away.
     let several = move |status| several && status == 200;
     Box::new(move |status, line| {
         let said = line.split_once(':').filter(|l| l.0.trim().eq_ignore_ascii_case(RETRY_AFTER.as_str()));
         if let Some(wait) = said.filter(|_| turns_away(status) || several(status)).and_then(|l| span(l.1)) {
-            exchange.told_wait(host, dest, wait);
+            exchange.retry_after_received(host, dest, wait);
         }
     })
 }
@@ -95,8 +95,8 @@
         Ok((answer, _)) if answer.status() == StatusCode::SWITCHING_PROTOCOLS => spoilt(place, "it is a 101"),
         Ok((answer, seat)) => {
             let mut ending = ending(answer.status(), answer.headers());
-            if ending.outcome == Outcome::Full(None) && watch.is_first() && closes(&answer) {
-                ending.outcome = Outcome::Crowded;
+            if ending.outcome == Outcome::Rejected(None) && watch.is_first() && closes(&answer) {
+                ending.outcome = Outcome::ConnectionLimit;
             }
             // Its body means nothing, and may never end. Guards against surplus connections: mostly it is there,
             // and the next call finds this connection free instead of opening another.
@@ -117,7 +117,7 @@
     // Found closed before the first byte went out: that is no word on its endpoint, only on a connection.
     if watch.unsent() {
         log::debug!("{place}: {fault}: not sent");
-        return Outcome::Moot.into();
+        return Outcome::Skipped.into();
     }
     broken(place, fault)
 }
@@ -130,7 +130,7 @@
 
 pub(super) fn spoilt(place: &str, why: &str) -> Ending {
     log::debug!("{place}: an answer that cannot be read: {why}");
-    Outcome::Spoilt.into()
+    Outcome::UnreadableAnswer.into()
 }
 
 /// Reads an answer's body, for the connection to be used again. One that is too long closes it.
@@ -146,7 +146,7 @@
     log::debug!("{place}: {fault}");
     match fault {
         Fault::Connect(_) | Fault::Unwritten(_) => Outcome::ConnectFailed,
-        Fault::Unsent => Outcome::Unsent,
+        Fault::Unsent => Outcome::NotSent,
         Fault::Broken(_) => Outcome::Reset,
     }
     .into()
@@ -156,10 +156,10 @@
 pub fn ending(status: StatusCode, headers: &HeaderMap) -> Ending {
     let outcome = match status.as_u16() {
         200 => Outcome::Ok,
-        429 => Outcome::Full(wait(headers)),
-        503 if headers.contains_key("x-no-slot") => Outcome::Moot,
-        503 => Outcome::Full(wait(headers)),
-        504 | 410 => Outcome::Moot,
+        429 => Outcome::Rejected(wait(headers)),
+        503 if headers.contains_key("x-no-slot") => Outcome::Skipped,
+        503 => Outcome::Rejected(wait(headers)),
+        504 | 410 => Outcome::Skipped,
         _ => Outcome::Error,
     };
     let report = headers.get(REPORT).and_then(|r| report(r.to_str().ok()?));
@@ -168,13 +168,13 @@
 
 /// What an answer tells of its destination's limit: the share of it that is left, and the calls a second that it allows,
 /// 0 for none. Guards the paces against what no endpoint can mean: it counts as no report.
-fn report(said: &str) -> Option<Report> {
+fn report(said: &str) -> Option<LoadReport> {
     let field = |name: &str| {
         let fields = said.split(',').filter_map(|f| f.split_once('='));
         let value = fields.filter(|f| f.0.trim() == name).map(|f| f.1).next()?;
         value.trim().parse::<f64>().ok().filter(|v| (0.0..=REPORT_MOST).contains(v))
     };
-    Some(Report { left: field("x0")?, limit: field("x1")? })
+    Some(LoadReport { left: field("x0")?, limit: field("x1")? })
 }
 
 /// The wait that an answer tells. Guards against what no endpoint can mean: one that is no number, or not ahead, is
--- a/src/upstream/pool.rs
+++ b/src/upstream/pool.rs
@@ -1,6 +1,6 @@
-//! The connections to one endpoint, on hyper-util's cache. A try gets its connection first, then it is asked anew
+//! The connections to one endpoint, on hyper-util's cache. An attempt gets its connection first, then it is asked anew
 //! whether it may go, and only then its request is handed over: a connect may take seconds, and much may be told
-//! meanwhile. A connection whose try may not go any more serves the next one.
+//! meanwhile. A connection whose attempt may not go any more serves the next one.
 use super::tap::{Listener, Tapped, Watch};
 use crate::settings::Site;
 use bytes::Bytes;
@@ -184,7 +184,7 @@
 
 /// How often `trim` is to be called, so that what stands idle is closed before the endpoint's machine does so.
 pub fn sweep(site: &Site) -> Duration {
-    Duration::from_secs_f64(site.module.conn_idle.secs() * (1.0 - IDLE_SHARE)).max(SWEEP_LEAST)
+    Duration::from_secs_f64(site.module.connection_idle_timeout.secs() * (1.0 - IDLE_SHARE)).max(SWEEP_LEAST)
 }
 
 /// The connections to one endpoint at one address.
@@ -206,7 +206,7 @@
         let cache = cache::builder().executor(TokioExecutor::new()).build(connect);
         // Guards against connections that the endpoint drops while they stand idle: a request written to such
         // a one is a reset.
-        let most = Duration::from_secs_f64(site.module.conn_idle.secs() * IDLE_SHARE);
+        let most = Duration::from_secs_f64(site.module.connection_idle_timeout.secs() * IDLE_SHARE);
         let kept = Mutex::new(cache.clone());
         let keep: Keep = Arc::new(move |number: usize| {
             let mut left = number;
--- a/tests/late.rs
+++ b/tests/late.rs
@@ -1,5 +1,5 @@
 //! A connect may take seconds. What was decided before it is asked anew at the first byte: a word that came meanwhile
-//! counts, the message keeps all its tries, and the connection serves the next one.
+//! counts, the message keeps all its attempts, and the connection serves the next one.
 mod stand;
 use rstest::rstest;
 use stand::*;
--- a/tests/net/mod.rs
+++ b/tests/net/mod.rs
@@ -7,7 +7,7 @@
 //! The rig knows of a member's view what its log says, with the log's own stamps: a time is when something happened, not
 //! when the rig looked.
 #![allow(dead_code)]
-use crate::neighbours_common::Authority;
+use crate::peers_common::Authority;
 use crate::stand::*;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
--- a/tests/plugins.rs
+++ b/tests/plugins.rs
@@ -38,3 +38,27 @@
     assert!(daemon.runs() && endpoint.heard().len() == 1);
     let _ = std::fs::remove_dir_all(folder);
 }
+
+/// Scripts in use compare these texts (`docs/plugins.md`): no renaming in the code may change one.
+#[test]
+fn scripts_know_each_outcome_by_its_documented_text() {
+    use micaladder::plugins::outcome_text;
+    use micaladder::{Nanos, Outcome};
+    let documented = [
+        (Outcome::Ok, "Ok"),
+        (Outcome::Error, "Error"),
+        (Outcome::Rejected(None), "Full(None)"),
+        (Outcome::Rejected(Some(Nanos(5))), "Full(Some(Nanos(5)))"),
+        (Outcome::Timeout, "Timeout"),
+        (Outcome::ConnectFailed, "ConnectFailed"),
+        (Outcome::Reset, "Reset"),
+        (Outcome::Cancelled, "Cancelled"),
+        (Outcome::UnreadableAnswer, "Spoilt"),
+        (Outcome::ConnectionLimit, "Crowded"),
+        (Outcome::Skipped, "Moot"),
+        (Outcome::NotSent, "Unsent"),
+    ];
+    for (outcome, text) in documented {
+        assert_eq!(outcome_text(outcome), text);
+    }
+}
