--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -1,7 +1,7 @@
 //! Learning from running neighbours: who is there (`fleet`), whom to believe (`trust`), what is told (`tell`, `frame`)
 //! and what counts of it (`weigh`). Here are the sockets and the tasks. Nothing of the forwarder waits for any of it:
 //! what is learned comes as an input of a moment like all else. Off unless it is given an address to listen on.
-//! `docs/design/neighbours.md` says why it is as it is, `docs/operate/neighbours.md` how to run it.
+//! `docs/design/peers.md` says why it is as it is, `docs/operate/peers.md` how to run it.
 pub mod dial;
 pub mod frame;
 pub mod link;
--- a/src/takeover/mod.rs
+++ b/src/takeover/mod.rs
@@ -1,6 +1,6 @@
 //! Two processes with one lasting folder, of which one at a time owns the journal: the new one asks, the old one lets go
 //! and ends the calls that it has out, and the new one hears what came of them. What is decided is `turn`; here are the
-//! files: each is held by a lock of the kernel's, which a kill frees. Design: `docs/design/handover.md`.
+//! files: each is held by a lock of the kernel's, which a kill frees. Design: `docs/design/takeover.md`.
 //!
 //! | file | who holds it |
 //! | --- | --- |
