--- a/benches/held.rs
+++ b/benches/held.rs
@@ -4,7 +4,7 @@
 //! `cargo bench --bench held` takes about a minute and 3 GB.
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use micaladder::core::{Answer, Core, Endpoint, Input, Output};
-use micaladder::journal::{Disk, Journal, Tail};
+use micaladder::journal::{Disk, FileWriter, Journal};
 use micaladder::plugins::Plugins;
 use micaladder::request::RequestContext;
 use micaladder::settings::Site;
@@ -28,10 +28,10 @@
     fn read(&self, _: &str) -> io::Result<Option<Vec<u8>>> {
         Ok(None)
     }
-    fn open(&self, _: &str) -> io::Result<Box<dyn Tail>> {
+    fn open_append(&self, _: &str) -> io::Result<Box<dyn FileWriter>> {
         Ok(Box::new(Nowhere))
     }
-    fn create(&self, _: &str) -> io::Result<Box<dyn Tail>> {
+    fn create(&self, _: &str) -> io::Result<Box<dyn FileWriter>> {
         Ok(Box::new(Nowhere))
     }
     fn rename(&self, _: &str, _: &str) -> io::Result<()> {
@@ -42,11 +42,11 @@
     }
 }
 
-impl Tail for Nowhere {
+impl FileWriter for Nowhere {
     fn append(&mut self, _: &[u8]) -> io::Result<()> {
         Ok(())
     }
-    fn cut(&mut self, _: u64) -> io::Result<()> {
+    fn truncate(&mut self, _: u64) -> io::Result<()> {
         Ok(())
     }
 }
@@ -100,7 +100,7 @@
 impl World {
     fn new(held: usize, max_pending: usize) -> World {
         let now = Nanos::from_secs(1000.0);
-        let journal = Journal::on(Box::new(Nowhere), 1 << 50).expect("it takes everything");
+        let journal = Journal::open_on(Box::new(Nowhere), 1 << 50).expect("it takes everything");
         let core = Core::new(&site(max_pending), 7, Vec::new(), Plugins::none(), journal, false, now);
         let mut world = World { core, now, next: 0, out: VecDeque::new(), heard: Vec::new() };
         let member = |dest: u64| Endpoint {
--- a/crates/lab/tests/takeover.rs
+++ b/crates/lab/tests/takeover.rs
@@ -1,7 +1,7 @@
 //! Two processes with one folder, explored whole: every interleaving of their looks at the locks, of what clients, partners
-//! and the disk do, of kills and new starts. Whose turn it is, is the shipped code (`takeover::turn`); a process that is
+//! and the disk do, of kills and new starts. Whose turn it is, is the shipped code (`takeover::state`); a process that is
 //! paused is one that takes no step for a while. Each property is shown to find a fault that is put in on purpose.
-use micaladder::takeover::turn::{Do, Seen, Stage, Turn, CLOSE_FOR};
+use micaladder::takeover::state::{Action, Observed, State, StateMachine, DRAIN_TIMEOUT};
 use micaladder::Nanos;
 use rstest::rstest;
 use stateright::{Checker, Model, Property};
@@ -39,7 +39,7 @@
 struct Process {
     alive: bool,
     asks: bool,
-    turn: Turn,
+    turn: StateMachine,
     known: [Known; MESSAGES],
     /// Records of `late` that it has read.
     read: usize,
@@ -105,7 +105,7 @@
 impl Process {
     fn fresh(asks: bool) -> Process {
         let known = [Known::Nothing; MESSAGES];
-        Process { alive: true, asks, turn: Turn::new(), known, read: 0, elder: false }
+        Process { alive: true, asks, turn: StateMachine::new(), known, read: 0, elder: false }
     }
     fn calls(&self) -> bool {
         self.known.iter().any(|k| matches!(k, Known::Out(_)))
@@ -114,7 +114,7 @@
         self.known.iter().any(|k| matches!(k, Known::Elder(_)))
     }
     fn door(&self) -> bool {
-        self.alive && matches!(self.turn.stage, Stage::Serving | Stage::Closing { .. })
+        self.alive && matches!(self.turn.state, State::Serving | State::Draining { .. })
     }
 }
 
@@ -138,21 +138,30 @@
 
     fn look(&mut self, fault: Fault, p: usize, clients: bool) {
         let me = &self.processes[p];
-        let owns = me.turn.stage == Stage::Waiting && self.owner.is_none();
+        let owns = me.turn.state == State::WaitingForLock && self.owner.is_none();
         let asked = self.next.is_some_and(|n| n != p);
         let bound = me.elders() || (self.full && fault != Fault::FullHandedOn);
         let mut turn = me.turn;
         // Time passes as it likes: the closing may have lasted for long already.
-        let now = if clients { Nanos(0) } else { CLOSE_FOR };
+        let now = if clients { Nanos(0) } else { DRAIN_TIMEOUT };
         let calls = me.calls();
-        let what = turn.look(now, Seen { owns, asked, clients, calls, bound });
+        let what = turn.step(
+            now,
+            Observed {
+                lock_acquired: owns,
+                takeover_requested: asked,
+                clients_connected: clients,
+                calls_in_flight: calls,
+                release_blocked: bound,
+            },
+        );
         match what {
-            Some(Do::Serve) => {
+            Some(Action::StartServing) => {
                 self.owner = Some(p);
                 self.next = self.next.filter(|n| *n != p);
                 self.serve(fault, p);
             }
-            Some(Do::LetGo) => {
+            Some(Action::Release) => {
                 if self.late.is_some() && fault != Fault::OwnerFirst {
                     return;
                 }
@@ -167,17 +176,17 @@
                     self.broken = Some("a journal that cannot be written was handed on");
                 }
             }
-            Some(Do::Forget) => {
+            Some(Action::Reset) => {
                 self.late = self.late.filter(|l| *l != p);
                 self.processes[p] = Process::fresh(false);
             }
-            Some(Do::Close | Do::Open) | None => {}
+            Some(Action::StopAccepting | Action::ResumeAccepting) | None => {}
         }
-        if what != Some(Do::Forget) {
+        if what != Some(Action::Reset) {
             self.processes[p].turn = turn;
         }
         let me = &self.processes[p];
-        if me.turn.stage == Stage::Waiting && me.asks && self.next.is_none() {
+        if me.turn.state == State::WaitingForLock && me.asks && self.next.is_none() {
             self.next = Some(p);
         }
     }
@@ -265,7 +274,7 @@
                 steps.push(Step::ReadLate(p));
             }
             let takes =
-                process.door() || (self.0 == Fault::TakesOnStill && process.turn.stage == Stage::Left);
+                process.door() || (self.0 == Fault::TakesOnStill && process.turn.state == State::Released);
             for m in 0..MESSAGES {
                 let earlier = w.logged[..m].iter().all(|l| *l != Logged::Nothing);
                 steps
@@ -312,7 +321,7 @@
             }
             Step::Finish(p, m, how) => {
                 let Known::Out(n) = w.processes[p].known[m] else { return None };
-                let stage = w.processes[p].turn.stage;
+                let stage = w.processes[p].turn.state;
                 if how == Late::NeverRan {
                     w.may_have_run[m] = false;
                 }
@@ -321,7 +330,7 @@
                     Late::NeverRan => (Known::Held, Logged::Taken),
                 };
                 w.processes[p].known[m] = known;
-                if stage == Stage::Left {
+                if stage == State::Released {
                     w.processes[p].known[m] = Known::Ended;
                     w.records.iter_mut().for_each(|r| r.push((m, n, how)));
                 } else {
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -144,7 +144,7 @@
     pub(super) fn take_on(&mut self, id: MessageId) -> bool {
         let Some(h) = self.held.get(&id) else { return false };
         let record = Record::Accepted(h.taken(id));
-        if self.ledger.is_full(self.now, journal::size(&record)) {
+        if self.ledger.is_full(self.now, journal::encoded_len(&record)) {
             self.write_anew();
         }
         let logged = self.ledger.first(self.now, &record);
--- a/src/core/completions.rs
+++ b/src/core/completions.rs
@@ -28,7 +28,7 @@
         }
         let left_s = (context.deadline - now).secs();
         log::debug!(message = context.name, end:?, left_s; "over");
-        let record = |end| Record::Completed { id: id.0, at: now.0, end };
+        let record = |end| Record::Completed { id: id.0, at: now.0, completion: end };
         let written = self.ledger.first(now, &record(end));
         let end = if written { end } else { self.end_unwritten(&context, end) };
         self.close(id, end);
--- a/src/core/journal_writer.rs
+++ b/src/core/journal_writer.rs
@@ -13,7 +13,7 @@
 //! What is kept is bounded: while the journal cannot be written nothing is taken on and no attempt starts, so each
 //! message that is held adds its outcome, its end and its notice at the most.
 use super::messages::Output;
-use crate::journal::{Fault, Journal, Record};
+use crate::journal::{Journal, JournalError, Record};
 use crate::Nanos;
 use std::collections::VecDeque;
 
@@ -70,12 +70,15 @@
 
     /// Bytes that all that is owed may take.
     pub fn room(&self) -> u64 {
-        self.journal.room()
+        self.journal.pending_capacity()
     }
 
     /// Whether the log should be written anew before a record of so many bytes is added.
     pub fn is_full(&self, now: Nanos, more: u64) -> bool {
-        !self.stuck() && !self.gone && self.anew.is_none_or(|at| now >= at) && self.journal.is_full(more)
+        !self.stuck()
+            && !self.gone
+            && self.anew.is_none_or(|at| now >= at)
+            && self.journal.needs_compaction(more)
     }
 
     /// Writes what must be in the journal before it happens. False: it must not happen.
@@ -86,7 +89,7 @@
         match self.journal.append(record) {
             Ok(()) => true,
             // The log's own limit says nothing of the disk. What has been taken on has its reserve behind it.
-            Err(Fault::Limit) if matches!(record, Record::Accepted(_)) => {
+            Err(JournalError::CapacityExceeded) if matches!(record, Record::Accepted(_)) => {
                 log::warn!("reject: no room in the journal");
                 false
             }
@@ -106,7 +109,7 @@
         None
     }
 
-    fn failed(&mut self, now: Nanos, fault: &Fault) {
+    fn failed(&mut self, now: Nanos, fault: &JournalError) {
         let same = self.back_at.is_some_and(|at| (now - at).secs() < SAME_TROUBLE);
         if !same {
             self.pause = PAUSE;
@@ -141,7 +144,7 @@
 
     fn catch_up<I: Iterator<Item = Record>>(
         &mut self, all: impl FnOnce() -> I, done: &mut Vec<Output>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), JournalError> {
         // A mark without a meaning: whether the disk takes anything is seen before a message depends on it.
         let mut fault = self.journal.append(&Record::CallbackAcknowledged { id: 0 }).err();
         while fault.is_none() {
@@ -154,14 +157,16 @@
         match fault {
             None => Ok(()),
             // Another file helps where this one is at its end or cannot be mended; it holds all that waits.
-            Some(Fault::Limit) => self.anew(all(), done),
-            Some(_) if self.journal.is_torn() => self.anew(all(), done),
+            Some(JournalError::CapacityExceeded) => self.anew(all(), done),
+            Some(_) if self.journal.has_partial_record() => self.anew(all(), done),
             Some(fault) => Err(fault),
         }
     }
 
-    fn anew(&mut self, all: impl Iterator<Item = Record>, done: &mut Vec<Output>) -> Result<(), Fault> {
-        self.journal.rewrite(all)?;
+    fn anew(
+        &mut self, all: impl Iterator<Item = Record>, done: &mut Vec<Output>,
+    ) -> Result<(), JournalError> {
+        self.journal.compact(all)?;
         self.anew = None;
         done.extend(self.late.drain(..).filter_map(|l| l.1));
         Ok(())
@@ -169,7 +174,7 @@
 
     /// Writes the log anew. Where this fails, the old one goes on, and this is not tried again at once.
     pub fn rewrite(&mut self, now: Nanos, all: impl Iterator<Item = Record>) {
-        match self.journal.rewrite(all) {
+        match self.journal.compact(all) {
             Ok(()) => {
                 log::debug!("journal written anew");
                 self.anew = None;
--- a/src/core/pending.rs
+++ b/src/core/pending.rs
@@ -69,7 +69,7 @@
             key: c.key,
             dest: c.dest,
             deadline: c.deadline.0,
-            repeat_key: c.repeat_key.clone(),
+            idempotency_key: c.repeat_key.clone(),
             body: c.body.clone(),
         }
     }
@@ -78,7 +78,7 @@
     pub(super) fn records(&self, id: MessageId, now: Nanos) -> Vec<Record> {
         let mut records = vec![Record::Accepted(self.taken(id))];
         if let Some(end) = self.end {
-            records.push(Record::Completed { id: id.0, at: now.0, end });
+            records.push(Record::Completed { id: id.0, at: now.0, completion: end });
             records.extend(self.heard.then_some(Record::CallbackAcknowledged { id: id.0 }));
             return records;
         }
@@ -103,13 +103,13 @@
     now: Nanos,
 ) -> impl Iterator<Item = Record> + 'a {
     let known = held.iter().filter(|(_, h)| h.logged);
-    let out = suspended.iter().map(|uid| Record::Suspended { uid: uid.clone(), out: true });
+    let out = suspended.iter().map(|uid| Record::Suspended { uid: uid.clone(), suspended: true });
     out.chain(ended.records()).chain(known.flat_map(move |(id, h)| h.records(*id, now)))
 }
 
 /// Bytes that the journal must keep for a message.
 pub(super) fn weigh(c: &RequestContext) -> u64 {
-    Journal::weight(&c.name, &c.origin, &c.repeat_key, c.body.len())
+    Journal::reserved_bytes(&c.name, &c.origin, &c.repeat_key, c.body.len())
 }
 
 /// Whether somebody is still to be told of this end.
--- a/src/core/restart.rs
+++ b/src/core/restart.rs
@@ -20,7 +20,7 @@
                     key: t.key,
                     dest: t.dest,
                     deadline: Nanos(t.deadline),
-                    repeat_key: t.repeat_key,
+                    repeat_key: t.idempotency_key,
                     body: t.body,
                     tags: Vec::new(),
                 };
@@ -42,7 +42,7 @@
             Record::AttemptEnded { id, may_have_run } => {
                 self.ran(MessageId(id), may_have_run);
             }
-            Record::Completed { id, at, end } => {
+            Record::Completed { id, at, completion: end } => {
                 if let Some(h) = self.held.get_mut(&MessageId(id)).filter(|h| h.end.is_none()) {
                     let (context, at) = (h.context.clone(), Nanos(at));
                     self.take_out(MessageId(id));
@@ -54,8 +54,8 @@
             Record::CallbackAcknowledged { id } => self.heard(MessageId(id)),
             // These stand in `late` alone.
             Record::LateOutcome { .. } | Record::Observed { .. } => {}
-            Record::Suspended { uid, out } => self.suspend(uid, out),
-            Record::Deduplicated { name, repeat_key, until, delivered } => {
+            Record::Suspended { uid, suspended: out } => self.suspend(uid, out),
+            Record::Deduplicated { name, idempotency_key: repeat_key, until, delivered } => {
                 self.ended.add(name, repeat_key, Nanos(until), delivered)
             }
         }
--- a/src/core/suspensions.rs
+++ b/src/core/suspensions.rs
@@ -50,7 +50,7 @@
         if out && self.suspended.len() >= SUSPENDED_MOST {
             return SuspensionResult::LimitReached;
         }
-        if !self.ledger.first(now, &Record::Suspended { uid: uid.clone(), out }) {
+        if !self.ledger.first(now, &Record::Suspended { uid: uid.clone(), suspended: out }) {
             return SuspensionResult::NotPersisted;
         }
         log::warn!(host = uid, out; "by an operator's hand");
--- a/src/core/takeover.rs
+++ b/src/core/takeover.rs
@@ -91,11 +91,11 @@
         self.take_out(id);
         let how = match outcome {
             Outcome::Ok => LateOutcome::Delivered,
-            _ if over => LateOutcome::Over,
+            _ if over => LateOutcome::Final,
             outcome if outcome.never_ran() => LateOutcome::NeverRan,
             _ => LateOutcome::MayHaveRun,
         };
-        sent.then_some(Record::LateOutcome { id: id.0, at, how })
+        sent.then_some(Record::LateOutcome { id: id.0, at, outcome: how })
     }
 
     /// A wait that was told after the journal was let go.
@@ -131,7 +131,9 @@
     pub(super) fn elder_said(&mut self, records: Vec<Record>) {
         for record in records {
             match record {
-                Record::LateOutcome { id, at, how } => self.elder_ended(MessageId(id), Some(at), how),
+                Record::LateOutcome { id, at, outcome: how } => {
+                    self.elder_ended(MessageId(id), Some(at), how)
+                }
                 Record::Observed { uid, at, kind, values } => self.elder_saw(&uid, Nanos(at), kind, values),
                 // Nothing else belongs there.
                 other => log::warn!("passed over what the process before left: {other:?}"),
@@ -157,7 +159,7 @@
         let context = h.context.clone();
         log::debug!(message = context.name, how:?; "heard of a call of the process before");
         let may_have_run = match how {
-            LateOutcome::Delivered | LateOutcome::Over => {
+            LateOutcome::Delivered | LateOutcome::Final => {
                 self.ran(id, true);
                 let end = if how == LateOutcome::Delivered {
                     self.delivered(&context)
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -3,7 +3,7 @@
 use super::pending::Stage;
 use super::*;
 use crate::interface::{Class, Effect, EndpointKind, EndpointState, IdempotencyScope, ListedRates, Outcome};
-use crate::journal::{self, Disk, Tail};
+use crate::journal::{self, Disk, FileWriter};
 use crate::request::RequestContext;
 use std::collections::HashSet;
 use std::io;
@@ -62,7 +62,7 @@
 }
 
 impl ModelDisk {
-    fn tail(&self, name: &str) -> Box<dyn Tail> {
+    fn tail(&self, name: &str) -> Box<dyn FileWriter> {
         let name = Arc::new(Mutex::new(name.to_string()));
         self.open.lock().expect("lock").push(name.clone());
         Box::new(ModelTail { disk: self.model.clone(), name })
@@ -73,11 +73,11 @@
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>> {
         Ok(self.model.files().held.get(name).cloned())
     }
-    fn open(&self, name: &str) -> io::Result<Box<dyn Tail>> {
+    fn open_append(&self, name: &str) -> io::Result<Box<dyn FileWriter>> {
         self.model.files().held.entry(name.to_string()).or_default();
         Ok(self.tail(name))
     }
-    fn create(&self, name: &str) -> io::Result<Box<dyn Tail>> {
+    fn create(&self, name: &str) -> io::Result<Box<dyn FileWriter>> {
         self.model.call("create")?.held.insert(name.to_string(), Vec::new());
         Ok(self.tail(name))
     }
@@ -101,7 +101,7 @@
     }
 }
 
-impl Tail for ModelTail {
+impl FileWriter for ModelTail {
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         let name = self.name.lock().expect("lock").clone();
         match self.disk.call("append") {
@@ -115,7 +115,7 @@
         }
         Ok(())
     }
-    fn cut(&mut self, size: u64) -> io::Result<()> {
+    fn truncate(&mut self, size: u64) -> io::Result<()> {
         let name = self.name.lock().expect("lock").clone();
         self.disk.call("cut")?.held.entry(name).or_default().truncate(size as usize);
         Ok(())
@@ -240,7 +240,7 @@
     }
 
     fn start(disk: &ModelDisk, most: u64, seed: u64, now: Nanos) -> Core {
-        let journal = Journal::on(Box::new(disk.clone()), most).expect("it opens");
+        let journal = Journal::open_on(Box::new(disk.clone()), most).expect("it opens");
         let mut core = Core::new(&site(), seed, Vec::new(), Plugins::none(), journal, false, now);
         let members = (0..2).map(|n| Endpoint {
             uid: format!("s-{n}"),
--- a/src/deduplication.rs
+++ b/src/deduplication.rs
@@ -34,7 +34,7 @@
         if delivered && !repeat_key.is_empty() {
             self.by_key.insert(repeat_key.clone(), expiry);
         }
-        self.weight += Journal::past_weight(&name, &repeat_key);
+        self.weight += Journal::deduplicated_bytes(&name, &repeat_key);
         self.by_expiry.insert(expiry, EndedMessage { name, repeat_key, delivered });
     }
 
@@ -48,7 +48,7 @@
     pub fn forget(&mut self, now: Nanos) {
         while let Some(entry) = self.by_expiry.first_entry().filter(|e| e.key().0 <= now) {
             let (expiry, gone) = entry.remove_entry();
-            self.weight -= Journal::past_weight(&gone.name, &gone.repeat_key);
+            self.weight -= Journal::deduplicated_bytes(&gone.name, &gone.repeat_key);
             // A later one of the same name or key stands.
             if self.by_name.get(&gone.name) == Some(&expiry) {
                 self.by_name.remove(&gone.name);
@@ -68,7 +68,12 @@
     pub fn records(&self) -> impl Iterator<Item = Record> + '_ {
         self.by_expiry.iter().map(|(expiry, g)| {
             let (name, repeat_key) = (g.name.clone(), g.repeat_key.clone());
-            Record::Deduplicated { name, repeat_key, until: expiry.0 .0, delivered: g.delivered }
+            Record::Deduplicated {
+                name,
+                idempotency_key: repeat_key,
+                until: expiry.0 .0,
+                delivered: g.delivered,
+            }
         })
     }
 }
--- a/src/exchange/command.rs
+++ b/src/exchange/command.rs
@@ -1,7 +1,7 @@
 //! What the exchange is told, and what it has the server side do.
 use crate::core::{Answer, Attempt, EndpointObservation, Input, SuspensionResult};
 use crate::request::RequestContext;
-use crate::takeover::Late;
+use crate::takeover::LateOutcomeWriter;
 use crate::{EndpointId, MessageId};
 use bytes::Bytes;
 use tokio::sync::oneshot;
@@ -25,7 +25,7 @@
     /// Whether client connections stay open.
     KeepConnections(bool),
     /// The journal is another process's from now on.
-    ReleaseJournal(Late, oneshot::Sender<()>),
+    ReleaseJournal(LateOutcomeWriter, oneshot::Sender<()>),
 }
 
 /// What the server side does for the exchange.
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -16,7 +16,7 @@
 use crate::journal::Record;
 use crate::metrics::Metrics;
 use crate::request::RequestContext;
-use crate::takeover::Late;
+use crate::takeover::LateOutcomeWriter;
 use crate::{DestinationId, EndpointId, LoadReport, MessageId, Nanos, Outcome};
 use bytes::Bytes;
 use command::Command;
@@ -139,7 +139,7 @@
 
     /// Lets the journal go, and writes here what this process knows and what still comes of its calls. Once this returns,
     /// it writes the journal no more, takes nothing on and starts no attempt.
-    pub async fn release_journal(&self, late: Late) {
+    pub async fn release_journal(&self, late: LateOutcomeWriter) {
         let (tell, done) = oneshot::channel();
         self.send(Command::ReleaseJournal(late, tell));
         let _ = done.await;
--- a/src/exchange/task.rs
+++ b/src/exchange/task.rs
@@ -4,7 +4,7 @@
 use super::{open, Outputs, Shared};
 use crate::clock;
 use crate::core::{Answer, Callback, Input, Output, SuspensionResult};
-use crate::takeover::Late;
+use crate::takeover::LateOutcomeWriter;
 use crate::MessageId;
 use bytes::Bytes;
 use std::collections::BTreeMap;
@@ -38,7 +38,7 @@
     words: UnboundedSender<Callback>,
     close: watch::Sender<bool>,
     /// The journal is another process's; what comes of calls goes here.
-    late: Option<Late>,
+    late: Option<LateOutcomeWriter>,
     /// Operators' words of this step: heard after all else that was said before them, the list among it.
     suspensions: Vec<(String, bool, oneshot::Sender<SuspensionResult>)>,
     shutdown: Option<Shutdown>,
@@ -173,11 +173,13 @@
     }
 
     /// What was said before is taken in first, on the journal that is still this process's.
-    fn release_journal(&mut self, mut late: Late, tell: oneshot::Sender<()>, inputs: &mut Vec<Input>) {
+    fn release_journal(
+        &mut self, mut late: LateOutcomeWriter, tell: oneshot::Sender<()>, inputs: &mut Vec<Input>,
+    ) {
         let now = clock::now();
         let orders = open(&self.core).step(now, std::mem::take(inputs));
         orders.into_iter().for_each(|o| inputs.extend(self.carry_out(o)));
-        open(&self.core).release_journal(now).iter().for_each(|record| late.add(record));
+        open(&self.core).release_journal(now).iter().for_each(|record| late.append(record));
         self.late = Some(late);
         let _ = tell.send(());
     }
@@ -202,7 +204,7 @@
 }
 
 /// What happens to a process that has let the journal go: its calls end, and it takes nothing on.
-fn after_release(core: &Shared, late: &mut Late, inputs: Vec<Input>) -> Vec<Output> {
+fn after_release(core: &Shared, late: &mut LateOutcomeWriter, inputs: Vec<Input>) -> Vec<Output> {
     let (now, mut core, mut orders) = (clock::now(), open(core), Vec::new());
     for input in inputs {
         match input {
@@ -210,10 +212,10 @@
                 orders.push(Output::Answer(id, Answer::Reject(core.rejection_retry_after())))
             }
             Input::AttemptEnded { id, attempt, outcome, over, .. } => {
-                core.late_outcome(id, attempt, outcome, over).iter().for_each(|record| late.add(record));
+                core.late_outcome(id, attempt, outcome, over).iter().for_each(|record| late.append(record));
             }
             Input::RetryAfter { host, wait, .. } => {
-                core.late_retry_after(now, host, wait).iter().for_each(|record| late.add(record));
+                core.late_retry_after(now, host, wait).iter().for_each(|record| late.append(record));
             }
             // The next process hears of these itself.
             Input::Endpoints { .. }
--- a/src/flags.rs
+++ b/src/flags.rs
@@ -27,16 +27,16 @@
 #[derive(Subcommand, Debug)]
 enum Word {
     /// Takes messages and delivers them, until SIGTERM. The usual command.
-    Run(Run),
+    Run(RunFlags),
     /// Reads every file that `run` would read and says what is wrong in them, by file and key; starts nothing.
-    Check(Files),
+    Check(FileFlags),
     /// Asks a running member for its view of the fleet.
     #[command(
         subcommand,
         after_help = "Exit codes of show, and of watch once its output is closed: 0 all have the same view, 1 they have \
             not (yet), 2 wrong flags or files, 3 nobody answers."
     )]
-    Fleet(Fleet),
+    Fleet(FleetCommand),
     /// Writes a script by which a shell completes this command line.
     Completions {
         /// The shell.
@@ -48,18 +48,18 @@
 #[derive(Debug)]
 pub enum Command {
     /// Run the forwarder.
-    Run(Run),
+    Run(RunFlags),
     /// Read all files and say what is wrong.
-    Check(Files),
+    Check(FileFlags),
     /// Show the fleet's view.
-    Fleet(Fleet),
+    Fleet(FleetCommand),
     /// Write the completions of a shell.
     Completions(clap_complete::Shell),
 }
 
 /// The files that are read.
 #[derive(Args, Debug, Clone)]
-pub struct Files {
+pub struct FileFlags {
     /// The configuration, JSON.
     #[arg(long, env = "RELAY_CONFIG", value_name = "FILE")]
     pub config: PathBuf,
@@ -70,12 +70,12 @@
     #[arg(long, env = "MICALADDER_PLUGINS", value_name = "FOLDER", default_value = PLUGINS)]
     pub plugins: PathBuf,
     #[command(flatten)]
-    pub neighbours: Neighbours,
+    pub peers: PeerFlags,
 }
 
 /// Learning from running neighbours; off without an address.
 #[derive(Args, Debug, Clone)]
-pub struct Neighbours {
+pub struct PeerFlags {
     /// Where neighbours reach this forwarder, by UDP and by TCP; without it there are none.
     #[arg(id = "neighbours-listen", long, env = "MICALADDER_NEIGHBOURS_LISTEN", value_name = "IP:PORT",
         requires_all = ["neighbours-certificate", "neighbours-key", "neighbours-authority"])]
@@ -103,12 +103,12 @@
     #[arg(id = "neighbours-size", long, env = "MICALADDER_NEIGHBOURS_SIZE", default_value_t = 10)]
     pub size: u32,
     #[command(flatten)]
-    pub papers: Papers,
+    pub identity: PeerIdentityFlags,
 }
 
 /// By what forwarders of one fleet know each other.
 #[derive(Args, Debug, Clone)]
-pub struct Papers {
+pub struct PeerIdentityFlags {
     /// Forwarders of other groups are not learned from.
     #[arg(id = "neighbours-group", long, env = "MICALADDER_NEIGHBOURS_GROUP", default_value = "micaladder")]
     pub group: String,
@@ -130,7 +130,7 @@
 
 /// Whom to ask for the fleet.
 #[derive(Args, Debug, Clone)]
-pub struct Look {
+pub struct FleetQueryFlags {
     /// Members to ask, by the addresses on which they listen for neighbours: the first that answers.
     #[arg(long, env = "MICALADDER_FLEET_ASK", value_name = "IP:PORT,...", value_delimiter = ',', required = true,
         requires_all = ["neighbours-certificate", "neighbours-key", "neighbours-authority"])]
@@ -139,18 +139,18 @@
     #[arg(long)]
     pub json: bool,
     #[command(flatten)]
-    pub papers: Papers,
+    pub identity: PeerIdentityFlags,
 }
 
 /// What to do with the fleet's view.
 #[derive(Subcommand, Debug)]
-pub enum Fleet {
+pub enum FleetCommand {
     /// Shows it once: who is there, since when, with which versions, and whether all have the same view.
-    Show(Look),
+    Show(FleetQueryFlags),
     /// Shows it, and again each time that it has changed.
     Watch {
         #[command(flatten)]
-        look: Look,
+        query: FleetQueryFlags,
         /// Seconds between two questions.
         #[arg(long, value_name = "SECONDS", default_value_t = 1.0, value_parser = pause)]
         every: f64,
@@ -164,9 +164,9 @@
 
 /// What a forwarder is told at its start.
 #[derive(Args, Debug, Clone)]
-pub struct Run {
+pub struct RunFlags {
     #[command(flatten)]
-    pub files: Files,
+    pub files: FileFlags,
     /// The folder that lasts: the journal lies there.
     #[arg(long, env = "RELAY_STATE", value_name = "FOLDER")]
     pub state: PathBuf,
@@ -183,15 +183,15 @@
     #[arg(long, env = "RELAY_MGMT", value_name = "IP:PORT")]
     pub mgmt: Option<SocketAddr>,
     #[command(flatten)]
-    pub log: Log,
+    pub log: LogFlags,
     /// Which of the settings that stand before keys were flags, and not variables.
     #[arg(skip)]
-    pub flagged: Vec<String>,
+    pub given_as_flags: Vec<String>,
 }
 
 /// What is logged, and how.
 #[derive(Args, Debug, Clone)]
-pub struct Log {
+pub struct LogFlags {
     /// `LEVEL`, or `MODULE=LEVEL`, or several with commas: `info,core=debug,upstream=trace`.
     #[arg(long = "log-filter", env = "MICALADDER_LOG", value_name = "FILTER", default_value = "info")]
     pub filter: Filter,
@@ -209,7 +209,7 @@
 /// # Errors
 ///
 /// What is wrong with a flag or a variable, named, as clap puts it; also the texts of `--help` and `--version`.
-pub fn read<I: IntoIterator<Item = T>, T: Into<OsString>>(words: I) -> Result<Command, clap::Error> {
+pub fn parse<I: IntoIterator<Item = T>, T: Into<OsString>>(words: I) -> Result<Command, clap::Error> {
     let mut words: Vec<OsString> = words.into_iter().map(Into::into).collect();
     let of_line = |w: &OsString| matches!(w.to_str(), Some("-h" | "--help" | "-V" | "--version"));
     // A bare command with nothing or with flags is `run`: so the deploy file starts it.
@@ -218,8 +218,8 @@
     }
     let matches = Line::command().try_get_matches_from(words)?;
     let line = Line::from_arg_matches(&matches)?;
-    let with_flags = |mut run: Run, matches: &ArgMatches| {
-        run.flagged = ["name", "listen", "discovery", "mgmt"]
+    let with_flags = |mut run: RunFlags, matches: &ArgMatches| {
+        run.given_as_flags = ["name", "listen", "discovery", "mgmt"]
             .into_iter()
             .filter(|id| matches.value_source(id) == Some(ValueSource::CommandLine))
             .map(str::to_string)
@@ -235,15 +235,15 @@
 }
 
 /// Writes the completions to standard output.
-pub fn complete(shell: clap_complete::Shell) {
+pub fn write_completions(shell: clap_complete::Shell) {
     clap_complete::generate(shell, &mut Line::command(), "micaladder", &mut std::io::stdout());
 }
 
-impl Run {
+impl RunFlags {
     /// What stands before a key of the configuration: a flag always, a variable only where it differs. The platform
     /// sets the variables to what the file says; one that only repeats its key must not hold the key's old value
     /// after a reload.
-    pub fn before(&self, id: &str, said: Option<String>, key: &str) -> Option<String> {
-        said.filter(|s| s != key || self.flagged.iter().any(|f| f == id))
+    pub fn override_for(&self, id: &str, value: Option<String>, key: &str) -> Option<String> {
+        value.filter(|s| s != key || self.given_as_flags.iter().any(|f| f == id))
     }
 }
--- a/src/journal/disk.rs
+++ b/src/journal/disk.rs
@@ -8,20 +8,20 @@
     /// The whole of a file; none if there is no such file.
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>>;
     /// Opens a file at its end; made if it is not there.
-    fn open(&self, name: &str) -> io::Result<Box<dyn Tail>>;
+    fn open_append(&self, name: &str) -> io::Result<Box<dyn FileWriter>>;
     /// Opens a file that is empty, whatever it held.
-    fn create(&self, name: &str) -> io::Result<Box<dyn Tail>>;
+    fn create(&self, name: &str) -> io::Result<Box<dyn FileWriter>>;
     /// Puts a file in the place of another, in one step.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
     fn remove(&self, name: &str) -> io::Result<()>;
 }
 
 /// The end of an open file. It stays the same file whatever name it gets.
-pub trait Tail: Send {
+pub trait FileWriter: Send {
     /// Adds bytes. Where this fails, any part of them may have been written.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
     /// Shortens the file to this size.
-    fn cut(&mut self, size: u64) -> io::Result<()>;
+    fn truncate(&mut self, size: u64) -> io::Result<()>;
 }
 
 /// A folder of the file system.
@@ -42,14 +42,14 @@
             other => other.map(Some),
         }
     }
-    fn open(&self, name: &str) -> io::Result<Box<dyn Tail>> {
+    fn open_append(&self, name: &str) -> io::Result<Box<dyn FileWriter>> {
         Ok(Box::new(OpenOptions::new().create(true).append(true).open(self.0.join(name))?))
     }
-    fn create(&self, name: &str) -> io::Result<Box<dyn Tail>> {
+    fn create(&self, name: &str) -> io::Result<Box<dyn FileWriter>> {
         // Truncating and appending do not go together; what an earlier attempt left is taken away first.
         match self.remove(name) {
             Err(e) if e.kind() != ErrorKind::NotFound => Err(e),
-            _ => self.open(name),
+            _ => self.open_append(name),
         }
     }
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
@@ -60,17 +60,17 @@
     }
 }
 
-impl Tail for File {
+impl FileWriter for File {
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.write_all(bytes)
     }
-    fn cut(&mut self, size: u64) -> io::Result<()> {
+    fn truncate(&mut self, size: u64) -> io::Result<()> {
         self.set_len(size)
     }
 }
 
 /// The lasting folder as a disk; in a build for tests one that may fail.
-pub fn on(folder: &Path) -> io::Result<Box<dyn Disk>> {
+pub fn open_disk(folder: &Path) -> io::Result<Box<dyn Disk>> {
     let folder = Folder::open(folder)?;
     #[cfg(debug_assertions)]
     let disk = Faulty::over(folder);
@@ -108,8 +108,8 @@
 }
 
 #[cfg(debug_assertions)]
-struct FaultyTail {
-    tail: Box<dyn Tail>,
+struct FaultyWriter {
+    tail: Box<dyn FileWriter>,
     faults: PathBuf,
 }
 
@@ -118,12 +118,12 @@
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>> {
         self.folder.read(name)
     }
-    fn open(&self, name: &str) -> io::Result<Box<dyn Tail>> {
-        Ok(Box::new(FaultyTail { tail: self.folder.open(name)?, faults: self.faults.clone() }))
+    fn open_append(&self, name: &str) -> io::Result<Box<dyn FileWriter>> {
+        Ok(Box::new(FaultyWriter { tail: self.folder.open_append(name)?, faults: self.faults.clone() }))
     }
-    fn create(&self, name: &str) -> io::Result<Box<dyn Tail>> {
+    fn create(&self, name: &str) -> io::Result<Box<dyn FileWriter>> {
         strike(&self.faults, "create")?;
-        Ok(Box::new(FaultyTail { tail: self.folder.create(name)?, faults: self.faults.clone() }))
+        Ok(Box::new(FaultyWriter { tail: self.folder.create(name)?, faults: self.faults.clone() }))
     }
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
         strike(&self.faults, "rename")?;
@@ -136,7 +136,7 @@
 }
 
 #[cfg(debug_assertions)]
-impl Tail for FaultyTail {
+impl FileWriter for FaultyWriter {
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         strike(&self.faults, "append").inspect_err(|_| {
             // As a disk that fills up does: the first bytes still go in.
@@ -144,8 +144,8 @@
         })?;
         self.tail.append(bytes)
     }
-    fn cut(&mut self, size: u64) -> io::Result<()> {
+    fn truncate(&mut self, size: u64) -> io::Result<()> {
         strike(&self.faults, "cut")?;
-        self.tail.cut(size)
+        self.tail.truncate(size)
     }
 }
--- a/src/journal/mod.rs
+++ b/src/journal/mod.rs
@@ -3,7 +3,7 @@
 mod disk;
 
 use bytes::Bytes;
-pub use disk::{on, Disk, Folder, Tail};
+pub use disk::{open_disk, Disk, FileWriter, Folder};
 use std::io;
 use std::path::Path;
 
@@ -18,15 +18,15 @@
     /// An attempt ended without delivering.
     AttemptEnded { id: u64, may_have_run: bool },
     /// The message is over: delivered or withdrawn, or a notice is owed for it.
-    Completed { id: u64, at: u64, end: Completion },
+    Completed { id: u64, at: u64, completion: Completion },
     /// Its notice was answered.
     CallbackAcknowledged { id: u64 },
     /// A message that is over, whose repeats are answered alike until this time.
-    Deduplicated { name: String, repeat_key: String, until: u64, delivered: bool },
+    Deduplicated { name: String, idempotency_key: String, until: u64, delivered: bool },
     /// An operator took an endpoint out, or called it back. Older programs read no further than the first of these.
-    Suspended { uid: String, out: bool },
+    Suspended { uid: String, suspended: bool },
     /// What came of an attempt that the process before this one had out when it let the journal go; `at` is when it started.
-    LateOutcome { id: u64, at: u64, how: LateOutcome },
+    LateOutcome { id: u64, at: u64, outcome: LateOutcome },
     /// What that process had seen of an endpoint, in the core's numbers.
     Observed { uid: String, at: u64, kind: u8, values: [u64; 2] },
 }
@@ -36,7 +36,7 @@
 pub enum LateOutcome {
     Delivered,
     /// The endpoint says that nothing more is owed.
-    Over,
+    Final,
     MayHaveRun,
     NeverRan,
 }
@@ -52,7 +52,7 @@
     pub key: Option<u64>,
     pub dest: u64,
     pub deadline: u64,
-    pub repeat_key: String,
+    pub idempotency_key: String,
     pub body: Bytes,
 }
 
@@ -97,10 +97,10 @@
 
 /// Why a record is not in the log.
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum JournalError {
     /// The log's own limit.
     #[error("its share of the folder is used up")]
-    Limit,
+    CapacityExceeded,
     #[error(transparent)]
     Disk(#[from] io::Error),
 }
@@ -108,7 +108,7 @@
 /// The open log.
 pub struct Journal {
     disk: Box<dyn Disk>,
-    tail: Box<dyn Tail>,
+    tail: Box<dyn FileWriter>,
     /// Bytes of whole records.
     size: u64,
     /// Bytes of a record that is not whole may lie behind them.
@@ -120,11 +120,11 @@
 impl Journal {
     /// Opens the log of a folder that may hold `most` bytes, and reads it up to the first record that is not whole.
     pub fn open(folder: &Path, most: u64) -> io::Result<(Journal, Vec<Record>)> {
-        Journal::on(on(folder)?, most)
+        Journal::open_on(open_disk(folder)?, most)
     }
 
     /// The same on any disk.
-    pub fn on(disk: Box<dyn Disk>, most: u64) -> io::Result<(Journal, Vec<Record>)> {
+    pub fn open_on(disk: Box<dyn Disk>, most: u64) -> io::Result<(Journal, Vec<Record>)> {
         // A writing anew that a kill cut short left its half here; the old log still stands.
         let _ = disk.remove(FRESH);
         let held = disk.read(NAME)?.unwrap_or_default();
@@ -133,7 +133,7 @@
         if torn {
             log::warn!("journal: torn tail of {} bytes passed over", held.len() - whole);
         }
-        let tail = disk.open(NAME)?;
+        let tail = disk.open_append(NAME)?;
         let most = most.saturating_sub(FILES * BLOCK) as f64;
         let mut journal = Journal { disk, tail, size: whole as u64, torn, most };
         if let Err(e) = journal.mend() {
@@ -144,37 +144,37 @@
 
     /// Bytes that a message is reckoned at: no less than its records take in a log that is written anew. Attempts that
     /// are over take one record; and once the message is over, what is remembered of it takes the place of its attempts.
-    pub fn weight(name: &str, origin: &str, repeat_key: &str, body: usize) -> u64 {
-        let texts = (name.len() + repeat_key.len() + origin.len() + body) as u64;
-        texts + TAKEN + END + Journal::past_weight(name, repeat_key).max(2 * TRY)
+    pub fn reserved_bytes(name: &str, origin: &str, idempotency_key: &str, body: usize) -> u64 {
+        let texts = (name.len() + idempotency_key.len() + origin.len() + body) as u64;
+        texts + TAKEN + END + Journal::deduplicated_bytes(name, idempotency_key).max(2 * TRY)
     }
 
     /// Bytes that a message is reckoned at once it is over.
-    pub fn past_weight(name: &str, repeat_key: &str) -> u64 {
-        (name.len() + repeat_key.len()) as u64 + PAST
+    pub fn deduplicated_bytes(name: &str, idempotency_key: &str) -> u64 {
+        (name.len() + idempotency_key.len()) as u64 + PAST
     }
 
     /// Bytes that all that is owed may take.
-    pub fn room(&self) -> u64 {
+    pub fn pending_capacity(&self) -> u64 {
         (self.most * OWED) as u64
     }
 
     /// Whether the log should be written anew before a record of so many bytes is taken on.
-    pub fn is_full(&self, more: u64) -> bool {
+    pub fn needs_compaction(&self, more: u64) -> bool {
         self.size + more > (self.most * FULL) as u64
     }
 
     /// Whether bytes lie behind the last whole record that could not be cut off.
-    pub fn is_torn(&self) -> bool {
+    pub fn has_partial_record(&self) -> bool {
         self.torn
     }
 
     /// Adds a record; it outlives the process once this returns. Where it fails, the log is as it was before.
-    pub fn append(&mut self, record: &Record) -> Result<(), Fault> {
+    pub fn append(&mut self, record: &Record) -> Result<(), JournalError> {
         let line = encode(record);
         let share = if matches!(record, Record::Accepted(_)) { FULL } else { LAST };
         if self.size + line.len() as u64 > (self.most * share) as u64 {
-            return Err(Fault::Limit);
+            return Err(JournalError::CapacityExceeded);
         }
         self.mend()?;
         if let Err(fault) = self.tail.append(&line) {
@@ -190,14 +190,14 @@
     /// Guards against whole records behind a torn one, which no replay would reach.
     fn mend(&mut self) -> io::Result<()> {
         if self.torn {
-            self.tail.cut(self.size)?;
+            self.tail.truncate(self.size)?;
             self.torn = false;
         }
         Ok(())
     }
 
     /// Replaces the log by these records. Where this fails, the old one stands and goes on.
-    pub fn rewrite(&mut self, records: impl Iterator<Item = Record>) -> Result<(), Fault> {
+    pub fn compact(&mut self, records: impl Iterator<Item = Record>) -> Result<(), JournalError> {
         let done = self.write_anew(records);
         if done.is_err() {
             // Its half counts in the folder. Where even this fails, the next writing anew begins with it.
@@ -206,7 +206,7 @@
         done
     }
 
-    fn write_anew(&mut self, records: impl Iterator<Item = Record>) -> Result<(), Fault> {
+    fn write_anew(&mut self, records: impl Iterator<Item = Record>) -> Result<(), JournalError> {
         let mut tail = self.disk.create(FRESH)?;
         let (mut size, mut piece) = (0, Vec::with_capacity(PIECE));
         for record in records {
@@ -214,7 +214,7 @@
             if piece.len() >= PIECE {
                 size += piece.len() as u64;
                 if size > (self.most * FULL) as u64 {
-                    return Err(Fault::Limit);
+                    return Err(JournalError::CapacityExceeded);
                 }
                 tail.append(&piece)?;
                 piece.clear();
@@ -222,7 +222,7 @@
         }
         size += piece.len() as u64;
         if size > (self.most * FULL) as u64 {
-            return Err(Fault::Limit);
+            return Err(JournalError::CapacityExceeded);
         }
         tail.append(&piece)?;
         self.disk.rename(FRESH, NAME)?;
@@ -233,7 +233,7 @@
 }
 
 /// Bytes of this record in the log.
-pub fn size(record: &Record) -> u64 {
+pub fn encoded_len(record: &Record) -> u64 {
     encode(record).len() as u64
 }
 
@@ -243,7 +243,7 @@
         Record::Accepted(t) => {
             out.byte(1).num(t.id).text(&t.name).text(&t.origin).num(t.class.into()).num(t.tenant.into());
             out.byte(t.key.is_some().into()).num(t.key.unwrap_or(0)).num(t.dest).num(t.deadline);
-            out.text(&t.repeat_key).bytes(&t.body);
+            out.text(&t.idempotency_key).bytes(&t.body);
         }
         Record::AttemptStarted { id, at, zone, before } => {
             // Older programs read the lower half of the last number only.
@@ -252,7 +252,7 @@
         Record::AttemptEnded { id, may_have_run } => {
             out.byte(3).num(*id).byte((*may_have_run).into());
         }
-        Record::Completed { id, at, end } => {
+        Record::Completed { id, at, completion: end } => {
             let (kind, wait) = match end {
                 Completion::Delivered => (0, 0),
                 Completion::Withdrawn => (1, 0),
@@ -265,16 +265,16 @@
         Record::CallbackAcknowledged { id } => {
             out.byte(5).num(*id);
         }
-        Record::Deduplicated { name, repeat_key, until, delivered } => {
-            out.byte(6).text(name).text(repeat_key).num(*until).byte((*delivered).into());
+        Record::Deduplicated { name, idempotency_key, until, delivered } => {
+            out.byte(6).text(name).text(idempotency_key).num(*until).byte((*delivered).into());
         }
-        Record::Suspended { uid, out: away } => {
+        Record::Suspended { uid, suspended: away } => {
             out.byte(7).text(uid).byte((*away).into());
         }
-        Record::LateOutcome { id, at, how } => {
+        Record::LateOutcome { id, at, outcome: how } => {
             let how = match how {
                 LateOutcome::Delivered => 0,
-                LateOutcome::Over => 1,
+                LateOutcome::Final => 1,
                 LateOutcome::MayHaveRun => 2,
                 LateOutcome::NeverRan => 3,
             };
@@ -315,7 +315,7 @@
             let (id, name, origin) = (i.num()?, i.text()?, i.text()?);
             let (class, tenant) = (i.num()? as u32, i.num()? as u32);
             let (keyed, key) = (i.byte()? == 1, i.num()?);
-            let (dest, deadline, repeat_key) = (i.num()?, i.num()?, i.text()?);
+            let (dest, deadline, idempotency_key) = (i.num()?, i.num()?, i.text()?);
             let body = Bytes::copy_from_slice(i.bytes()?);
             let key = keyed.then_some(key);
             Record::Accepted(AcceptedMessage {
@@ -327,7 +327,7 @@
                 key,
                 dest,
                 deadline,
-                repeat_key,
+                idempotency_key,
                 body,
             })
         }
@@ -345,21 +345,21 @@
                 Completion::Deferred(None),
                 Completion::Deferred(Some(wait)),
             ];
-            Record::Completed { id, at, end: *ends.get(kind as usize)? }
+            Record::Completed { id, at, completion: *ends.get(kind as usize)? }
         }
         5 => Record::CallbackAcknowledged { id: i.num()? },
         6 => Record::Deduplicated {
             name: i.text()?,
-            repeat_key: i.text()?,
+            idempotency_key: i.text()?,
             until: i.num()?,
             delivered: i.byte()? == 1,
         },
-        7 => Record::Suspended { uid: i.text()?, out: i.byte()? == 1 },
+        7 => Record::Suspended { uid: i.text()?, suspended: i.byte()? == 1 },
         8 => {
             let (id, at, how) = (i.num()?, i.num()?, i.byte()?);
             let all =
-                [LateOutcome::Delivered, LateOutcome::Over, LateOutcome::MayHaveRun, LateOutcome::NeverRan];
-            Record::LateOutcome { id, at, how: *all.get(how as usize)? }
+                [LateOutcome::Delivered, LateOutcome::Final, LateOutcome::MayHaveRun, LateOutcome::NeverRan];
+            Record::LateOutcome { id, at, outcome: *all.get(how as usize)? }
         }
         9 => Record::Observed { uid: i.text()?, at: i.num()?, kind: i.byte()?, values: [i.num()?, i.num()?] },
         _ => return None,
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,8 +1,8 @@
 //! The daemon: wires its parts together and sees them through start and stop.
 #![forbid(unsafe_code)]
-use micaladder::flags::{self, Command, Run};
-use micaladder::takeover::turn::{Do, Seen, Stage, Turn, LOOK_EACH};
-use micaladder::takeover::{Folder, Hold, Left, Name};
+use micaladder::flags::{self, Command, RunFlags};
+use micaladder::takeover::state::{Action, Observed, State, StateMachine, POLL_INTERVAL};
+use micaladder::takeover::{FolderLock, LateOutcomeReader, LockName, SharedFolder};
 use micaladder::{
     acme, as2, backoff, callbacks, check, client, clock, config_error, core, discovery, exchange, journal,
     logger, mgmt, peers, plugins, reload, settings, upstream,
@@ -24,7 +24,7 @@
 );
 
 fn main() -> ExitCode {
-    let command = match flags::read(std::env::args_os()) {
+    let command = match flags::parse(std::env::args_os()) {
         Ok(command) => command,
         Err(said) => {
             // Also the texts that were asked for; a pipe that is closed is no reason to fail.
@@ -37,21 +37,23 @@
         Command::Check(files) => said(&check::all(&files), &files),
         Command::Fleet(what) => {
             let (look, every) = match &what {
-                flags::Fleet::Show(look) => (look, None),
-                flags::Fleet::Watch { look, every } => (look, Some(Duration::from_secs_f64(*every))),
+                flags::FleetCommand::Show(look) => (look, None),
+                flags::FleetCommand::Watch { query: look, every } => {
+                    (look, Some(Duration::from_secs_f64(*every)))
+                }
             };
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             runtime.map_or(ExitCode::FAILURE, |r| r.block_on(peers::look::run(look, every)))
         }
         Command::Completions(shell) => {
-            flags::complete(shell);
+            flags::write_completions(shell);
             ExitCode::SUCCESS
         }
     }
 }
 
 /// Says what is wrong, a line a fault.
-fn said(faults: &[config_error::ConfigError], files: &flags::Files) -> ExitCode {
+fn said(faults: &[config_error::ConfigError], files: &flags::FileFlags) -> ExitCode {
     faults.iter().for_each(|f| eprintln!("{f}"));
     if faults.is_empty() {
         println!("{}: good", files.config.display());
@@ -60,7 +62,7 @@
     ExitCode::FAILURE
 }
 
-fn start(settings: &Run) -> ExitCode {
+fn start(settings: &RunFlags) -> ExitCode {
     let log = &settings.log;
     logger::install(&log.filter, log.format, log.burst);
     let mut process = Process::default();
@@ -94,12 +96,15 @@
 
 /// Waits for the journal. A process that operators look after (`mgmt`) asks for it and stands ready at the clients' address.
 async fn own(
-    config: &settings::Config, folder: &Folder, turn: &mut Turn, asks: bool, terminate: &mut Signal,
-) -> Result<Option<(Hold, Option<TcpListener>)>, Box<dyn Error>> {
+    config: &settings::Config, folder: &SharedFolder, turn: &mut StateMachine, asks: bool,
+    terminate: &mut Signal,
+) -> Result<Option<(FolderLock, Option<TcpListener>)>, Box<dyn Error>> {
     let (mut next, mut listener, mut told) = (None, None, false);
     loop {
-        let owner = folder.hold(Name::Owner)?;
-        if turn.look(clock::now(), Seen { owns: owner.is_some(), ..Seen::default() }) == Some(Do::Serve) {
+        let owner = folder.try_lock(LockName::Owner)?;
+        if turn.step(clock::now(), Observed { lock_acquired: owner.is_some(), ..Observed::default() })
+            == Some(Action::StartServing)
+        {
             return Ok(owner.map(|o| (o, listener)));
         }
         if !told {
@@ -109,32 +114,32 @@
         if asks && next.is_none() {
             // Ready first: from when it asks, some clients come here.
             listener = listener.or(Some(client::listen(config.listen, true)?));
-            next = folder.hold(Name::Next)?;
+            next = folder.try_lock(LockName::Next)?;
         }
         tokio::select! {
             _ = terminate.recv() => return Ok(None),
-            () = tokio::time::sleep(LOOK_EACH) => {}
+            () = tokio::time::sleep(POLL_INTERVAL) => {}
         }
     }
 }
 
 /// Hears what the process before says of its calls, until nothing more comes from it.
-async fn hear_elder(mut left: Left, exchange: exchange::Exchange) {
+async fn hear_elder(mut left: LateOutcomeReader, exchange: exchange::Exchange) {
     loop {
         let (records, over) = left.read();
         exchange.predecessor_records(records, over);
         if over {
             // Guards what it says against a kill before it is in the journal.
             while exchange.is_release_blocked() {
-                tokio::time::sleep(LOOK_EACH).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
             return left.remove();
         }
-        tokio::time::sleep(LOOK_EACH).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn run(said: &Run, process: &mut Process) -> Result<Done, Box<dyn Error>> {
+async fn run(said: &RunFlags, process: &mut Process) -> Result<Done, Box<dyn Error>> {
     let config = settings::Config::read(said)?;
     if let (Some(at), None) = (config.mgmt, &process.mgmt) {
         // Before all that may take time: until this process serves, the answer is no.
@@ -143,11 +148,11 @@
     let mut terminate = signal(SignalKind::terminate())?;
     // Before anything is ready: without a handler, a SIGHUP ends the process.
     let hangup = signal(SignalKind::hangup())?;
-    let (folder, mut turn) = (Folder::open(&config.state)?, Turn::new());
+    let (folder, mut turn) = (SharedFolder::open(&config.state)?, StateMachine::new());
     let asks = process.mgmt.is_some() && !process.has_left;
     let owned = own(&config, &folder, &mut turn, asks, &mut terminate).await?;
     let Some((owner, listener)) = owned else { return Ok(Done::Ended) };
-    let left = folder.left();
+    let left = folder.open_late_outcomes();
     let journal = journal::Journal::open(&config.state, config.disk)?;
     let book = as2::book(&said.files.as2)?.map(Arc::new);
     let standing = book.as_ref().map(|b| b.members()).unwrap_or_default();
@@ -163,7 +168,7 @@
     let (moves, discovery) = tokio::sync::watch::channel(config.discovery.clone());
     let (told, list) = tokio::sync::watch::channel(config.known.rev);
     let changes = peers::Changes { list, discovery: discovery.clone() };
-    let fleet = peers::start(&said.files.neighbours, &config, &exchange, changes);
+    let fleet = peers::start(&said.files.peers, &config, &exchange, changes);
     tokio::spawn(reload::run(config.clone(), hangup, moves));
     tokio::spawn(callbacks::run(discovery.clone(), exchange.clone(), notices));
     let longest = discovery::timing::longest_pause(config.site.askers() > 1);
@@ -202,17 +207,25 @@
         // Nobody asks where no operator starts a second process; and then nothing is looked at.
         tokio::select! {
             _ = terminate.recv() => break,
-            () = tokio::time::sleep(turn.pause()), if shared => {}
+            () = tokio::time::sleep(turn.poll_interval()), if shared => {}
         }
         let clients = !serving.is_finished();
-        let (asked, bound) = (folder.is_held(Name::Next), exchange.is_release_blocked());
-        match turn.look(clock::now(), Seen { asked, clients, bound, ..Seen::default() }) {
+        let (asked, bound) = (folder.is_locked(LockName::Next), exchange.is_release_blocked());
+        match turn.step(
+            clock::now(),
+            Observed {
+                takeover_requested: asked,
+                clients_connected: clients,
+                release_blocked: bound,
+                ..Observed::default()
+            },
+        ) {
             None => {}
-            Some(Do::Close) => {
+            Some(Action::StopAccepting) => {
                 log::info!("another process asks for the folder: handing over");
                 exchange.keep_connections(false);
             }
-            Some(Do::Open) => {
+            Some(Action::ResumeAccepting) => {
                 log::warn!(
                     "the process that asked is gone, or the journal cannot be handed on: serving again"
                 );
@@ -220,13 +233,13 @@
                 exchange.keep_connections(true);
                 serving = open(client::listen(config.listen, shared)?);
             }
-            Some(Do::LetGo) => {
+            Some(Action::Release) => {
                 // Held before the journal is let go, or the next one would take these calls for lost.
-                let late = match folder.late() {
+                let late = match folder.create_late_outcomes() {
                     Ok(late) => late,
                     Err(fault) => {
                         log::error!("not handed over: {fault}");
-                        turn.stage = Stage::Closing { since: clock::now() };
+                        turn.state = State::Draining { since: clock::now() };
                         continue;
                     }
                 };
@@ -236,7 +249,7 @@
                 log::info!(calls = exchange.calls_in_flight(); "handed over; ending the calls that are out");
                 return Ok(end_calls(&exchange, &mut turn, &mut terminate).await);
             }
-            Some(Do::Serve | Do::Forget) => {}
+            Some(Action::StartServing | Action::Reset) => {}
         }
     }
     log::info!("told to end: finishing calls");
@@ -254,11 +267,11 @@
 }
 
 /// After a hand-over: until the calls that are out have ended, or the process is told to end and has no time left.
-async fn end_calls(exchange: &exchange::Exchange, turn: &mut Turn, terminate: &mut Signal) -> Done {
+async fn end_calls(exchange: &exchange::Exchange, turn: &mut StateMachine, terminate: &mut Signal) -> Done {
     let mut gone_by = None;
     loop {
-        let seen = Seen { calls: exchange.calls_in_flight() > 0, ..Seen::default() };
-        let forgets = turn.look(clock::now(), seen) == Some(Do::Forget);
+        let seen = Observed { calls_in_flight: exchange.calls_in_flight() > 0, ..Observed::default() };
+        let forgets = turn.step(clock::now(), seen) == Some(Action::Reset);
         if forgets || gone_by.is_some_and(|at| tokio::time::Instant::now() >= at) {
             log::info!("calls ended, or given up for lack of time");
             return if gone_by.is_some() { Done::Ended } else { Done::HandedOver };
@@ -268,7 +281,7 @@
                 log::info!("told to end: finishing calls");
                 gone_by = Some(tokio::time::Instant::now() + exchange::GONE_BY);
             }
-            () = tokio::time::sleep(LOOK_EACH) => {}
+            () = tokio::time::sleep(POLL_INTERVAL) => {}
         }
     }
 }
--- a/src/peers/look.rs
+++ b/src/peers/look.rs
@@ -32,8 +32,8 @@
 }
 
 /// Shows the fleet once, or each time that it has changed.
-pub async fn run(flags: &flags::Look, watch: Option<Duration>) -> ExitCode {
-    let trust = match Files::of(&flags.papers).map(Trust::new) {
+pub async fn run(flags: &flags::FleetQueryFlags, watch: Option<Duration>) -> ExitCode {
+    let trust = match Files::of(&flags.identity).map(Trust::new) {
         Some(Ok(trust)) => Arc::new(trust),
         Some(Err(fault)) => {
             eprintln!("{fault}");
@@ -41,7 +41,7 @@
         }
         None => return ExitCode::from(WRONG_FLAGS),
     };
-    let me = Me { name: "fleet".into(), group: flags.papers.group.clone(), fleet: None };
+    let me = Me { name: "fleet".into(), group: flags.identity.group.clone(), fleet: None };
     let dial = Dial { from: IpAddr::V4(Ipv4Addr::UNSPECIFIED), trust, me };
     let (mut last, mut agreed) = (None, None);
     let mut shut = false;
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -59,16 +59,16 @@
 /// Starts all of it; returns at once, with the way to the fleet. What cannot be started is logged, and the forwarder
 /// goes on without.
 pub fn start(
-    flags: &flags::Neighbours, config: &Config, exchange: &Exchange, changes: Changes,
+    flags: &flags::PeerFlags, config: &Config, exchange: &Exchange, changes: Changes,
 ) -> Option<Fleet> {
     let listen = flags.listen?;
     let off = |why: &dyn std::fmt::Display| log::error!("neighbours are off: {why}");
-    let Some(files) = trust::Files::of(&flags.papers) else {
+    let Some(files) = trust::Files::of(&flags.identity) else {
         off(&"they need a certificate, a key and an authority");
         return None;
     };
     let trust = Arc::new(Trust::new(files).inspect_err(|e| off(e)).ok()?);
-    let disk = journal::on(&config.state).inspect_err(|e| off(e)).ok()?;
+    let disk = journal::open_disk(&config.state).inspect_err(|e| off(e)).ok()?;
     let (name, seed) = (config.name.clone(), config.seed);
     if name.len() > NAME_MOST {
         off(&format_args!("a name of {} bytes, of {NAME_MOST} at the most", name.len()));
@@ -79,7 +79,7 @@
     let started = clock::now();
     let incarnation = memory.begin(started.0 / 1_000_000);
     let (fleet, wishes) = Fleet::new();
-    let me = Me { name: name.clone(), group: flags.papers.group.clone(), fleet: Some(fleet.clone()) };
+    let me = Me { name: name.clone(), group: flags.identity.group.clone(), fleet: Some(fleet.clone()) };
     let address = flags.advertise.unwrap_or(listen);
     let mut facts = Facts {
         zone: config.site.zones.get(config.site.module.zone).cloned().unwrap_or_default(),
@@ -94,7 +94,7 @@
     facts.zone.truncate(cut.unwrap_or(0));
     let setup = Setup {
         me: Member { address, name, incarnation },
-        group: flags.papers.group.clone(),
+        group: flags.identity.group.clone(),
         size: flags.size,
         seed,
         seeds: flags.seeds.clone(),
--- a/src/peers/trust.rs
+++ b/src/peers/trust.rs
@@ -91,7 +91,7 @@
 
 impl Files {
     /// Those that the command line names, where it names all.
-    pub fn of(flags: &flags::Papers) -> Option<Files> {
+    pub fn of(flags: &flags::PeerIdentityFlags) -> Option<Files> {
         let (certificate, key, authority) =
             (flags.certificate.clone()?, flags.key.clone()?, flags.authority.clone()?);
         Some(Files { certificate, key, authority })
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,7 +1,7 @@
 //! The configuration and the settings in it: read at the start and on SIGHUP, into what the program uses.
 pub mod check;
 
-use crate::flags::Run;
+use crate::flags::RunFlags;
 use crate::{Class, Effect, EndpointKind, IdempotencyScope, ListedRates, Nanos, Settings, ValueDecay};
 use hyper::http::uri::Authority;
 use miniserde::{json, Deserialize};
@@ -226,16 +226,16 @@
     }
 
     /// Reads the file that the command line names; what is said there comes first.
-    pub fn read(run: &Run) -> Result<Config, Box<dyn Error>> {
+    pub fn read(run: &RunFlags) -> Result<Config, Box<dyn Error>> {
         let path = run.files.config.clone();
         let file = read(&path)?;
         let listen = run.listen.map(|l| l.to_string());
         let mgmt = run.mgmt.map(|m| m.to_string());
         let before = Before {
-            name: run.before("name", run.name.clone(), &file.name),
-            listen: run.before("listen", listen, &file.listen),
-            discovery: run.before("discovery", run.discovery.clone(), &file.discovery),
-            mgmt: run.before("mgmt", mgmt, file.mgmt.as_deref().unwrap_or_default()),
+            name: run.override_for("name", run.name.clone(), &file.name),
+            listen: run.override_for("listen", listen, &file.listen),
+            discovery: run.override_for("discovery", run.discovery.clone(), &file.discovery),
+            mgmt: run.override_for("mgmt", mgmt, file.mgmt.as_deref().unwrap_or_default()),
         };
         Config::new(path, run.state.clone(), file, before)
     }
--- a/src/takeover/mod.rs
+++ b/src/takeover/mod.rs
@@ -7,7 +7,7 @@
 //! | `owner` | whoever owns the journal: no other process writes it |
 //! | `next` | a process that serves as soon as it may, and asks for the folder |
 //! | `late` | one that has let go and still has calls out; what came of them is in it |
-pub mod turn;
+pub mod state;
 
 use crate::journal::{self, Record};
 use std::fs::{File, OpenOptions, TryLockError};
@@ -17,7 +17,7 @@
 /// What went wrong with a file of the hand-over.
 #[derive(Debug, thiserror::Error)]
 #[error("{path}: {what}: {why}; see that this process may write the folder and that it has room")]
-pub struct Fault {
+pub struct TakeoverError {
     path: PathBuf,
     what: &'static str,
     why: io::Error,
@@ -25,25 +25,25 @@
 
 /// The lasting folder, as far as it is handed over.
 #[derive(Clone)]
-pub struct Folder(PathBuf);
+pub struct SharedFolder(PathBuf);
 
 /// A file that this process holds until this is dropped, or the process ends in whatever way.
-pub struct Hold(#[allow(dead_code, reason = "its lock lives as long as the open file")] File);
+pub struct FolderLock(#[allow(dead_code, reason = "its lock lives as long as the open file")] File);
 
 /// Which hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Name {
+pub enum LockName {
     /// The journal's owner.
     Owner,
     /// Who asks for it.
     Next,
 }
 
-impl Name {
+impl LockName {
     fn file(self) -> &'static str {
         match self {
-            Name::Owner => "owner",
-            Name::Next => "next",
+            LockName::Owner => "owner",
+            LockName::Next => "next",
         }
     }
 }
@@ -60,22 +60,22 @@
     }
 }
 
-impl Folder {
+impl SharedFolder {
     /// The folder at this path; made where it is not there.
     ///
     /// # Errors
     ///
     /// It cannot be made.
-    pub fn open(path: &Path) -> Result<Folder, Fault> {
-        let fault = |why| Fault { path: path.to_path_buf(), what: "no folder", why };
+    pub fn open(path: &Path) -> Result<SharedFolder, TakeoverError> {
+        let fault = |why| TakeoverError { path: path.to_path_buf(), what: "no folder", why };
         std::fs::create_dir_all(path).map_err(fault)?;
-        Ok(Folder(path.to_path_buf()))
+        Ok(SharedFolder(path.to_path_buf()))
     }
 
-    fn file(&self, name: &str, what: &'static str) -> Result<File, Fault> {
+    fn file(&self, name: &str, what: &'static str) -> Result<File, TakeoverError> {
         let path = self.0.join(name);
         let opened = OpenOptions::new().create(true).read(true).append(true).open(&path);
-        opened.map_err(|why| Fault { path, what, why })
+        opened.map_err(|why| TakeoverError { path, what, why })
     }
 
     /// Takes a hold; none while another process has it.
@@ -83,15 +83,15 @@
     /// # Errors
     ///
     /// The file cannot be opened or locked.
-    pub fn hold(&self, name: Name) -> Result<Option<Hold>, Fault> {
+    pub fn try_lock(&self, name: LockName) -> Result<Option<FolderLock>, TakeoverError> {
         let file = self.file(name.file(), "cannot be opened")?;
         let got = locked(file.try_lock());
-        let fault = |why| Fault { path: self.0.join(name.file()), what: "cannot be locked", why };
-        Ok(got.map_err(fault)?.then_some(Hold(file)))
+        let fault = |why| TakeoverError { path: self.0.join(name.file()), what: "cannot be locked", why };
+        Ok(got.map_err(fault)?.then_some(FolderLock(file)))
     }
 
     /// Whether another process holds it. A file that is not there, or cannot be asked, is held by nobody.
-    pub fn is_held(&self, name: Name) -> bool {
+    pub fn is_locked(&self, name: LockName) -> bool {
         let Ok(file) = File::open(self.0.join(name.file())) else { return false };
         matches!(locked(file.try_lock_shared()), Ok(false))
     }
@@ -101,31 +101,31 @@
     /// # Errors
     ///
     /// The file cannot be made, or an earlier process still holds it.
-    pub fn late(&self) -> Result<Late, Fault> {
+    pub fn create_late_outcomes(&self) -> Result<LateOutcomeWriter, TakeoverError> {
         let file = self.file(LATE, "cannot be opened")?;
-        let fault = |why| Fault { path: self.0.join(LATE), what: "cannot be held", why };
+        let fault = |why| TakeoverError { path: self.0.join(LATE), what: "cannot be held", why };
         match locked(file.try_lock()).map_err(fault)? {
             true => file.set_len(0).map_err(fault)?,
             false => return Err(fault(io::Error::other("an earlier process still has calls out"))),
         }
-        Ok(Late { file })
+        Ok(LateOutcomeWriter { file })
     }
 
     /// What an earlier process leaves behind, where it does.
-    pub fn left(&self) -> Option<Left> {
+    pub fn open_late_outcomes(&self) -> Option<LateOutcomeReader> {
         let file = OpenOptions::new().read(true).open(self.0.join(LATE)).ok()?;
-        Some(Left { file, read: 0, path: self.0.join(LATE) })
+        Some(LateOutcomeReader { file, read: 0, path: self.0.join(LATE) })
     }
 }
 
 /// What comes of the calls of a process that has let go, in the journal's own form.
-pub struct Late {
+pub struct LateOutcomeWriter {
     file: File,
 }
 
-impl Late {
+impl LateOutcomeWriter {
     /// Adds a record. One that cannot be written is passed over: then that call may have run, as after a kill.
-    pub fn add(&mut self, record: &Record) {
+    pub fn append(&mut self, record: &Record) {
         if let Err(e) = self.file.write_all(&journal::encode(record)) {
             log::error!("what came of a call cannot be handed on: {e}; it counts as one that may have run");
         }
@@ -133,13 +133,13 @@
 }
 
 /// The same, as the new process reads it.
-pub struct Left {
+pub struct LateOutcomeReader {
     file: File,
     read: u64,
     path: PathBuf,
 }
 
-impl Left {
+impl LateOutcomeReader {
     /// What is new, and whether nothing more will come: the process that wrote it has ended or has no call out.
     pub fn read(&mut self) -> (Vec<Record>, bool) {
         // Before the reading: what was written before the lock fell is then all there.
--- a/src/takeover/turn.rs
+++ b/src/takeover/state.rs
@@ -7,102 +7,108 @@
 /// How long client connections may take to end before the journal is let go; what comes on those that are left is
 /// refused then. With the times between two looks at the locks it stays under the 400 ms that a client waits for its
 /// answer, which is how long one may stand in the queue of the process that does not own the journal yet.
-pub const CLOSE_FOR: Nanos = Nanos(150_000_000);
+pub const DRAIN_TIMEOUT: Nanos = Nanos(150_000_000);
 /// The time between two looks at the locks, of a process that waits for something; and of one that serves,
 /// which looks all its life and mostly in vain.
-pub const LOOK_EACH: Duration = Duration::from_millis(20);
-pub const LOOK_SERVING: Duration = Duration::from_millis(50);
+pub const POLL_INTERVAL: Duration = Duration::from_millis(20);
+pub const SERVING_POLL_INTERVAL: Duration = Duration::from_millis(50);
 const _: () = assert!(
-    LOOK_SERVING.as_nanos() + 2 * LOOK_EACH.as_nanos() + (CLOSE_FOR.0 as u128) < 300_000_000,
+    SERVING_POLL_INTERVAL.as_nanos() + 2 * POLL_INTERVAL.as_nanos() + (DRAIN_TIMEOUT.0 as u128) < 300_000_000,
     "a client waits 0.4 s"
 );
 
 /// Where a process stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Stage {
+pub enum State {
     /// It does not own the journal, and waits for it.
-    Waiting,
+    WaitingForLock,
     /// It owns the journal and takes clients.
     Serving,
     /// It owns the journal, takes on what still comes on connections that it has, and takes no new ones.
-    Closing {
+    Draining {
         /// Since when.
         since: Nanos,
     },
     /// It has let the journal go, and waits for the ends of its calls.
-    Left,
+    Released,
 }
 
 /// What it sees.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Seen {
+pub struct Observed {
     /// The owner's lock was free, and is now its own. Looked at in `Waiting` alone.
-    pub owns: bool,
+    pub lock_acquired: bool,
     /// Another process asks for the folder.
-    pub asked: bool,
+    pub takeover_requested: bool,
     /// Client connections are open.
-    pub clients: bool,
+    pub clients_connected: bool,
     /// It has calls out.
-    pub calls: bool,
+    pub calls_in_flight: bool,
     /// What it owes cannot be handed on now: the journal cannot be written, or an earlier process's calls are still out.
-    pub bound: bool,
+    pub release_blocked: bool,
 }
 
 /// What it is to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Do {
+pub enum Action {
     /// Read the journal, take clients.
-    Serve,
+    StartServing,
     /// Take no new client connections, and end those that are between requests.
-    Close,
+    StopAccepting,
     /// Take clients again.
-    Open,
+    ResumeAccepting,
     /// Write what it knows into `late` and hold it; then take nothing on any more, start no attempt, let the owner's lock go.
-    LetGo,
+    Release,
     /// Let `late` go, and forget all: the journal is another's.
-    Forget,
+    Reset,
 }
 
 /// One process's turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Turn {
+pub struct StateMachine {
     /// Where it stands.
-    pub stage: Stage,
+    pub state: State,
 }
 
-impl Turn {
+impl StateMachine {
     /// A process that has just started, or has been forgotten.
-    pub fn new() -> Turn {
-        Turn { stage: Stage::Waiting }
+    pub fn new() -> StateMachine {
+        StateMachine { state: State::WaitingForLock }
     }
 
     /// How long until the next look.
-    pub fn pause(&self) -> Duration {
-        match self.stage {
-            Stage::Serving => LOOK_SERVING,
-            Stage::Waiting | Stage::Closing { .. } | Stage::Left => LOOK_EACH,
+    pub fn poll_interval(&self) -> Duration {
+        match self.state {
+            State::Serving => SERVING_POLL_INTERVAL,
+            State::WaitingForLock | State::Draining { .. } | State::Released => POLL_INTERVAL,
         }
     }
 
     /// Looks, and says what is to be done now; nothing changes by itself in between.
-    pub fn look(&mut self, now: Nanos, seen: Seen) -> Option<Do> {
-        let (stage, what) = match self.stage {
-            Stage::Waiting if seen.owns => (Stage::Serving, Do::Serve),
+    pub fn step(&mut self, now: Nanos, observed: Observed) -> Option<Action> {
+        let (stage, what) = match self.state {
+            State::WaitingForLock if observed.lock_acquired => (State::Serving, Action::StartServing),
             // Guards what is owed: a journal that cannot be written is not handed on.
-            Stage::Serving if seen.asked && !seen.bound => (Stage::Closing { since: now }, Do::Close),
+            State::Serving if observed.takeover_requested && !observed.release_blocked => {
+                (State::Draining { since: now }, Action::StopAccepting)
+            }
             // A new one that does not come up, or a disk that fails, leaves this one serving.
-            Stage::Closing { .. } if !seen.asked || seen.bound => (Stage::Serving, Do::Open),
-            Stage::Closing { since } if !seen.clients || now - since >= CLOSE_FOR => (Stage::Left, Do::LetGo),
-            Stage::Left if !seen.calls => (Stage::Waiting, Do::Forget),
-            Stage::Waiting | Stage::Serving | Stage::Closing { .. } | Stage::Left => return None,
+            State::Draining { .. } if !observed.takeover_requested || observed.release_blocked => {
+                (State::Serving, Action::ResumeAccepting)
+            }
+            State::Draining { since } if !observed.clients_connected || now - since >= DRAIN_TIMEOUT => {
+                (State::Released, Action::Release)
+            }
+            State::Released if !observed.calls_in_flight => (State::WaitingForLock, Action::Reset),
+            State::WaitingForLock | State::Serving | State::Draining { .. } | State::Released => return None,
         };
-        self.stage = stage;
+        self.state = stage;
         Some(what)
     }
 }
 
-impl Default for Turn {
-    fn default() -> Turn {
-        Turn::new()
+impl Default for StateMachine {
+    fn default() -> StateMachine {
+        StateMachine::new()
     }
 }
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -109,7 +109,7 @@
         key: None,
         dest: 7,
         deadline,
-        repeat_key: String::new(),
+        idempotency_key: String::new(),
         body: vec![b'x'; 1024].into(),
     })
 }
