--- a/benches/held.rs
+++ b/benches/held.rs
@@ -3,7 +3,7 @@
 //!
 //! `cargo bench --bench held` takes about a minute and 3 GB.
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
-use micaladder::core::{Answer, Core, Endpoint, Input, Output};
+use micaladder::core::{Answer, Core, CoreOptions, Endpoint, Input, Output, Predecessor};
 use micaladder::journal::{Disk, Journal, Tail};
 use micaladder::plugins::Plugins;
 use micaladder::request::RequestContext;
@@ -100,8 +100,17 @@
 impl World {
     fn new(held: usize, max_pending: usize) -> World {
         let now = Nanos::from_secs(1000.0);
-        let journal = Journal::on(Box::new(Nowhere), 1 << 50).expect("it takes everything");
-        let core = Core::new(&site(max_pending), 7, Vec::new(), Plugins::none(), journal, false, now);
+        let (journal, records) = Journal::on(Box::new(Nowhere), 1 << 50).expect("it takes everything");
+        let core = Core::new(CoreOptions {
+            site: site(max_pending),
+            seed: 7,
+            static_endpoints: Vec::new(),
+            plugins: Plugins::none(),
+            journal,
+            records,
+            predecessor: Predecessor::None,
+            now,
+        });
         let mut world = World { core, now, next: 0, out: VecDeque::new(), heard: Vec::new() };
         let member = |dest: u64| Endpoint {
             uid: format!("s-{dest}"),
@@ -112,7 +121,7 @@
             state: EndpointState::Running,
             rate: 50.0,
         };
-        world.step(vec![Input::Endpoints { complete: true, members: (0..PARTNERS).map(member).collect() }]);
+        world.step(vec![Input::Endpoints { complete: true, endpoints: (0..PARTNERS).map(member).collect() }]);
         for _ in 0..held.div_ceil(1000) {
             let inputs = (0..1000.min(held)).map(|_| world.hand_in()).collect();
             world.step(inputs);
@@ -125,18 +134,18 @@
         self.next += 1;
         let (name, class) = (format!("m{}", self.next), (self.next % 3) as usize);
         // Ten of a key wait behind each other.
-        let key = (class == 0).then_some(self.next / 30);
-        let repeat_key = if class == 0 { format!("key-{name}") } else { String::new() };
+        let ordering_key = (class == 0).then_some(self.next / 30);
+        let idempotency_key = if class == 0 { format!("key-{name}") } else { String::new() };
         let deadline = self.now + Nanos::from_secs(9e5);
         let context = RequestContext {
             name,
             origin: String::new(),
             class,
             tenant: 0,
-            key,
+            ordering_key,
             dest: self.next % PARTNERS,
             deadline,
-            repeat_key,
+            idempotency_key,
             body: Vec::new().into(),
             tags: Vec::new(),
         };
--- a/src/callbacks.rs
+++ b/src/callbacks.rs
@@ -105,7 +105,12 @@
         }
     }
     for notice in &batch {
-        log::debug!("told of {}: {:?}, after {} ms", notice.name, notice.end, begun.elapsed().as_millis());
+        log::debug!(
+            "told of {}: {:?}, after {} ms",
+            notice.name,
+            notice.completion,
+            begun.elapsed().as_millis()
+        );
         exchange.callback_acknowledged(notice.id);
     }
 }
@@ -133,7 +138,7 @@
 
 fn line(notice: &Callback) -> String {
     let id = miniserde::json::to_string(&notice.name);
-    match notice.end {
+    match notice.completion {
         Completion::Deferred(Some(ms)) => {
             format!("{{\"id\":{id},\"status\":\"deferred\",\"again_ms\":{ms}}}\n")
         }
--- a/src/client/as2.rs
+++ b/src/client/as2.rs
@@ -126,18 +126,18 @@
         let class = place(&self.site.classes, &partner.class)?;
         let rules = &self.site.module.classes[class];
         let name = format!("{PREFIX}{}:{message}", partner.name);
-        let key = (rules.fifo_by_key && !subject.is_empty()).then(|| {
+        let ordering_key = (rules.fifo_by_key && !subject.is_empty()).then(|| {
             let mut hasher = DefaultHasher::new();
             (&partner.name, subject).hash(&mut hasher);
             hasher.finish()
         });
         Some(RequestContext {
-            repeat_key: name.clone(),
+            idempotency_key: name.clone(),
             name,
             origin,
             class,
             tenant: place(&self.site.tenants, &partner.tenant)?,
-            key,
+            ordering_key,
             dest: partner.forward_to?,
             deadline: clock::now() + rules.deadline,
             body: payload.into(),
@@ -206,7 +206,7 @@
     let origin: Origin = json::from_str(&notice.origin).map_err(|_| "its origin cannot be read")?;
     let partner = book.partner(&origin.partner).ok_or("its sender is a partner no more")?;
     let url = partner.receipts_to.as_deref().ok_or("its sender has no place for receipts any more")?;
-    let error = if notice.end == Completion::Delivered { "" } else { "unexpected-processing-error" };
+    let error = if notice.completion == Completion::Delivered { "" } else { "unexpected-processing-error" };
     let entity = written(book, &origin.message, error, Some(origin.mic), origin.signed)?;
     offer(client, book, url, &origin.message, entity).await;
     Ok(())
--- a/src/client/platform.rs
+++ b/src/client/platform.rs
@@ -98,9 +98,9 @@
     }
     let dest = text("x-envelope")?.and_then(dest).ok_or(bad("X-Envelope names no dest"))?;
     let rules = &site.module.classes[class];
-    let key = text("x-key")?.filter(|_| rules.fifo_by_key).map(number);
-    let repeat_key = text("idempotency-key")?.unwrap_or_default();
-    if repeat_key.is_empty() && matches!(rules.effect, Effect::IdempotentByKey { .. }) {
+    let ordering_key = text("x-key")?.filter(|_| rules.fifo_by_key).map(number);
+    let idempotency_key = text("idempotency-key")?.unwrap_or_default();
+    if idempotency_key.is_empty() && matches!(rules.effect, Effect::IdempotentByKey { .. }) {
         return Err(bad("Idempotency-Key is missing"));
     }
     Ok(RequestContext {
@@ -108,10 +108,10 @@
         origin: String::new(),
         class,
         tenant,
-        key,
+        ordering_key,
         dest,
         deadline: clock::now() + deadline.min(rules.deadline),
-        repeat_key: repeat_key.to_string(),
+        idempotency_key: idempotency_key.to_string(),
         body,
         tags: Vec::new(),
     })
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -4,9 +4,9 @@
 use super::Core;
 use crate::interface::{Action, Event, MessageId, Nanos};
 use crate::journal::{self, Completion, Record};
-use crate::metrics::Ending;
+use crate::metrics::MessageResult;
 use crate::plugins::Verdict;
-use crate::request::{Outlook, RequestContext};
+use crate::request::{RequestContext, RequestDetails};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
     /// Decides what can be told at once; else hands the message to the module, and gives its id.
     pub(super) fn handed(&mut self, id: MessageId, mut context: RequestContext) -> Option<MessageId> {
         let (weight, class) = (weigh(&context), context.class);
-        let answer = if let Some(delivered) = self.ended.delivered(&context.name, &context.repeat_key) {
+        let answer = if let Some(delivered) = self.ended.delivered(&context.name, &context.idempotency_key) {
             if delivered {
                 Answer::Delivered
             } else {
@@ -47,7 +47,7 @@
                 self.room_log = self.now + LOG_EACH;
             }
             Answer::Reject(self.rejection_retry_after())
-        } else if let Verdict::Pass(tags) = self.plugins.request(&context, self.outlook(&context)) {
+        } else if let Verdict::Pass(tags) = self.plugins.on_request(&context, self.details(&context)) {
             context.tags = tags;
             self.keep(id, context);
             if !self.stands_behind(id) {
@@ -68,11 +68,11 @@
         self.settings.retry_after.map(|top| Nanos::from_secs(1.0).min(top))
     }
 
-    pub(super) fn outlook(&self, context: &RequestContext) -> Outlook<'_> {
-        Outlook {
+    pub(super) fn details(&self, context: &RequestContext) -> RequestDetails<'_> {
+        RequestDetails {
             class: self.site.classes.get(context.class).map_or("", String::as_str),
             tenant: self.site.tenants.get(context.tenant).map_or("", String::as_str),
-            left: context.deadline - self.now,
+            time_left: context.deadline - self.now,
         }
     }
 
@@ -130,12 +130,12 @@
     fn answered(&mut self, id: MessageId, class: usize, answer: Answer) {
         let ending = match answer {
             Answer::Accepted => None,
-            Answer::Delivered => Some(Ending::Fulfilled),
-            Answer::Reject(_) => Some(Ending::Throttled),
-            Answer::UnknownDestination | Answer::Failed => Some(Ending::Faulted),
+            Answer::Delivered => Some(MessageResult::Fulfilled),
+            Answer::Reject(_) => Some(MessageResult::Throttled),
+            Answer::UnknownDestination | Answer::Failed => Some(MessageResult::Faulted),
         };
         if let Some(ending) = ending {
-            self.metrics.ended(class, ending);
+            self.metrics.record_result(class, ending);
         }
         self.orders.push(Output::Answer(id, answer));
     }
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -15,7 +15,8 @@
 
 /// Whether a call that carries `most` messages takes this one too.
 fn fits(call: &[Attempt], one: &Attempt, most: usize) -> bool {
-    let size = |t: &Attempt| t.context.name.len() + t.context.repeat_key.len() + t.context.body.len() + LINE;
+    let size =
+        |t: &Attempt| t.context.name.len() + t.context.idempotency_key.len() + t.context.body.len() + LINE;
     call.len() < most && call.iter().chain([one]).map(size).sum::<usize>() <= CALL_MOST
 }
 
@@ -64,7 +65,7 @@
             h.attempts -= 1;
         }
         self.ran(id, may_have_run);
-        self.plugins.outcome(&context, self.outlook(&context), &plugins::outcome_text(outcome));
+        self.plugins.on_outcome(&context, self.details(&context), &plugins::outcome_text(outcome));
         self.events.push(Event::AttemptEnded(AttemptEnded { id, attempt, outcome, over, took, report }));
         if outcome == Outcome::Ok || over {
             let end = if outcome == Outcome::Ok { self.delivered(&context) } else { Completion::Withdrawn };
@@ -111,7 +112,7 @@
         for id in std::mem::take(&mut self.held_back) {
             let Some(h) = self.held.get_mut(&id) else { continue };
             let Some(out) = h.out.as_mut().filter(|o| o.stage == Stage::HeldBack) else { continue };
-            if let Some(key) = h.context.key.filter(|k| self.unheard.contains_key(k)) {
+            if let Some(key) = h.context.ordering_key.filter(|k| self.unheard.contains_key(k)) {
                 self.parked.entry(key).or_default().push(id);
                 continue;
             }
@@ -123,7 +124,7 @@
             let address = self.hosts.get(&host).map(|m| m.address.clone()).unwrap_or_default();
             let once =
                 self.settings.classes.get(context.class).is_some_and(|c| c.effect == Effect::AtMostOnce);
-            let one = Attempt { id, attempt, host, address, timeout, once, context };
+            let one = Attempt { id, attempt, host, address, timeout, at_most_once: once, context };
             let most = self.max_batch(host);
             let open = (most > 1).then(|| calls.iter_mut().rfind(|call| call[0].host == host)).flatten();
             match open.filter(|call| fits(call, &one, most)) {
@@ -153,7 +154,7 @@
             return false;
         }
         out.stage = Stage::Sent;
-        self.metrics.relayed(h.context.class);
+        self.metrics.record_relayed(h.context.class);
         log::debug!(message = h.context.name, "try" = attempt, dest = h.context.dest; "first byte");
         true
     }
--- a/src/core/completions.rs
+++ b/src/core/completions.rs
@@ -33,7 +33,7 @@
         let end = if written { end } else { self.end_unwritten(&context, end) };
         self.close(id, end);
         if let Some(ending) = ending(end) {
-            self.metrics.ended(context.class, ending);
+            self.metrics.record_result(context.class, ending);
         }
         let Some(h) = self.held.get_mut(&id) else { return };
         let word = owes_word(&context, end).then(|| Output::Callback(h.notice(id, end)));
@@ -67,7 +67,7 @@
         let Some(h) = self.held.get_mut(&id) else { return };
         h.end = Some(end);
         self.open -= 1;
-        if let Some(key) = h.context.key {
+        if let Some(key) = h.context.ordering_key {
             *self.unheard.entry(key).or_default() += 1;
         }
     }
@@ -75,7 +75,7 @@
     pub(super) fn heard(&mut self, id: MessageId) {
         let Some(h) = self.held.get_mut(&id).filter(|h| h.end.is_some() && !h.heard) else { return };
         h.heard = true;
-        let key = h.context.key;
+        let key = h.context.ordering_key;
         self.free(key);
         self.drop_if_done(id);
     }
@@ -103,7 +103,7 @@
             _ => Nanos(0),
         };
         let until = context.deadline.max(at + window) + REMEMBER;
-        let (name, repeat_key) = (context.name.clone(), context.repeat_key.clone());
+        let (name, repeat_key) = (context.name.clone(), context.idempotency_key.clone());
         self.ended.forget(self.now);
         self.ended.add(name, repeat_key, until, end == Completion::Delivered);
     }
@@ -122,7 +122,7 @@
             self.weight -= h.weight;
             match h.end {
                 None => self.open -= 1,
-                Some(_) if !h.heard => self.free(h.context.key),
+                Some(_) if !h.heard => self.free(h.context.ordering_key),
                 Some(_) => {}
             }
             if self.names.get(&h.context.name) == Some(&id) {
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -46,7 +46,7 @@
 pub enum Input {
     Endpoints {
         complete: bool,
-        members: Vec<Endpoint>,
+        endpoints: Vec<Endpoint>,
     },
     Submitted {
         id: MessageId,
@@ -87,7 +87,7 @@
     pub address: String,
     pub timeout: Nanos,
     /// It must not run twice: giving it up forfeits it.
-    pub once: bool,
+    pub at_most_once: bool,
     pub context: Arc<RequestContext>,
 }
 
@@ -98,7 +98,7 @@
     pub name: String,
     /// The front that is to pass it on; empty for the platform's own.
     pub origin: String,
-    pub end: Completion,
+    pub completion: Completion,
 }
 
 /// What is to be done.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -35,6 +35,36 @@
 use std::sync::Arc;
 use takeover::Elders;
 
+/// What a core needs to start.
+pub struct CoreOptions {
+    /// Settings of the decision module, and the names of classes, tenants, zones and endpoint kinds.
+    pub site: Arc<Site>,
+    /// Seed of the decision module's random numbers.
+    pub seed: u64,
+    /// Endpoints that discovery does not list; they are added to each complete endpoint list.
+    pub static_endpoints: Vec<Endpoint>,
+    /// Scripts that see each request and each outcome.
+    pub plugins: Plugins,
+    /// The journal, open for appending.
+    pub journal: Journal,
+    /// The records that the journal held when it was opened.
+    pub records: Vec<Record>,
+    /// Whether the process that wrote the journal may still have calls in flight.
+    pub predecessor: Predecessor,
+    /// Unix time of the start.
+    pub now: Nanos,
+}
+
+/// The process that wrote the journal before this one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Predecessor {
+    /// It has ended: whatever it had in flight may have run.
+    None,
+    /// It released the journal in a takeover and may still have calls in flight, whose outcomes it reports.
+    MayHaveCalls,
+}
+
+/// Pending messages, their attempts and their completions: drives the decision module and the journal.
 pub struct Core {
     settings: Settings,
     balancer: Balancer,
@@ -84,19 +114,18 @@
 }
 
 impl Core {
-    /// Takes up what the journal says is still owed. `elder`: the process that wrote it may still have calls out, and says
-    /// what comes of them.
-    pub fn new(
-        site: &Arc<Site>, seed: u64, standing: Vec<Endpoint>, plugins: Plugins,
-        (journal, records): (Journal, Vec<Record>), elder: bool, now: Nanos,
-    ) -> Core {
+    /// Creates a core that resumes all messages of the journal that are not complete.
+    pub fn new(options: CoreOptions) -> Core {
+        let CoreOptions { site, seed, static_endpoints, plugins, journal, records, predecessor, now } =
+            options;
         let settings = site.module.clone();
+        let metrics = Arc::new(Metrics::new(&site.classes));
         let mut core = Core {
             balancer: Balancer::new(settings.clone(), seed),
             settings,
             ledger: Ledger::new(journal),
             plugins,
-            site: site.clone(),
+            site,
             held: BTreeMap::new(),
             open: 0,
             unheard: HashMap::new(),
@@ -108,7 +137,7 @@
             hosts: BTreeMap::new(),
             leaving: BTreeSet::new(),
             next_host: 0,
-            standing,
+            standing: static_endpoints,
             uids: HashMap::new(),
             suspended: BTreeSet::new(),
             retired: VecDeque::new(),
@@ -122,12 +151,12 @@
             resting: false,
             paused: false,
             room_log: Nanos(0),
-            metrics: Arc::new(Metrics::new(&site.classes)),
+            metrics,
             elders: Elders::default(),
             count_at: None,
         };
         records.into_iter().for_each(|r| core.replay(r));
-        core.resume(elder);
+        core.resume(predecessor);
         core
     }
 
@@ -166,7 +195,7 @@
         let mut handed = Vec::new();
         for input in inputs {
             match input {
-                Input::Endpoints { complete, members } => self.group(complete, members),
+                Input::Endpoints { complete, endpoints } => self.group(complete, endpoints),
                 Input::Submitted { id, context } => handed.extend(self.handed(id, context)),
                 Input::Withdrawn(id) => self.withdrawn(id),
                 Input::AttemptEnded { id, attempt, outcome, over, report } => {
--- a/src/core/pending.rs
+++ b/src/core/pending.rs
@@ -48,14 +48,14 @@
             id,
             class: c.class,
             tenant: c.tenant,
-            key: c.key,
+            key: c.ordering_key,
             dest: DestinationId(c.dest),
             deadline: c.deadline,
         }
     }
 
     pub(super) fn notice(&self, id: MessageId, end: Completion) -> Callback {
-        Callback { id, name: self.context.name.clone(), origin: self.context.origin.clone(), end }
+        Callback { id, name: self.context.name.clone(), origin: self.context.origin.clone(), completion: end }
     }
 
     pub(super) fn taken(&self, id: MessageId) -> AcceptedMessage {
@@ -66,10 +66,10 @@
             origin: c.origin.clone(),
             class: c.class as u32,
             tenant: c.tenant as u32,
-            key: c.key,
+            key: c.ordering_key,
             dest: c.dest,
             deadline: c.deadline.0,
-            repeat_key: c.repeat_key.clone(),
+            repeat_key: c.idempotency_key.clone(),
             body: c.body.clone(),
         }
     }
@@ -109,7 +109,7 @@
 
 /// Bytes that the journal must keep for a message.
 pub(super) fn weigh(c: &RequestContext) -> u64 {
-    Journal::weight(&c.name, &c.origin, &c.repeat_key, c.body.len())
+    Journal::weight(&c.name, &c.origin, &c.idempotency_key, c.body.len())
 }
 
 /// Whether somebody is still to be told of this end.
--- a/src/core/restart.rs
+++ b/src/core/restart.rs
@@ -1,7 +1,7 @@
 //! What the journal says at a start: messages that are still owed, and attempts that may have run.
 use super::messages::Output;
 use super::pending::{owes_word, Out, Stage};
-use super::Core;
+use super::{Core, Predecessor};
 use crate::interface::{EndpointId, MessageId, Nanos};
 use crate::journal::Record;
 use crate::request::RequestContext;
@@ -17,10 +17,10 @@
                     origin: t.origin,
                     class: t.class as usize,
                     tenant: t.tenant as usize,
-                    key: t.key,
+                    ordering_key: t.key,
                     dest: t.dest,
                     deadline: Nanos(t.deadline),
-                    repeat_key: t.repeat_key,
+                    idempotency_key: t.repeat_key,
                     body: t.body,
                     tags: Vec::new(),
                 };
@@ -61,7 +61,8 @@
         }
     }
 
-    pub(super) fn resume(&mut self, elder: bool) {
+    pub(super) fn resume(&mut self, predecessor: Predecessor) {
+        let elder = predecessor == Predecessor::MayHaveCalls;
         let out: Vec<MessageId> =
             self.held.iter().filter(|(_, h)| h.out.is_some()).map(|(id, _)| *id).collect();
         if elder {
--- a/src/core/suspensions.rs
+++ b/src/core/suspensions.rs
@@ -5,7 +5,7 @@
     DestinationId, EndpointEntry, EndpointId, EndpointState, Event, Finding, Nanos, Observation,
 };
 use crate::journal::{Completion, Record};
-use crate::metrics::{Ending, Metrics};
+use crate::metrics::{MessageResult, Metrics};
 use std::sync::Arc;
 
 /// Endpoints that are out by hand at once, and those remembered that are listed no more. Bounds what the journal keeps.
@@ -28,11 +28,11 @@
 }
 
 /// How a message's end is counted; none where its client ended it.
-pub(super) fn ending(end: Completion) -> Option<Ending> {
+pub(super) fn ending(end: Completion) -> Option<MessageResult> {
     match end {
-        Completion::Delivered => Some(Ending::Fulfilled),
-        Completion::Undeliverable => Some(Ending::Faulted),
-        Completion::Deferred(_) => Some(Ending::Throttled),
+        Completion::Delivered => Some(MessageResult::Fulfilled),
+        Completion::Undeliverable => Some(MessageResult::Faulted),
+        Completion::Deferred(_) => Some(MessageResult::Throttled),
         Completion::Withdrawn => None,
     }
 }
@@ -96,7 +96,7 @@
     }
 
     /// The metrics, which are kept up from now on.
-    pub fn metrics(&mut self, now: Nanos) -> Arc<Metrics> {
+    pub fn enable_metrics(&mut self, now: Nanos) -> Arc<Metrics> {
         self.count_at = Some(now);
         self.wake = Some(now);
         self.metrics.clone()
@@ -105,7 +105,7 @@
     /// Keeps the metrics up that tell how things stand, where somebody is shown them.
     pub(super) fn count(&mut self) {
         let Some(at) = self.count_at else { return };
-        self.metrics.set_open(self.open);
+        self.metrics.set_open_requests(self.open);
         if self.now >= at {
             self.count_at = Some(self.now + COUNT_EACH);
             let listed = self.hosts.iter().filter(|(_, m)| m.state != EndpointState::Removed);
--- a/src/core/takeover.rs
+++ b/src/core/takeover.rs
@@ -111,7 +111,7 @@
     pub(super) fn leave_to_elder(&mut self, ids: &[MessageId]) {
         self.elders.out.extend(ids);
         for id in ids {
-            if let Some(key) = self.held.get(id).and_then(|h| h.context.key) {
+            if let Some(key) = self.held.get(id).and_then(|h| h.context.ordering_key) {
                 self.elders.behind.entry(key).or_default();
                 self.elders.keys.insert(*id, key);
             }
@@ -121,7 +121,7 @@
 
     /// Whether the module hears of this message only later, since one of its key is still out at the elder.
     pub(super) fn stands_behind(&mut self, id: MessageId) -> bool {
-        let key = self.held.get(&id).and_then(|h| h.context.key);
+        let key = self.held.get(&id).and_then(|h| h.context.ordering_key);
         let Some(line) = key.and_then(|k| self.elders.behind.get_mut(&k)) else { return false };
         line.push(id);
         true
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -240,8 +240,17 @@
     }
 
     fn start(disk: &ModelDisk, most: u64, seed: u64, now: Nanos) -> Core {
-        let journal = Journal::on(Box::new(disk.clone()), most).expect("it opens");
-        let mut core = Core::new(&site(), seed, Vec::new(), Plugins::none(), journal, false, now);
+        let (journal, records) = Journal::on(Box::new(disk.clone()), most).expect("it opens");
+        let mut core = Core::new(CoreOptions {
+            site: site(),
+            seed,
+            static_endpoints: Vec::new(),
+            plugins: Plugins::none(),
+            journal,
+            records,
+            predecessor: Predecessor::None,
+            now,
+        });
         let members = (0..2).map(|n| Endpoint {
             uid: format!("s-{n}"),
             address: "a".into(),
@@ -252,7 +261,7 @@
             rate: 50.0,
         });
         core.events.push(Event::Due);
-        let group = Input::Endpoints { complete: true, members: members.collect() };
+        let group = Input::Endpoints { complete: true, endpoints: members.collect() };
         let orders = core.step(now, vec![group]);
         assert!(orders.iter().all(|o| !matches!(o, Output::Answer(..))));
         core.orders = orders;
@@ -284,8 +293,18 @@
         let (deadline, body) =
             (self.now + Nanos::from_secs(8.0), vec![7; self.dice.roll(120) as usize].into());
         let (origin, tags) = (String::new(), Vec::new());
-        let context =
-            RequestContext { name, origin, class, tenant: 0, key, dest: 7, deadline, repeat_key, body, tags };
+        let context = RequestContext {
+            name,
+            origin,
+            class,
+            tenant: 0,
+            ordering_key: key,
+            dest: 7,
+            deadline,
+            idempotency_key: repeat_key,
+            body,
+            tags,
+        };
         Input::Submitted { id, context }
     }
 
@@ -330,7 +349,7 @@
                     }
                 }
                 Output::Callback(n) => {
-                    self.ends.entry(n.name.clone()).or_default().push(n.end);
+                    self.ends.entry(n.name.clone()).or_default().push(n.completion);
                     self.told.push((now + Nanos(20_000_000), n.id));
                 }
             }
@@ -348,7 +367,12 @@
     fn indexes_agree(&self) {
         let (core, seed) = (&self.core, self.seed);
         let out = |(id, h): (&MessageId, &Held)| {
-            Some((*id, h.context.key, h.out.as_ref()?.host, h.out.as_ref()?.stage == Stage::HeldBack))
+            Some((
+                *id,
+                h.context.ordering_key,
+                h.out.as_ref()?.host,
+                h.out.as_ref()?.stage == Stage::HeldBack,
+            ))
         };
         let out: Vec<_> = core.held.iter().filter_map(out).collect();
         assert_eq!(core.busy.all(), out.len(), "seed {seed}: tries that are out");
@@ -570,7 +594,8 @@
         let all = (0..n).map(|_| world.hand_in());
         let payout = |mut input| {
             if let Input::Submitted { context, .. } = &mut input {
-                (context.class, context.key) = (PAYOUT, None);
+                context.class = PAYOUT;
+                context.ordering_key = None;
             }
             input
         };
@@ -598,7 +623,8 @@
         let mut world = World::new(5);
         let mut handed = world.hand_in();
         if let Input::Submitted { context, .. } = &mut handed {
-            (context.class, context.key) = (PAYOUT, None);
+            context.class = PAYOUT;
+            context.ordering_key = None;
         }
         world.step(vec![handed]);
         let (_, one) = world.connecting.pop().expect("its try is on its way");
@@ -614,7 +640,7 @@
         let orders = world.core.step(at, vec![ended]);
         let ends: Vec<Completion> = orders
             .iter()
-            .filter_map(|o| if let Output::Callback(n) = o { Some(n.end) } else { None })
+            .filter_map(|o| if let Output::Callback(n) = o { Some(n.completion) } else { None })
             .collect();
         assert_eq!(ends, vec![Completion::Undeliverable; usize::from(told)], "{early} s before its time");
     }
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -68,7 +68,7 @@
     }
 
     pub fn update_endpoints(&self, complete: bool, members: Vec<Endpoint>) {
-        self.send(Command::Input(Input::Endpoints { complete, members }));
+        self.send(Command::Input(Input::Endpoints { complete, endpoints: members }));
     }
 
     /// Whether an attempt that has its connection may still go: asked once, right before its first byte, by all fronts.
@@ -112,7 +112,7 @@
 
     /// What operators are shown, kept from now on.
     pub fn metrics(&self) -> Arc<Metrics> {
-        open(&self.core).metrics(clock::now())
+        open(&self.core).enable_metrics(clock::now())
     }
 
     /// Waits for a word that comes by way of a client connection: a receipt for what an attempt sent.
--- a/src/main.rs
+++ b/src/main.rs
@@ -152,8 +152,21 @@
     let book = as2::book(&said.files.as2)?.map(Arc::new);
     let standing = book.as_ref().map(|b| b.members()).unwrap_or_default();
     let plugins = plugins::Plugins::load(&said.files.plugins);
-    let (elder, now) = (left.is_some(), clock::now());
-    let core = core::Core::new(&config.site, config.seed, standing, plugins, journal, elder, now);
+    let (journal, records) = journal;
+    let predecessor = match left {
+        Some(_) => core::Predecessor::MayHaveCalls,
+        None => core::Predecessor::None,
+    };
+    let core = core::Core::new(core::CoreOptions {
+        site: config.site.clone(),
+        seed: config.seed,
+        static_endpoints: standing,
+        plugins,
+        journal,
+        records,
+        predecessor,
+        now: clock::now(),
+    });
     let (exchange, exchange::Outputs { calls, notices, words }) = exchange::Exchange::new(core);
     exchange.update_endpoints(true, discovery::members(&config.site, &config.known));
     if let Some(left) = left {
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,111 +1,125 @@
-//! What operators are shown: counts of what happened, from the start of the process. Each is counted with an atomic at
-//! the one place where it happens, so that showing them costs the path of a request nothing and never looks at what is
-//! held. Decides nothing.
+//! Metrics shown to operators: counts since the start of the process. Each event is counted with an atomic at the one
+//! place where it happens, so that showing the metrics costs the request path nothing and never walks over the pending
+//! messages. Decides nothing.
+#![warn(missing_docs)]
 use miniserde::Serialize;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
 /// How a message ended, as operators count it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum MessageResult {
     /// Delivered.
     Fulfilled,
-    /// Refused at the door, or taken on and handed back: coming again is harmless.
+    /// Rejected at admission, or accepted and handed back later: a retry by the client is harmless.
     Throttled,
     /// Failed.
     Faulted,
 }
 
-/// One class's counts.
+/// Counters of one class.
 #[derive(Default)]
-struct Counts {
+struct ClassCounters {
     fulfilled: AtomicU64,
     throttled: AtomicU64,
     faulted: AtomicU64,
     relayed: AtomicU64,
 }
 
-/// All counts of a process.
+/// All counters and gauges of a process.
 pub struct Metrics {
-    classes: Vec<(String, Counts)>,
-    open: AtomicU64,
-    listed: AtomicU64,
-    avoided: AtomicU64,
+    /// By the class's index in the settings, with its name.
+    classes: Vec<(String, ClassCounters)>,
+    open_requests: AtomicU64,
+    listed_endpoints: AtomicU64,
+    avoided_endpoints: AtomicU64,
 }
 
-/// The metrics as they are shown; names are the operators'.
+/// The metrics at one moment. Field names are keys of the JSON document that operators read, and stay as they are.
 #[derive(Serialize, Debug)]
-pub struct Shown {
-    /// Messages that ended, and calls, by class.
-    pub operations: BTreeMap<String, Row>,
-    /// Messages taken on and not ended.
+pub struct MetricsSnapshot {
+    /// Messages that ended, and calls, by the name of the class.
+    pub operations: BTreeMap<String, ClassMetrics>,
+    /// Messages that are accepted and not complete.
     pub open_requests: u64,
-    /// Endpoints in the list.
+    /// Endpoints in the endpoint list.
     pub registry_entries: u64,
-    /// Those of them that nothing new is sent to, by hand or by choice.
+    /// Those of them that nothing new is sent to, because they are suspended, draining or avoided.
     pub out_of_rotation: u64,
 }
 
-/// One class's metrics.
+/// One class's counts. Field names are keys of the JSON document that operators read, and stay as they are.
 #[derive(Serialize, Debug, PartialEq, Eq)]
-pub struct Row {
+pub struct ClassMetrics {
     /// Messages delivered.
     pub fulfilled: u64,
-    /// Messages refused or handed back.
+    /// Messages rejected or handed back.
     pub throttled: u64,
     /// Messages failed.
     pub faulted: u64,
-    /// Messages written to endpoints, each attempt of its own.
+    /// Messages written to endpoints; each attempt counts.
     pub relayed: u64,
 }
 
+impl ClassCounters {
+    fn snapshot(&self) -> ClassMetrics {
+        ClassMetrics {
+            fulfilled: self.fulfilled.load(Relaxed),
+            throttled: self.throttled.load(Relaxed),
+            faulted: self.faulted.load(Relaxed),
+            relayed: self.relayed.load(Relaxed),
+        }
+    }
+}
+
 impl Metrics {
-    /// Counts for these classes, by the settings' names, all at zero.
+    /// Metrics for classes of these names, in the order of the settings, all at zero.
     pub fn new(classes: &[String]) -> Metrics {
-        let classes = classes.iter().map(|c| (c.clone(), Counts::default())).collect();
-        Metrics { classes, open: AtomicU64::new(0), listed: AtomicU64::new(0), avoided: AtomicU64::new(0) }
+        Metrics {
+            classes: classes.iter().map(|name| (name.clone(), ClassCounters::default())).collect(),
+            open_requests: AtomicU64::new(0),
+            listed_endpoints: AtomicU64::new(0),
+            avoided_endpoints: AtomicU64::new(0),
+        }
     }
 
-    /// A message of this class has ended.
-    pub fn ended(&self, class: usize, ending: Ending) {
-        let Some((_, counts)) = self.classes.get(class) else { return };
-        let count = match ending {
-            Ending::Fulfilled => &counts.fulfilled,
-            Ending::Throttled => &counts.throttled,
-            Ending::Faulted => &counts.faulted,
+    /// Counts a message of this class that has ended. A class that the settings do not have is not counted.
+    pub fn record_result(&self, class: usize, result: MessageResult) {
+        let Some((_, counters)) = self.classes.get(class) else { return };
+        let counter = match result {
+            MessageResult::Fulfilled => &counters.fulfilled,
+            MessageResult::Throttled => &counters.throttled,
+            MessageResult::Faulted => &counters.faulted,
         };
-        count.fetch_add(1, Relaxed);
+        counter.fetch_add(1, Relaxed);
     }
 
-    /// A message of this class is being written to an endpoint.
-    pub fn relayed(&self, class: usize) {
-        self.classes.get(class).map(|(_, counts)| counts.relayed.fetch_add(1, Relaxed));
+    /// Counts a message of this class that is being written to an endpoint.
+    pub fn record_relayed(&self, class: usize) {
+        if let Some((_, counters)) = self.classes.get(class) {
+            counters.relayed.fetch_add(1, Relaxed);
+        }
     }
 
-    /// How many messages are taken on and have not ended.
-    pub fn set_open(&self, open: usize) {
-        self.open.store(open as u64, Relaxed);
+    /// Sets how many messages are accepted and not complete.
+    pub fn set_open_requests(&self, open: usize) {
+        self.open_requests.store(open as u64, Relaxed);
     }
 
-    /// How many endpoints are listed, and how many of them are avoided.
+    /// Sets how many endpoints are listed, and how many of them are avoided.
     pub fn set_endpoints(&self, listed: usize, avoided: usize) {
-        self.listed.store(listed as u64, Relaxed);
-        self.avoided.store(avoided as u64, Relaxed);
+        self.listed_endpoints.store(listed as u64, Relaxed);
+        self.avoided_endpoints.store(avoided as u64, Relaxed);
     }
 
-    /// The metrics of this moment.
-    pub fn show(&self) -> Shown {
-        let row = |c: &Counts| Row {
-            fulfilled: c.fulfilled.load(Relaxed),
-            throttled: c.throttled.load(Relaxed),
-            faulted: c.faulted.load(Relaxed),
-            relayed: c.relayed.load(Relaxed),
-        };
-        Shown {
-            operations: self.classes.iter().map(|(name, counts)| (name.clone(), row(counts))).collect(),
-            open_requests: self.open.load(Relaxed),
-            registry_entries: self.listed.load(Relaxed),
-            out_of_rotation: self.avoided.load(Relaxed),
+    /// The metrics at this moment.
+    pub fn snapshot(&self) -> MetricsSnapshot {
+        let operations = self.classes.iter().map(|(name, counters)| (name.clone(), counters.snapshot()));
+        MetricsSnapshot {
+            operations: operations.collect(),
+            open_requests: self.open_requests.load(Relaxed),
+            registry_entries: self.listed_endpoints.load(Relaxed),
+            out_of_rotation: self.avoided_endpoints.load(Relaxed),
         }
     }
 }
--- a/src/mgmt.rs
+++ b/src/mgmt.rs
@@ -97,7 +97,7 @@
 
 async fn metrics(State(mgmt): State<Mgmt>) -> Response {
     let metrics = mgmt.serving().map_or(mgmt.none.clone(), |s| s.1);
-    let text = miniserde::json::to_string(&metrics.show());
+    let text = miniserde::json::to_string(&metrics.snapshot());
     ([(CONTENT_TYPE, "application/json")], text).into_response()
 }
 
--- a/src/plugins.rs
+++ b/src/plugins.rs
@@ -1,7 +1,7 @@
 //! Plug-ins: scripts (rhai) that see each request context and each outcome. `docs/plugins.md` tells how.
 use crate::config_error::ConfigError;
 use crate::interface::Outcome;
-use crate::request::{Outlook, RequestContext};
+use crate::request::{RequestContext, RequestDetails};
 use rhai::{CallFnOptions, Dynamic, Engine, Map, Scope, AST};
 use std::path::{Path, PathBuf};
 
@@ -65,9 +65,9 @@
     }
 
     /// Shows the scripts a request; the first that rejects it decides.
-    pub fn request(&self, context: &RequestContext, outlook: Outlook) -> Verdict {
+    pub fn on_request(&self, context: &RequestContext, details: RequestDetails) -> Verdict {
         let mut tags = Vec::new();
-        for said in self.call("on_request", |_| vec![Dynamic::from(facts(context, outlook))]) {
+        for said in self.call("on_request", |_| vec![Dynamic::from(facts(context, details))]) {
             if said.clone().try_cast::<String>().is_some_and(|s| s == "reject") {
                 return Verdict::Reject;
             }
@@ -78,8 +78,8 @@
     }
 
     /// Shows the scripts how an attempt ended. What they say to that changes nothing.
-    pub fn outcome(&self, context: &RequestContext, outlook: Outlook, outcome: &str) {
-        let facts = |_: &Script| vec![facts(context, outlook).into(), outcome.to_string().into()];
+    pub fn on_outcome(&self, context: &RequestContext, details: RequestDetails, outcome: &str) {
+        let facts = |_: &Script| vec![facts(context, details).into(), outcome.to_string().into()];
         self.call("on_outcome", facts).for_each(drop);
     }
 
@@ -138,15 +138,15 @@
     Ok(files)
 }
 
-fn facts(context: &RequestContext, outlook: Outlook) -> Map {
+fn facts(context: &RequestContext, details: RequestDetails) -> Map {
     let tags: Vec<Dynamic> = context.tags.iter().map(|t| t.clone().into()).collect();
     [
         ("name", context.name.clone().into()),
-        ("class", outlook.class.to_string().into()),
-        ("tenant", outlook.tenant.to_string().into()),
+        ("class", details.class.to_string().into()),
+        ("tenant", details.tenant.to_string().into()),
         ("dest", Dynamic::from(context.dest as i64)),
         ("size", Dynamic::from(context.body.len() as i64)),
-        ("left_ms", Dynamic::from((outlook.left.0 / 1_000_000) as i64)),
+        ("left_ms", Dynamic::from((details.time_left.0 / 1_000_000) as i64)),
         ("tags", tags.into()),
     ]
     .into_iter()
--- a/src/upstream/batch.rs
+++ b/src/upstream/batch.rs
@@ -68,10 +68,10 @@
         };
         // Out of its time. Guards "order by key": its next message may not go while this one is still out on an open
         // connection.
-        let keyed = gone.iter().any(|o| o.one.context.key.is_some());
+        let keyed = gone.iter().any(|o| o.one.context.ordering_key.is_some());
         gone.into_iter().for_each(|o| tell(&exchange, o.one, outcome.into()));
         // Guards what must not run twice: giving the call up forfeits it, so the others' time is no reason to.
-        if keyed || !open.iter().any(|o| o.one.once) {
+        if keyed || !open.iter().any(|o| o.one.at_most_once) {
             open.into_iter().for_each(|o| tell(&exchange, o.one, Outcome::Cancelled.into()));
             return;
         }
@@ -152,7 +152,7 @@
     let mut body = BytesMut::new();
     for one in attempts {
         let c = &one.context;
-        let key = if c.repeat_key.is_empty() { "-" } else { &c.repeat_key };
+        let key = if c.idempotency_key.is_empty() { "-" } else { &c.idempotency_key };
         body.put_slice(format!("{} {key} {}\r\n", c.name, c.body.len()).as_bytes());
         body.put_slice(&c.body);
         body.put_slice(b"\r\n");
--- a/src/upstream/platform.rs
+++ b/src/upstream/platform.rs
@@ -33,8 +33,8 @@
     let mut request = Request::post(format!("http://{}/v1/messages", one.address))
         .header("x-request-id", &context.name)
         .header("x-deadline", format!("{}m", one.timeout.0 / 1_000_000));
-    if !context.repeat_key.is_empty() {
-        request = request.header("idempotency-key", &context.repeat_key);
+    if !context.idempotency_key.is_empty() {
+        request = request.header("idempotency-key", &context.idempotency_key);
     }
     let request = match request.body(Full::new(context.body.clone())) {
         Ok(request) => request,
