--- a/src/backoff.rs
+++ b/src/backoff.rs
@@ -38,7 +38,7 @@
 
     /// The pause before all forwarders ask a place that has not failed: after a start, or when it has moved.
     /// Guards a place that they would overrun: those that start together come one by one, within `most`.
-    pub fn first(&mut self, most: Duration) -> Duration {
+    pub fn initial_delay(&mut self, most: Duration) -> Duration {
         let all = self.all.min(most);
         self.part_of(all)
     }
@@ -50,7 +50,7 @@
 
     /// The next pause. Guards against a herd: any time in the window is as likely, so those that failed at the same
     /// moment come back spread over it.
-    pub fn pause(&mut self) -> Duration {
+    pub fn next_delay(&mut self) -> Duration {
         let pause = self.part_of(self.window);
         self.window = (self.window * 2).min(self.longest_window);
         pause
--- a/src/backoff/tests.rs
+++ b/src/backoff/tests.rs
@@ -10,10 +10,10 @@
     let mut asks = vec![0; for_s];
     for n in 0..many {
         let mut backoff = Backoff::new(many, longest, n as u64);
-        let mut at = backoff.pause().as_secs_f64();
+        let mut at = backoff.next_delay().as_secs_f64();
         while at < for_s as f64 {
             asks[at as usize] += 1;
-            at += backoff.pause().as_secs_f64();
+            at += backoff.next_delay().as_secs_f64();
         }
     }
     asks
@@ -41,23 +41,23 @@
 fn a_hundred_that_start_together_ask_one_by_one() {
     let mut asks = [0; 100];
     for n in 0..100 {
-        asks[Backoff::new(100, LONG, n).first(LONG).as_millis() as usize / 50] += 1;
+        asks[Backoff::new(100, LONG, n).initial_delay(LONG).as_millis() as usize / 50] += 1;
     }
     assert!(asks.iter().all(|a| *a <= 8), "at most so many in 50 ms: {asks:?}");
-    assert!(Backoff::new(2, LONG, 7).first(LONG) <= Duration::from_millis(50), "two hardly wait");
-    assert_eq!(Backoff::new(1, LONG, 7).first(LONG), Duration::ZERO);
+    assert!(Backoff::new(2, LONG, 7).initial_delay(LONG) <= Duration::from_millis(50), "two hardly wait");
+    assert_eq!(Backoff::new(1, LONG, 7).initial_delay(LONG), Duration::ZERO);
 }
 
 #[test]
 fn absurd_numbers_of_forwarders_give_bounded_pauses() {
     for many in [0, 1, 1000, usize::MAX] {
         let mut backoff = Backoff::new(many, LONG, 7);
-        assert!(backoff.first(LEAST) <= LEAST);
-        let pauses: Vec<Duration> = (0..100).map(|_| backoff.pause()).collect();
+        assert!(backoff.initial_delay(LEAST) <= LEAST);
+        let pauses: Vec<Duration> = (0..100).map(|_| backoff.next_delay()).collect();
         assert!(pauses.iter().all(|p| *p <= LONG), "{many}: {pauses:?}");
         assert!(pauses[20..].iter().any(|p| *p > LEAST / 4), "{many}: {pauses:?}");
         backoff.reset();
-        assert!(backoff.pause() <= FIRST);
+        assert!(backoff.next_delay() <= FIRST);
     }
 }
 
@@ -67,7 +67,7 @@
     let longest = Duration::from_millis(2600);
     for seed in 0..300 {
         let mut backoff = Backoff::new(300, longest, seed);
-        assert!((0..50).all(|_| backoff.pause() <= longest));
-        assert!(backoff.first(Duration::MAX) <= longest);
+        assert!((0..50).all(|_| backoff.next_delay() <= longest));
+        assert!(backoff.initial_delay(Duration::MAX) <= longest);
     }
 }
--- a/src/client/as2.rs
+++ b/src/client/as2.rs
@@ -240,6 +240,6 @@
         return (StatusCode::BAD_REQUEST, "not a receipt").into_response();
     };
     let head = format!("Content-Type: {}\r\n\r\n", text(&headers, "content-type"));
-    front.exchange.word(receipt.message, [head.as_bytes(), &body[..]].concat().into());
+    front.exchange.receipt_received(receipt.message, [head.as_bytes(), &body[..]].concat().into());
     StatusCode::OK.into_response()
 }
--- a/src/discovery/follow.rs
+++ b/src/discovery/follow.rs
@@ -110,7 +110,7 @@
         // Guards a discovery that all ask against a release: they start at once, and what each knows is good enough to
         // serve from until its turn has come.
         let longest = if start.shared { SHARED_FIRST_PAUSE } else { LONGEST_PAUSE };
-        let pause = if start.may_wait { backoff.first(longest) } else { Duration::ZERO };
+        let pause = if start.may_wait { backoff.initial_delay(longest) } else { Duration::ZERO };
         Follower {
             connect,
             address,
@@ -175,7 +175,7 @@
         self.version = 0;
         self.backoff.reset();
         let longest = if self.shared { SHARED_MOVE_PAUSE } else { LONGEST_MOVE_PAUSE };
-        self.next_ask = Instant::now() + self.backoff.first(longest);
+        self.next_ask = Instant::now() + self.backoff.initial_delay(longest);
     }
 
     fn ask(&mut self) {
@@ -184,13 +184,13 @@
         }
         // One alone is no herd; those that ask the same place again go apart.
         let is_herd = self.shared && !self.asks.is_empty();
-        let apart = if is_herd { self.backoff.pause() } else { Duration::ZERO };
+        let apart = if is_herd { self.backoff.next_delay() } else { Duration::ZERO };
         self.asks.spawn(open(self.connect.clone(), self.at.clone(), self.version));
         self.next_ask = Instant::now() + ASK_INTERVAL + apart;
     }
 
     fn failed(&mut self, error: &AskError) {
-        let pause = self.backoff.pause();
+        let pause = self.backoff.next_delay();
         let pause_ms = pause.as_millis() as u64;
         log::warn!(pause_ms; "discovery: {error}; watching again after version {}", self.version);
         if self.asks.is_empty() {
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -4,12 +4,12 @@
 mod follow;
 #[cfg(test)]
 mod tests;
-pub mod timing;
+mod timing;
 mod values;
 
 use crate::backoff::Backoff;
 use crate::core::Endpoint;
-use crate::exchange::Exchange;
+use crate::exchange::{EndpointUpdate, Exchange};
 use crate::settings::{GroupUpdate, Site, Target};
 use crate::EndpointState;
 use follow::{Follower, Start, Tcp};
@@ -17,43 +17,49 @@
 use tokio::sync::watch;
 
 /// What is known of the list.
-pub struct Held {
-    pub rev: u64,
+pub struct EndpointListState {
+    pub version: u64,
     /// It has had a line, so that messages can be sent.
-    pub serves: bool,
+    pub can_serve: bool,
     /// Where the version is told.
-    pub told: watch::Sender<u64>,
+    pub published_version: watch::Sender<u64>,
 }
 
 /// Watches for as long as the process runs; each new watch goes on from the version last held.
 pub async fn run(
-    site: Arc<Site>, mut held: Held, address: watch::Receiver<String>, exchange: Exchange, backoff: Backoff,
+    site: Arc<Site>, mut held: EndpointListState, address: watch::Receiver<String>, exchange: Exchange,
+    seed: u64,
 ) {
-    let start = Start { version: held.rev, may_wait: held.serves, shared: site.askers() > 1 };
+    let backoff = Backoff::new(site.askers(), timing::longest_pause(site.askers() > 1), seed);
+    let start = Start { version: held.version, may_wait: held.can_serve, shared: site.askers() > 1 };
     let follower = Follower::new(Tcp, address, start, backoff);
     follower
         .run(|update| {
             take(update, &site, &exchange, &mut held);
-            held.rev
+            held.version
         })
         .await;
 }
 
-fn take(update: GroupUpdate, site: &Site, exchange: &Exchange, held: &mut Held) {
+fn take(update: GroupUpdate, site: &Site, exchange: &Exchange, held: &mut EndpointListState) {
     // Guards against a discovery that has lost its own list: nothing could be sent at all until it has it back.
-    if held.serves && update.all && update.targets.is_empty() {
+    if held.can_serve && update.all && update.targets.is_empty() {
         log::warn!("discovery: passed over a whole list without a line; the old one stands");
         return;
     }
-    held.rev = update.rev;
-    held.told.send_replace(held.rev);
-    held.serves |= !update.targets.is_empty();
-    log::info!(lines = update.targets.len(); "upstream group: version {}", held.rev);
-    exchange.update_endpoints(update.all, members(site, &update));
+    held.version = update.rev;
+    held.published_version.send_replace(held.version);
+    held.can_serve |= !update.targets.is_empty();
+    log::info!(lines = update.targets.len(); "upstream group: version {}", held.version);
+    let endpoints = endpoints(site, &update);
+    exchange.update_endpoints(match update.all {
+        true => EndpointUpdate::Complete(endpoints),
+        false => EndpointUpdate::Changes(endpoints),
+    });
 }
 
-/// The members that an update names.
-pub fn members(site: &Site, update: &GroupUpdate) -> Vec<Endpoint> {
+/// The endpoints that an update names.
+pub fn endpoints(site: &Site, update: &GroupUpdate) -> Vec<Endpoint> {
     update.targets.iter().map(|t| member(site, t)).collect()
 }
 
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -9,10 +9,11 @@
 mod tests;
 
 pub use command::UpstreamCommand;
-pub use shutdown::GONE_BY;
+pub use command::{ClientConnections, EndpointUpdate, Suspension};
+pub use shutdown::SHUTDOWN_TIMEOUT;
 
 use crate::clock;
-use crate::core::{Answer, Callback, Core, Endpoint, EndpointObservation, Input, SuspensionResult};
+use crate::core::{Answer, Callback, Core, EndpointObservation, Input, SuspensionResult};
 use crate::journal::Record;
 use crate::metrics::Metrics;
 use crate::request::RequestContext;
@@ -30,7 +31,7 @@
 pub struct Exchange {
     commands: UnboundedSender<Command>,
     core: Shared,
-    closing: watch::Receiver<bool>,
+    close_signal: watch::Receiver<bool>,
 }
 
 /// The core, which the task drives. Beside it only `may_go` looks in, between two moments; nobody holds it over a wait.
@@ -42,12 +43,12 @@
 
 /// The ends of the exchange from which work is taken.
 pub struct Outputs {
-    /// Calls to make, and what else is to be done with connections to endpoints.
-    pub calls: UnboundedReceiver<UpstreamCommand>,
-    /// Notices to the platform.
-    pub notices: UnboundedReceiver<Callback>,
-    /// Notices to the clients of other fronts.
-    pub words: UnboundedReceiver<Callback>,
+    /// Calls to start or cancel, and idle connections to close.
+    pub upstream_commands: UnboundedReceiver<UpstreamCommand>,
+    /// Completion callbacks to the platform.
+    pub platform_callbacks: UnboundedReceiver<Callback>,
+    /// Completions for which an AS2 partner is owed an asynchronous receipt (MDN).
+    pub as2_receipts: UnboundedReceiver<Callback>,
 }
 
 impl Exchange {
@@ -55,9 +56,9 @@
     pub fn new(core: Core) -> (Exchange, Outputs) {
         let (commands, received) = unbounded_channel();
         let core = Arc::new(Mutex::new(core));
-        let (task, closing, outputs) = ExchangeTask::new(core.clone());
+        let (task, close_signal, outputs) = ExchangeTask::new(core.clone());
         tokio::spawn(task.run(received));
-        (Exchange { commands, core, closing }, outputs)
+        (Exchange { commands, core, close_signal }, outputs)
     }
 
     /// Submits a request. A caller that drops this before its answer withdraws the request.
@@ -67,7 +68,12 @@
         answer.await.unwrap_or(Answer::Reject(None))
     }
 
-    pub fn update_endpoints(&self, complete: bool, members: Vec<Endpoint>) {
+    /// Applies an update of the endpoint list.
+    pub fn update_endpoints(&self, update: EndpointUpdate) {
+        let (complete, members) = match update {
+            EndpointUpdate::Complete(endpoints) => (true, endpoints),
+            EndpointUpdate::Changes(endpoints) => (false, endpoints),
+        };
         self.send(Command::Input(Input::Endpoints { complete, members }));
     }
 
@@ -103,10 +109,10 @@
         known.await.unwrap_or_default()
     }
 
-    /// An operator takes an endpoint out, or calls it back; answered once that holds.
-    pub async fn set_suspended(&self, uid: String, out: bool) -> SuspensionResult {
-        let (tell, done) = oneshot::channel();
-        self.send(Command::Suspend { uid, out, tell });
+    /// Suspends or resumes the endpoint with this uid for an operator. Returns once that is in force, or has failed.
+    pub async fn set_suspension(&self, uid: String, suspension: Suspension) -> SuspensionResult {
+        let (reply, done) = oneshot::channel();
+        self.send(Command::SetSuspension { uid, suspension, reply });
         done.await.unwrap_or(SuspensionResult::NotPersisted)
     }
 
@@ -115,21 +121,22 @@
         open(&self.core).metrics(clock::now())
     }
 
-    /// Waits for a word that comes by way of a client connection: a receipt for what an attempt sent.
-    pub fn expect(&self, topic: &str) -> oneshot::Receiver<Bytes> {
-        let (tell, word) = oneshot::channel();
-        self.send(Command::ExpectWord(topic.to_string(), tell));
-        word
+    /// Registers an attempt that waits for the asynchronous AS2 receipt (MDN) of this message, which arrives on a client
+    /// connection.
+    pub fn await_receipt(&self, message_id: &str) -> oneshot::Receiver<Bytes> {
+        let (reply, receipt) = oneshot::channel();
+        self.send(Command::AwaitReceipt { message_id: message_id.to_string(), reply });
+        receipt
     }
 
-    /// Brings such a word.
-    pub fn word(&self, topic: String, word: Bytes) {
-        self.send(Command::Word(topic, word));
+    /// Passes an asynchronous AS2 receipt (MDN) on to the attempt that waits for it.
+    pub fn receipt_received(&self, message_id: String, receipt: Bytes) {
+        self.send(Command::ReceiptReceived { message_id, receipt });
     }
 
-    /// Closes client connections between requests, or leaves those alone that come from now on.
-    pub fn keep_connections(&self, open: bool) {
-        self.send(Command::KeepConnections(open));
+    /// Whether client connections stay open between requests.
+    pub fn set_client_connections(&self, connections: ClientConnections) {
+        self.send(Command::SetClientConnections(connections));
     }
 
     /// Whether the journal cannot be handed on now.
@@ -150,14 +157,16 @@
         open(&self.core).calls_in_flight()
     }
 
-    /// What the process before this one says of its calls, and whether nothing more comes from it.
-    pub fn predecessor_records(&self, records: Vec<Record>, gone: bool) {
+    /// Applies what the predecessor of this process recorded of its calls.
+    pub fn predecessor_records(&self, records: Vec<Record>) {
         if !records.is_empty() {
             self.send(Command::Input(Input::PredecessorRecords(records)));
         }
-        if gone {
-            self.send(Command::Input(Input::PredecessorExited));
-        }
+    }
+
+    /// The predecessor has exited or has no call in flight: no more records come from it.
+    pub fn predecessor_exited(&self) {
+        self.send(Command::Input(Input::PredecessorExited));
     }
 
     /// Lets calls finish; returns when the process may end.
@@ -167,9 +176,9 @@
         let _ = done.await;
     }
 
-    /// Turns true when client connections are to be closed.
-    pub fn closing(&self) -> watch::Receiver<bool> {
-        self.closing.clone()
+    /// True while client connections are to be closed.
+    pub fn close_signal(&self) -> watch::Receiver<bool> {
+        self.close_signal.clone()
     }
 
     fn send(&self, command: Command) {
--- a/src/exchange/shutdown.rs
+++ b/src/exchange/shutdown.rs
@@ -7,12 +7,12 @@
 const ATTEMPTS_FOR: Duration = Duration::from_millis(1500);
 /// When the last attempt is waited for no longer. With the last answers (`client::LAST_ANSWERS`) and the time that the
 /// process outlives them (`client::FAREWELL`) it must be gone before a SIGKILL that comes after 3.7 s.
-pub const GONE_BY: Duration = Duration::from_millis(3300);
+pub const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3300);
 /// How soon the phase is looked at again once all its times have passed.
 const LOOK_AGAIN: Duration = Duration::from_millis(50);
 
 const _: () = assert!(CONNECTIONS_FOR.as_millis() <= ATTEMPTS_FOR.as_millis());
-const _: () = assert!(ATTEMPTS_FOR.as_millis() < GONE_BY.as_millis());
+const _: () = assert!(ATTEMPTS_FOR.as_millis() < SHUTDOWN_TIMEOUT.as_millis());
 
 /// How far a shutdown has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -30,7 +30,7 @@
     pub(super) fn after(self, elapsed: Duration, attempts_out: usize) -> Phase {
         let draining = elapsed >= ATTEMPTS_FOR;
         let drained = draining && attempts_out == 0;
-        let reached = match (draining, drained || elapsed >= GONE_BY) {
+        let reached = match (draining, drained || elapsed >= SHUTDOWN_TIMEOUT) {
             (_, true) => Phase::Closing,
             (true, false) => Phase::Draining,
             (false, false) => Phase::Serving,
@@ -41,6 +41,6 @@
 
 /// How long after the shutdown was asked for the phase is to be looked at next.
 pub(super) fn next_look(elapsed: Duration) -> Duration {
-    let steps = [ATTEMPTS_FOR, GONE_BY];
+    let steps = [ATTEMPTS_FOR, SHUTDOWN_TIMEOUT];
     steps.into_iter().find(|step| *step > elapsed).unwrap_or(elapsed + LOOK_AGAIN)
 }
--- a/src/exchange/task.rs
+++ b/src/exchange/task.rs
@@ -1,5 +1,5 @@
 //! The task that drives the core: collects what it is told, lets the core decide once a tick, carries its orders out.
-use super::command::{Command, UpstreamCommand};
+use super::command::{ClientConnections, Command, Suspension, UpstreamCommand};
 use super::shutdown::{self, Phase};
 use super::{open, Outputs, Shared};
 use crate::clock;
@@ -40,16 +40,16 @@
     /// The journal is another process's; what comes of calls goes here.
     late: Option<Late>,
     /// Operators' words of this step: heard after all else that was said before them, the list among it.
-    suspensions: Vec<(String, bool, oneshot::Sender<SuspensionResult>)>,
+    suspensions: Vec<(String, Suspension, oneshot::Sender<SuspensionResult>)>,
     shutdown: Option<Shutdown>,
 }
 
 impl ExchangeTask {
     /// A task round this core, the word that client connections are to be closed, and what the server side takes from it.
     pub(super) fn new(core: Shared) -> (ExchangeTask, watch::Receiver<bool>, Outputs) {
-        let (calls_in, calls) = unbounded_channel();
-        let (notices_in, notices) = unbounded_channel();
-        let (words_in, words) = unbounded_channel();
+        let (calls_in, upstream_commands) = unbounded_channel();
+        let (notices_in, platform_callbacks) = unbounded_channel();
+        let (words_in, as2_receipts) = unbounded_channel();
         let (close, closing) = watch::channel(false);
         let tick = Duration::from_nanos(open(&core).tick().0).min(TICK_MOST);
         let task = ExchangeTask {
@@ -65,7 +65,7 @@
             suspensions: Vec::new(),
             shutdown: None,
         };
-        (task, closing, Outputs { calls, notices, words })
+        (task, closing, Outputs { upstream_commands, platform_callbacks, as2_receipts })
     }
 
     /// Runs for as long as the process does.
@@ -108,7 +108,8 @@
     /// Lets the core decide on all that happened, and carries its orders out.
     fn step(&mut self, inputs: Vec<Input>) {
         let orders = open(&self.core).step(clock::now(), inputs);
-        for (uid, out, tell) in std::mem::take(&mut self.suspensions) {
+        for (uid, suspension, tell) in std::mem::take(&mut self.suspensions) {
+            let out = suspension == Suspension::Suspend;
             let _ = tell.send(open(&self.core).set_suspended(clock::now(), uid, out));
         }
         let mut withdrawn = Vec::new();
@@ -142,11 +143,15 @@
                 inputs.push(Input::Submitted { id, context });
             }
             Command::Input(input) => inputs.push(input),
-            Command::ExpectWord(topic, tell) => self.expect_word(topic, tell),
-            Command::Word(topic, word) => self.pass_word(&topic, word),
+            Command::AwaitReceipt { message_id, reply } => self.await_receipt(message_id, reply),
+            Command::ReceiptReceived { message_id, receipt } => self.receipt_received(&message_id, receipt),
             Command::Observations(tell) => drop(tell.send(open(&self.core).observations(clock::now()))),
-            Command::Suspend { uid, out, tell } => self.suspensions.push((uid, out, tell)),
-            Command::KeepConnections(open) => drop(self.close.send(!open)),
+            Command::SetSuspension { uid, suspension, reply } => {
+                self.suspensions.push((uid, suspension, reply))
+            }
+            Command::SetClientConnections(connections) => {
+                let _ = self.close.send(connections == ClientConnections::Close);
+            }
             Command::ReleaseJournal(late, tell) => self.release_journal(late, tell, inputs),
             Command::ShutDown(done) => {
                 self.shutdown = Some(Shutdown { asked: Instant::now(), phase: Phase::Serving, done });
@@ -154,7 +159,7 @@
         }
     }
 
-    fn expect_word(&mut self, topic: String, tell: oneshot::Sender<Bytes>) {
+    fn await_receipt(&mut self, topic: String, tell: oneshot::Sender<Bytes>) {
         if self.expected.len() >= EXPECTED_MOST {
             self.expected.retain(|_, tell| !tell.is_closed());
         }
@@ -162,7 +167,7 @@
     }
 
     /// A word that comes too late changes nothing: the attempt has had its outcome.
-    fn pass_word(&mut self, topic: &str, word: Bytes) {
+    fn receipt_received(&mut self, topic: &str, word: Bytes) {
         match self.expected.remove(topic).map(|tell| tell.send(word)) {
             Some(Ok(())) => {}
             Some(Err(_)) => log::warn!("receipt for {topic} after its try had ended: changes nothing"),
--- a/src/exchange/tests.rs
+++ b/src/exchange/tests.rs
@@ -1,5 +1,5 @@
 //! The phases of a shutdown.
-use super::shutdown::{next_look, Phase, GONE_BY};
+use super::shutdown::{next_look, Phase, SHUTDOWN_TIMEOUT};
 use rstest::rstest;
 use std::time::Duration;
 
@@ -29,8 +29,11 @@
     let mut elapsed = Duration::ZERO;
     for _ in 0..10 {
         let next = next_look(elapsed);
-        assert!(next >= elapsed + Duration::from_millis(50) || next == GONE_BY, "{elapsed:?} to {next:?}");
+        assert!(
+            next >= elapsed + Duration::from_millis(50) || next == SHUTDOWN_TIMEOUT,
+            "{elapsed:?} to {next:?}"
+        );
         elapsed = next;
     }
-    assert!(elapsed > GONE_BY);
+    assert!(elapsed > SHUTDOWN_TIMEOUT);
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -4,8 +4,8 @@
 use micaladder::takeover::turn::{Do, Seen, Stage, Turn, LOOK_EACH};
 use micaladder::takeover::{Folder, Hold, Left, Name};
 use micaladder::{
-    acme, as2, backoff, callbacks, check, client, clock, config_error, core, discovery, exchange, journal,
-    logger, mgmt, peers, plugins, reload, settings, upstream,
+    acme, as2, callbacks, check, client, clock, config_error, core, discovery, exchange, journal, logger,
+    mgmt, peers, plugins, reload, settings, upstream,
 };
 use std::error::Error;
 use std::process::ExitCode;
@@ -18,7 +18,7 @@
 const KILL_AFTER: Duration = Duration::from_millis(3700);
 
 const _: () = assert!(
-    exchange::GONE_BY.as_millis() + client::LAST_ANSWERS.as_millis() + client::FAREWELL.as_millis()
+    exchange::SHUTDOWN_TIMEOUT.as_millis() + client::LAST_ANSWERS.as_millis() + client::FAREWELL.as_millis()
         < KILL_AFTER.as_millis(),
     "the process has ended by itself before it is killed"
 );
@@ -81,7 +81,7 @@
 /// What outlives a change of the journal's owner.
 #[derive(Default)]
 struct Process {
-    mgmt: Option<mgmt::Mgmt>,
+    mgmt: Option<mgmt::ManagementServer>,
     /// It has handed the journal on: it takes it again only if nobody has it, and asks for it no more.
     has_left: bool,
 }
@@ -122,8 +122,9 @@
 async fn hear_elder(mut left: Left, exchange: exchange::Exchange) {
     loop {
         let (records, over) = left.read();
-        exchange.predecessor_records(records, over);
+        exchange.predecessor_records(records);
         if over {
+            exchange.predecessor_exited();
             // Guards what it says against a kill before it is in the journal.
             while exchange.is_release_blocked() {
                 tokio::time::sleep(LOOK_EACH).await;
@@ -138,7 +139,7 @@
     let config = settings::Config::read(said)?;
     if let (Some(at), None) = (config.mgmt, &process.mgmt) {
         // Before all that may take time: until this process serves, the answer is no.
-        process.mgmt = Some(mgmt::Mgmt::start(at, &config.site.classes)?);
+        process.mgmt = Some(mgmt::ManagementServer::start(at, &config.site.classes)?);
     }
     let mut terminate = signal(SignalKind::terminate())?;
     // Before anything is ready: without a handler, a SIGHUP ends the process.
@@ -154,27 +155,31 @@
     let plugins = plugins::Plugins::load(&said.files.plugins);
     let (elder, now) = (left.is_some(), clock::now());
     let core = core::Core::new(&config.site, config.seed, standing, plugins, journal, elder, now);
-    let (exchange, exchange::Outputs { calls, notices, words }) = exchange::Exchange::new(core);
-    exchange.update_endpoints(true, discovery::members(&config.site, &config.known));
+    let (exchange, exchange::Outputs { upstream_commands, platform_callbacks, as2_receipts }) =
+        exchange::Exchange::new(core);
+    let known = discovery::endpoints(&config.site, &config.known);
+    exchange.update_endpoints(exchange::EndpointUpdate::Complete(known));
     if let Some(left) = left {
         tokio::spawn(hear_elder(left, exchange.clone()));
     }
-    tokio::spawn(upstream::run(config.site.clone(), book.clone(), exchange.clone(), calls));
+    tokio::spawn(upstream::run(config.site.clone(), book.clone(), exchange.clone(), upstream_commands));
     let (moves, discovery) = tokio::sync::watch::channel(config.discovery.clone());
     let (told, list) = tokio::sync::watch::channel(config.known.rev);
     let changes = peers::Changes { list, discovery: discovery.clone() };
     let fleet = peers::start(&said.files.neighbours, &config, &exchange, changes);
     tokio::spawn(reload::run(config.clone(), hangup, moves));
-    tokio::spawn(callbacks::run(discovery.clone(), exchange.clone(), notices));
-    let longest = discovery::timing::longest_pause(config.site.askers() > 1);
-    let again = backoff::Backoff::new(config.site.askers(), longest, config.seed);
-    let held = discovery::Held { rev: config.known.rev, serves: !config.known.targets.is_empty(), told };
-    tokio::spawn(discovery::run(config.site.clone(), held, discovery, exchange.clone(), again));
+    tokio::spawn(callbacks::run(discovery.clone(), exchange.clone(), platform_callbacks));
+    let known = discovery::EndpointListState {
+        version: config.known.rev,
+        can_serve: !config.known.targets.is_empty(),
+        published_version: told,
+    };
+    tokio::spawn(discovery::run(config.site.clone(), known, discovery, exchange.clone(), config.seed));
     let limiter = client::ConnectionLimiter::new(config.sockets / 3);
     if let Some(book) = book {
         let listener = TcpListener::bind(&book.listen).await?;
         log::info!("AS2 front listens on {}", book.listen);
-        tokio::spawn(client::as2::words(book.clone(), exchange.clone(), words));
+        tokio::spawn(client::as2::words(book.clone(), exchange.clone(), as2_receipts));
         let authority = book.acme.clone();
         let (site, exchange) = (config.site.clone(), exchange.clone());
         let routes = client::as2::routes(client::as2::Front { site, book, exchange: exchange.clone() });
@@ -184,19 +189,19 @@
             tokio::spawn(acme::run(authority, config.state.clone(), keeper));
         }
         let front = client::Front { listener, routes, limits: client::as2::LIMITS, tls };
-        tokio::spawn(client::serve(front, limiter.clone(), exchange.closing()));
+        tokio::spawn(client::serve(front, limiter.clone(), exchange.close_signal()));
     }
     let shared = process.mgmt.is_some();
     let open = |listener: TcpListener| {
         let routes = client::platform::routes(config.site.clone(), exchange.clone());
         let front = client::Front { listener, routes, limits: client::platform::LIMITS, tls: None };
-        tokio::spawn(client::serve(front, limiter.clone(), exchange.closing()))
+        tokio::spawn(client::serve(front, limiter.clone(), exchange.close_signal()))
     };
     let mut serving = open(match listener {
         Some(listener) => listener,
         None => client::listen(config.listen, shared)?,
     });
-    process.mgmt.iter().for_each(|m| m.serves(Some(exchange.clone())));
+    process.mgmt.iter().for_each(|m| m.set_serving(Some(exchange.clone())));
     log::info!("ready: {} listens on {}", config.name, config.listen);
     loop {
         // Nobody asks where no operator starts a second process; and then nothing is looked at.
@@ -210,14 +215,14 @@
             None => {}
             Some(Do::Close) => {
                 log::info!("another process asks for the folder: handing over");
-                exchange.keep_connections(false);
+                exchange.set_client_connections(exchange::ClientConnections::Close);
             }
             Some(Do::Open) => {
                 log::warn!(
                     "the process that asked is gone, or the journal cannot be handed on: serving again"
                 );
                 serving.abort();
-                exchange.keep_connections(true);
+                exchange.set_client_connections(exchange::ClientConnections::KeepOpen);
                 serving = open(client::listen(config.listen, shared)?);
             }
             Some(Do::LetGo) => {
@@ -230,7 +235,7 @@
                         continue;
                     }
                 };
-                process.mgmt.iter().for_each(|m| m.serves(None));
+                process.mgmt.iter().for_each(|m| m.set_serving(None));
                 exchange.release_journal(late).await;
                 drop(owner);
                 log::info!(calls = exchange.calls_in_flight(); "handed over; ending the calls that are out");
@@ -266,7 +271,7 @@
         tokio::select! {
             _ = terminate.recv(), if gone_by.is_none() => {
                 log::info!("told to end: finishing calls");
-                gone_by = Some(tokio::time::Instant::now() + exchange::GONE_BY);
+                gone_by = Some(tokio::time::Instant::now() + exchange::SHUTDOWN_TIMEOUT);
             }
             () = tokio::time::sleep(LOOK_EACH) => {}
         }
--- a/src/mgmt.rs
+++ b/src/mgmt.rs
@@ -2,7 +2,7 @@
 //! thread of its own, so that no load on the path of requests delays an answer here, and no caller here holds up a
 //! message. Absent from the configuration, there is no listener and no thread.
 use crate::core::SuspensionResult;
-use crate::exchange::Exchange;
+use crate::exchange::{Exchange, Suspension};
 use crate::metrics::Metrics;
 use axum::extract::{Path, State};
 use axum::http::header::CONTENT_TYPE;
@@ -42,20 +42,20 @@
 
 /// What the operators' address shows: nothing yet, until the process serves.
 #[derive(Clone)]
-pub struct Mgmt {
+pub struct ManagementServer {
     serving: Arc<Mutex<Option<Serving>>>,
     /// What is shown before that.
     none: Arc<Metrics>,
 }
 
-impl Mgmt {
+impl ManagementServer {
     /// Listens at this address, for a forwarder with these classes. The listener ends with the process.
     ///
     /// # Errors
     ///
     /// The address cannot be listened at, or no thread can be made.
-    pub fn start(at: SocketAddr, classes: &[String]) -> io::Result<Mgmt> {
-        let mgmt = Mgmt { serving: Arc::default(), none: Arc::new(Metrics::new(classes)) };
+    pub fn start(at: SocketAddr, classes: &[String]) -> io::Result<ManagementServer> {
+        let mgmt = ManagementServer { serving: Arc::default(), none: Arc::new(Metrics::new(classes)) };
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         // Before the thread, so that who starts it hears of an address that is taken.
         let listener = std::net::TcpListener::bind(at)?;
@@ -69,7 +69,7 @@
     }
 
     /// From now on this process takes clients, or it does so no longer.
-    pub fn serves(&self, exchange: Option<Exchange>) {
+    pub fn set_serving(&self, exchange: Option<Exchange>) {
         let serving = exchange.map(|e| (e.clone(), e.metrics()));
         *self.serving.lock().unwrap_or_else(PoisonError::into_inner) = serving;
     }
@@ -79,34 +79,36 @@
     }
 }
 
-fn routes(mgmt: Mgmt) -> Router {
+fn routes(mgmt: ManagementServer) -> Router {
     Router::new()
         .route("/v1/readyz", get(ready))
         .route("/v1/metrics", get(metrics))
-        .route("/v1/endpoints/{id}/suspend", post(|s, p| hand(s, p, true)))
-        .route("/v1/endpoints/{id}/resume", post(|s, p| hand(s, p, false)))
+        .route("/v1/endpoints/{id}/suspend", post(|s, p| hand(s, p, Suspension::Suspend)))
+        .route("/v1/endpoints/{id}/resume", post(|s, p| hand(s, p, Suspension::Resume)))
         .with_state(mgmt)
 }
 
-async fn ready(State(mgmt): State<Mgmt>) -> StatusCode {
+async fn ready(State(mgmt): State<ManagementServer>) -> StatusCode {
     match mgmt.serving() {
         Some(_) => StatusCode::OK,
         None => StatusCode::SERVICE_UNAVAILABLE,
     }
 }
 
-async fn metrics(State(mgmt): State<Mgmt>) -> Response {
+async fn metrics(State(mgmt): State<ManagementServer>) -> Response {
     let metrics = mgmt.serving().map_or(mgmt.none.clone(), |s| s.1);
     let text = miniserde::json::to_string(&metrics.show());
     ([(CONTENT_TYPE, "application/json")], text).into_response()
 }
 
-async fn hand(State(mgmt): State<Mgmt>, Path(id): Path<String>, out: bool) -> Response {
+async fn hand(
+    State(mgmt): State<ManagementServer>, Path(id): Path<String>, suspension: Suspension,
+) -> Response {
     let no = |status: StatusCode, why: &'static str| (status, why).into_response();
     let Some((exchange, _)) = mgmt.serving() else {
         return no(StatusCode::SERVICE_UNAVAILABLE, "this process does not serve; ask the one that does\n");
     };
-    match timeout(HAND_FOR, exchange.set_suspended(id, out)).await {
+    match timeout(HAND_FOR, exchange.set_suspension(id, suspension)).await {
         Ok(SuspensionResult::Applied) => StatusCode::NO_CONTENT.into_response(),
         Ok(SuspensionResult::UnknownEndpoint) => {
             no(StatusCode::NOT_FOUND, "no such endpoint was ever listed here\n")
--- a/src/upstream/as2.rs
+++ b/src/upstream/as2.rs
@@ -36,7 +36,7 @@
         }
     };
     // Known before the first byte goes out: a receipt may overtake the answer.
-    let word = exchange.expect(&id);
+    let receipt = exchange.await_receipt(&id);
     let to = request.uri().clone();
     let make = || exchange.may_send(one.id, one.attempt).then_some(request);
     let mut call = match pool.call(to, make, platform::listener(one, false, exchange)).await {
@@ -54,7 +54,7 @@
         return platform::ending(head.status, &head.headers);
     }
     let received = if partner.later {
-        word.await.ok()
+        receipt.await.ok()
     } else {
         let kind =
             head.headers.get(CONTENT_TYPE).and_then(|t| t.to_str().ok()).unwrap_or_default().to_string();
