--- a/benches/held.rs
+++ b/benches/held.rs
@@ -7,7 +7,7 @@
 use micaladder::journal::{Disk, Journal, Tail};
 use micaladder::plugins::Plugins;
 use micaladder::request::RequestContext;
-use micaladder::settings::Site;
+use micaladder::settings::DeploymentSettings;
 use micaladder::{
     Class, Effect, EndpointKind, EndpointState, IdempotencyScope, ListedRates, MessageId, Nanos, Outcome,
     Settings, ValueDecay,
@@ -63,7 +63,7 @@
     }
 }
 
-fn site(max_pending: usize) -> Arc<Site> {
+fn site(max_pending: usize) -> Arc<DeploymentSettings> {
     let window = Nanos::from_secs(1e6);
     let classes = vec![
         class(Effect::IdempotentByKey { scope: IdempotencyScope::AllEndpoints, window }, true),
@@ -86,7 +86,7 @@
     };
     let (tenants, zones, kinds) = (vec!["t".into()], vec!["z".into()], vec!["k".into()]);
     let connect_timeout = Nanos::from_secs(1.0);
-    Arc::new(Site { module, classes: names, tenants, zones, kinds, connect_timeout })
+    Arc::new(DeploymentSettings { module, classes: names, tenants, zones, kinds, connect_timeout })
 }
 
 struct World {
--- a/src/acme.rs
+++ b/src/acme.rs
@@ -1,5 +1,5 @@
 //! The certificate of the AS2 listener: ordered from an authority (RFC 8555), renewed, and swapped in place.
-use crate::as2::Acme;
+use crate::as2::AcmeSettings;
 use axum::extract::{Path, State};
 use axum::http::StatusCode;
 use axum::routing::get;
@@ -27,9 +27,9 @@
 
 /// Holds the certificate in use. Each new connection gets the one that is held at that moment.
 #[derive(Debug, Default)]
-pub struct Keeper(RwLock<Option<Arc<CertifiedKey>>>);
+pub struct CertificateStore(RwLock<Option<Arc<CertifiedKey>>>);
 
-impl Keeper {
+impl CertificateStore {
     fn swap(&self, pem: &str) -> Result<(), Fault> {
         let chain = CertificateDer::pem_slice_iter(pem.as_bytes()).collect::<Result<Vec<_>, _>>()?;
         if chain.is_empty() {
@@ -46,7 +46,7 @@
     }
 }
 
-impl ResolvesServerCert for Keeper {
+impl ResolvesServerCert for CertificateStore {
     fn resolve(&self, _: ClientHello<'_>) -> Option<Arc<CertifiedKey>> {
         self.0.read().ok()?.clone()
     }
@@ -55,7 +55,7 @@
 type Proofs = Arc<RwLock<BTreeMap<String, String>>>;
 
 /// Orders a certificate, and again each time that it is to be renewed. What fails leaves the old one in use.
-pub async fn run(acme: Acme, folder: PathBuf, keeper: Arc<Keeper>) {
+pub async fn run(acme: AcmeSettings, folder: PathBuf, keeper: Arc<CertificateStore>) {
     // The last one outlives the process, so that a restart needs no authority.
     let kept = folder.join("certificate.pem");
     if let Some(Ok(())) = std::fs::read_to_string(&kept).ok().map(|pem| keeper.swap(&pem)) {
@@ -92,7 +92,7 @@
 }
 
 /// One order, from the account to the certificate and its key, as PEM.
-async fn order(acme: &Acme, proofs: &Proofs) -> Result<String, Fault> {
+async fn order(acme: &AcmeSettings, proofs: &Proofs) -> Result<String, Fault> {
     let connector = HttpsConnectorBuilder::new()
         .with_provider_and_webpki_roots(default_provider())?
         .https_or_http()
--- a/src/as2/check.rs
+++ b/src/as2/check.rs
@@ -2,7 +2,7 @@
 //! keys that cannot be read or do not belong together.
 use super::File;
 use crate::config_error::{ConfigError, ConfigErrors};
-use crate::settings::Site;
+use crate::settings::DeploymentSettings;
 use der::DecodePem;
 use hyper::Uri;
 use std::path::Path;
@@ -10,76 +10,77 @@
 
 /// All that is wrong in the file; nothing where there is none. `site` are the settings whose names it uses, where
 /// they can be read.
-pub fn file(path: &Path, site: Option<&Site>) -> Vec<ConfigError> {
-    let mut faults = ConfigErrors::of(path);
+pub fn check_file(path: &Path, site: Option<&DeploymentSettings>) -> Vec<ConfigError> {
+    let mut errors = ConfigErrors::new(path);
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Vec::new(),
         Err(e) => {
-            faults.add("", e);
-            return faults.found;
+            errors.add("", e);
+            return errors.errors;
         }
     };
-    let Some(file) = faults.json::<File>(&text, &[]) else { return faults.found };
-    faults.socket_address(&file.listen, "listen");
-    url(Some(&file.receipt_url), "receipt_url", &mut faults);
+    let Some(file) = errors.parse_json::<File>(&text, &[]) else { return errors.errors };
+    errors.require_socket_address(&file.listen, "listen");
+    url(Some(&file.receipt_url), "receipt_url", &mut errors);
     let folder = path.parent().unwrap_or(Path::new("."));
     if file.enabled {
         match std::fs::read_to_string(folder.join(&file.key)) {
-            Err(e) => faults.add("key", format!("{}: {e}", file.key)),
+            Err(e) => errors.add("key", format!("{}: {e}", file.key)),
             Ok(key) => {
-                if let Some(certificate) = certificate(folder, &file.certificate, "certificate", &mut faults)
+                if let Some(certificate) = certificate(folder, &file.certificate, "certificate", &mut errors)
                 {
                     if let Err(e) = super::Identity::new(&key, certificate) {
-                        faults.add("key", format!("{}: {e}", file.key));
+                        errors.add("key", format!("{}: {e}", file.key));
                     }
                 }
             }
         }
     }
     if let Some(acme) = &file.acme {
-        url(Some(&acme.directory), "acme.directory", &mut faults);
-        faults.socket_address(&acme.challenge_listen, "acme.challenge_listen");
-        faults.unless(acme.renew_s > 0.0, "acme.renew_s", "is not above 0");
-        faults.unless(acme.retry_s > 0.0, "acme.retry_s", "is not above 0");
+        url(Some(&acme.directory), "acme.directory", &mut errors);
+        errors.require_socket_address(&acme.challenge_listen, "acme.challenge_listen");
+        errors.require(acme.renew_s > 0.0, "acme.renew_s", "is not above 0");
+        errors.require(acme.retry_s > 0.0, "acme.retry_s", "is not above 0");
     }
-    faults.twice(file.partners.iter().map(|p| p.name.as_str()), |i| format!("partners[{i}].name"));
+    errors
+        .reject_duplicates(file.partners.iter().map(|p| p.name.as_str()), |i| format!("partners[{i}].name"));
     for (i, p) in file.partners.iter().enumerate() {
         let key = |k: &str| format!("partners[{i}].{k}");
-        certificate(folder, &p.certificate, &key("certificate"), &mut faults);
-        url(p.url.as_deref(), &key("url"), &mut faults);
-        url(p.receipts_to.as_deref(), &key("receipts_to"), &mut faults);
-        faults.one_of(p.receipt.as_deref(), &["sync", "async"], key("receipt"));
-        faults.unless(
+        certificate(folder, &p.certificate, &key("certificate"), &mut errors);
+        url(p.url.as_deref(), &key("url"), &mut errors);
+        url(p.receipts_to.as_deref(), &key("receipts_to"), &mut errors);
+        errors.require_one_of(p.receipt.as_deref(), &["sync", "async"], key("receipt"));
+        errors.require(
             p.dest.is_none() || p.url.is_some(),
             key("url"),
             "is missing; a partner with a dest has one",
         );
-        faults.unless(p.rate.is_none_or(|r| r >= 0.0), key("rate"), "is below 0");
+        errors.require(p.rate.is_none_or(|r| r >= 0.0), key("rate"), "is below 0");
         let in_full = [p.class.is_some(), p.tenant.is_some(), p.forward_to.is_some()];
         let none = !in_full.contains(&true);
         let complete = !in_full.contains(&false);
-        faults.unless(none || complete, key("forward_to"), "class, tenant and forward_to go together");
+        errors.require(none || complete, key("forward_to"), "class, tenant and forward_to go together");
         let Some(site) = site else { continue };
-        faults.known(&p.class, &site.classes, key("class"), "is no class of the configuration");
-        faults.known(&p.tenant, &site.tenants, key("tenant"), "is no tenant of the configuration");
+        errors.require_known(&p.class, &site.classes, key("class"), "is no class of the configuration");
+        errors.require_known(&p.tenant, &site.tenants, key("tenant"), "is no tenant of the configuration");
     }
-    faults.found
+    errors.errors
 }
 
-fn certificate(folder: &Path, name: &str, key: &str, faults: &mut ConfigErrors) -> Option<Certificate> {
+fn certificate(folder: &Path, name: &str, key: &str, errors: &mut ConfigErrors) -> Option<Certificate> {
     let read = std::fs::read_to_string(folder.join(name)).map_err(|e| e.to_string());
     match read.and_then(|pem| Certificate::from_pem(pem).map_err(|e| e.to_string())) {
         Ok(certificate) => Some(certificate),
         Err(e) => {
-            faults.add(key, format!("{name}: {e}"));
+            errors.add(key, format!("{name}: {e}"));
             None
         }
     }
 }
 
-fn url(text: Option<&str>, key: &str, faults: &mut ConfigErrors) {
+fn url(text: Option<&str>, key: &str, errors: &mut ConfigErrors) {
     let Some(text) = text.filter(|t| !t.is_empty()) else { return };
     let good = text.parse::<Uri>().is_ok_and(|u| u.host().is_some() && u.scheme().is_some());
-    faults.unless(good, key, format!("not a URL with scheme and host: {text:?}"));
+    errors.require(good, key, format!("not a URL with scheme and host: {text:?}"));
 }
--- a/src/as2/mdn.rs
+++ b/src/as2/mdn.rs
@@ -3,21 +3,21 @@
 
 /// What a receipt says.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Receipt {
+pub struct Mdn {
     /// Id of the message that it is for.
-    pub message: String,
+    pub original_message_id: String,
     /// `processed`, or that and why not.
     pub disposition: String,
-    pub mic: Option<String>,
+    pub received_content_mic: Option<String>,
 }
 
 /// What a disposition means for the message.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Meaning {
+pub enum DispositionOutcome {
     Processed,
     /// Turned away before it could take effect.
-    NeverRan,
-    MayHaveRun,
+    NotProcessed,
+    MayBeProcessed,
 }
 
 /// Errors that a partner reports before it looks into the message.
@@ -31,28 +31,31 @@
     "unknown-trading-partner",
 ];
 
-impl Receipt {
-    pub fn meaning(&self) -> Meaning {
+impl Mdn {
+    pub fn outcome(&self) -> DispositionOutcome {
         let words = self.disposition.to_ascii_lowercase();
         let (kind, detail) = words.split_once('/').unwrap_or((&words, ""));
         if kind.trim() == "processed" && (detail.is_empty() || detail.trim_start().starts_with("warning")) {
-            Meaning::Processed
+            DispositionOutcome::Processed
         } else if BEFORE.iter().any(|b| detail.contains(b)) {
-            Meaning::NeverRan
+            DispositionOutcome::NotProcessed
         } else {
-            Meaning::MayHaveRun
+            DispositionOutcome::MayBeProcessed
         }
     }
 }
 
 /// A receipt as an entity; signed where an identity is given.
-pub fn write(
-    receipt: &Receipt, us: &str, me: Option<&Identity>,
+pub fn compose(
+    receipt: &Mdn, us: &str, me: Option<&Identity>,
 ) -> Result<Entity, Box<dyn std::error::Error + Send + Sync>> {
     let boundary = "=_receipt";
-    let mic =
-        receipt.mic.as_ref().map(|m| format!("Received-Content-MIC: {m}, sha-256\r\n")).unwrap_or_default();
-    let (message, said) = (&receipt.message, &receipt.disposition);
+    let mic = receipt
+        .received_content_mic
+        .as_ref()
+        .map(|m| format!("Received-Content-MIC: {m}, sha-256\r\n"))
+        .unwrap_or_default();
+    let (message, said) = (&receipt.original_message_id, &receipt.disposition);
     let body = format!(
         "--{boundary}\r\nContent-Type: text/plain\r\n\r\nThe message {message} is {said}.\r\n\
          --{boundary}\r\nContent-Type: message/disposition-notification\r\n\r\n\
@@ -69,7 +72,7 @@
 }
 
 /// Reads the fields of a receipt out of a multipart/report, signed or not. Says nothing of its signature.
-pub fn read(text: &[u8]) -> Option<Receipt> {
+pub fn parse(text: &[u8]) -> Option<Mdn> {
     let text = String::from_utf8_lossy(text).replace("\r\n", "\n");
     let (_, report) = text.split_once("message/disposition-notification")?;
     let report = report.replace("\n ", " ").replace("\n\t", " ");
@@ -79,5 +82,5 @@
     };
     let disposition = field("disposition")?.split_once(';')?.1.trim().to_string();
     let mic = field("received-content-mic").and_then(|m| Some(m.split(',').next()?.trim().to_string()));
-    Some(Receipt { message: field("original-message-id")?, disposition, mic })
+    Some(Mdn { original_message_id: field("original-message-id")?, disposition, received_content_mic: mic })
 }
--- a/src/as2/smime.rs
+++ b/src/as2/smime.rs
@@ -36,20 +36,20 @@
 
 /// Why a partner's message is not accepted, in the words of a receipt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Refusal {
-    Decryption,
-    Authentication,
-    Integrity,
-    Unsigned,
+pub enum SmimeError {
+    DecryptionFailed,
+    AuthenticationFailed,
+    IntegrityCheckFailed,
+    InsufficientMessageSecurity,
 }
 
-impl Refusal {
-    pub fn words(self) -> &'static str {
+impl SmimeError {
+    pub fn disposition_modifier(self) -> &'static str {
         match self {
-            Refusal::Decryption => "decryption-failed",
-            Refusal::Authentication => "authentication-failed",
-            Refusal::Integrity => "integrity-check-failed",
-            Refusal::Unsigned => "insufficient-message-security",
+            SmimeError::DecryptionFailed => "decryption-failed",
+            SmimeError::AuthenticationFailed => "authentication-failed",
+            SmimeError::IntegrityCheckFailed => "integrity-check-failed",
+            SmimeError::InsufficientMessageSecurity => "insufficient-message-security",
         }
     }
 }
@@ -67,7 +67,7 @@
 }
 
 /// The digest of a signed part, as receipts carry it.
-pub fn mic(part: &[u8]) -> String {
+pub fn message_integrity_check(part: &[u8]) -> String {
     STANDARD.encode(Sha256::digest(part))
 }
 
@@ -113,7 +113,7 @@
     let line = |chunk: &[u8]| format!("{}\r\n", String::from_utf8_lossy(chunk));
     let text: String = STANDARD.encode(signature).as_bytes().chunks(76).map(line).collect();
     // No payload holds its own digest, so this boundary is in none.
-    let boundary = format!("=_{}", mic(part).replace(['/', '+', '='], "_"));
+    let boundary = format!("=_{}", message_integrity_check(part).replace(['/', '+', '='], "_"));
     let mut body = format!("--{boundary}\r\n").into_bytes();
     body.extend_from_slice(part);
     body.extend_from_slice(
@@ -140,20 +140,22 @@
 }
 
 /// Decrypts if need be, checks the signature against the partner's certificate, and gives the signed part.
-pub fn open(entity: Entity, me: &Identity, partner: &Certificate) -> Result<Vec<u8>, Refusal> {
-    let entity = match media(&entity.content_type).as_str() {
+pub fn decrypt_and_verify(
+    entity: Entity, me: &Identity, partner: &Certificate,
+) -> Result<Vec<u8>, SmimeError> {
+    let entity = match media_type(&entity.content_type).as_str() {
         "application/pkcs7-mime" | "application/x-pkcs7-mime" => {
-            let plain = decrypt(&entity.body, me).ok_or(Refusal::Decryption)?;
-            split(&plain).ok_or(Refusal::Decryption)?
+            let plain = decrypt(&entity.body, me).ok_or(SmimeError::DecryptionFailed)?;
+            parse_entity(&plain).ok_or(SmimeError::DecryptionFailed)?
         }
         _ => entity,
     };
-    if media(&entity.content_type) != "multipart/signed" {
-        return Err(Refusal::Unsigned);
+    if media_type(&entity.content_type) != "multipart/signed" {
+        return Err(SmimeError::InsufficientMessageSecurity);
     }
-    let parts = parts(&entity).ok_or(Refusal::Integrity)?;
-    let [part, signature, ..] = &parts[..] else { return Err(Refusal::Integrity) };
-    let signature = signature_bytes(signature).ok_or(Refusal::Authentication)?;
+    let parts = parts(&entity).ok_or(SmimeError::IntegrityCheckFailed)?;
+    let [part, signature, ..] = &parts[..] else { return Err(SmimeError::IntegrityCheckFailed) };
+    let signature = signature_bytes(signature).ok_or(SmimeError::AuthenticationFailed)?;
     verify(part, &signature, partner)?;
     Ok(part.to_vec())
 }
@@ -187,8 +189,8 @@
     }
 }
 
-fn verify(part: &[u8], signature: &[u8], partner: &Certificate) -> Result<(), Refusal> {
-    let no = Refusal::Authentication;
+fn verify(part: &[u8], signature: &[u8], partner: &Certificate) -> Result<(), SmimeError> {
+    let no = SmimeError::AuthenticationFailed;
     let info = ContentInfo::from_der(signature).map_err(|_| no)?;
     let data: SignedData = info.content.decode_as().map_err(|_| no)?;
     let signer = data.signer_infos.0.iter().next().ok_or(no)?;
@@ -207,14 +209,14 @@
     if told.as_bytes() == Sha256::digest(part).as_slice() {
         Ok(())
     } else {
-        Err(Refusal::Integrity)
+        Err(SmimeError::IntegrityCheckFailed)
     }
 }
 
 // ---- MIME, as far as AS2 needs it.
 
 /// The type without its parameters, in small letters.
-pub fn media(content_type: &str) -> String {
+pub fn media_type(content_type: &str) -> String {
     content_type.split(';').next().unwrap_or_default().trim().to_ascii_lowercase()
 }
 
@@ -245,13 +247,13 @@
 }
 
 /// A MIME text as an entity.
-pub fn split(text: &[u8]) -> Option<Entity> {
+pub fn parse_entity(text: &[u8]) -> Option<Entity> {
     let (head, body) = head_and_body(text)?;
     Some(Entity { content_type: field(&head, "content-type")?, body: body.to_vec() })
 }
 
 /// The body of a part, with a transfer encoding taken off.
-pub fn payload(part: &[u8]) -> Option<Vec<u8>> {
+pub fn decoded_body(part: &[u8]) -> Option<Vec<u8>> {
     let (head, body) = head_and_body(part)?;
     match field(&head, "content-transfer-encoding") {
         Some(e) if e.eq_ignore_ascii_case("base64") => {
@@ -263,7 +265,7 @@
 }
 
 fn signature_bytes(part: &[u8]) -> Option<Vec<u8>> {
-    payload(part)
+    decoded_body(part)
 }
 
 /// The parts of a multipart entity, each byte for byte: what was signed must not be touched.
--- a/src/check.rs
+++ b/src/check.rs
@@ -4,9 +4,9 @@
 use crate::{as2, flags, plugins, settings};
 
 /// Reads every file that a start would read, and gives all that is wrong in them.
-pub fn all(files: &flags::Files) -> Vec<ConfigError> {
-    let (mut found, site) = settings::check::file(&files.config);
-    found.extend(as2::check::file(&files.as2, site.as_ref()));
+pub fn check_files(files: &flags::Files) -> Vec<ConfigError> {
+    let (mut found, site) = settings::check::check_file(&files.config);
+    found.extend(as2::check::check_file(&files.as2, site.as_ref()));
     found.extend(plugins::check(&files.plugins));
     found.extend(Files::of(&files.neighbours.papers).and_then(|f| f.read().err()));
     found
--- a/src/client/as2.rs
+++ b/src/client/as2.rs
@@ -1,14 +1,14 @@
 //! The AS2 front: messages that partners send, and their receipts for what was sent to them.
 use super::Limits;
-use crate::as2::mdn::{self, Receipt};
+use crate::as2::mdn::{self, Mdn};
 use crate::as2::smime::{self, Entity};
-use crate::as2::{Book, Partner};
+use crate::as2::{As2Settings, Partner};
 use crate::clock;
 use crate::core::{Answer, Callback};
 use crate::exchange::Exchange;
 use crate::journal::Completion;
 use crate::request::RequestContext;
-use crate::settings::Site;
+use crate::settings::DeploymentSettings;
 use axum::body::Bytes;
 use axum::extract::State;
 use axum::http::header::CONTENT_TYPE;
@@ -39,9 +39,9 @@
 const OFFER_PAUSE: Duration = Duration::from_secs(1);
 const OFFER_FOR: Duration = Duration::from_secs(2);
 
-pub struct Front {
-    pub site: Arc<Site>,
-    pub book: Arc<Book>,
+pub struct As2Front {
+    pub site: Arc<DeploymentSettings>,
+    pub book: Arc<As2Settings>,
     pub exchange: Exchange,
 }
 
@@ -55,7 +55,7 @@
 }
 
 /// The routes of this front.
-pub fn routes(front: Front) -> Router {
+pub fn routes(front: As2Front) -> Router {
     Router::new().route("/as2", post(hand_in)).route("/receipts", post(receipt)).with_state(Arc::new(front))
 }
 
@@ -63,7 +63,7 @@
     headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or_default().trim().trim_matches('"')
 }
 
-async fn hand_in(State(front): State<Arc<Front>>, headers: HeaderMap, body: Bytes) -> Response {
+async fn hand_in(State(front): State<Arc<As2Front>>, headers: HeaderMap, body: Bytes) -> Response {
     let (from, message) = (text(&headers, "as2-from"), text(&headers, "message-id"));
     if message.is_empty() || text(&headers, "as2-to") != front.book.name {
         return (StatusCode::BAD_REQUEST, "Message-ID is missing or AS2-To is not us").into_response();
@@ -74,8 +74,8 @@
         return (StatusCode::FORBIDDEN, "no such partner").into_response();
     };
     let entity = Entity { content_type: text(&headers, "content-type").to_string(), body: body.to_vec() };
-    let part = smime::open(entity, &front.book.me, &partner.certificate);
-    let mic = part.as_ref().ok().map(|p| smime::mic(p));
+    let part = smime::decrypt_and_verify(entity, &front.book.identity, &partner.certificate);
+    let mic = part.as_ref().ok().map(|p| smime::message_integrity_check(p));
     let wants = Wants {
         receipt: headers.contains_key("disposition-notification-to"),
         signed: headers.contains_key("disposition-notification-options"),
@@ -84,12 +84,12 @@
     if wants.later && partner.receipts_to.as_deref() != Some(text(&headers, "receipt-delivery-option")) {
         return (StatusCode::BAD_REQUEST, "receipts go to no such place").into_response();
     }
-    let payload = match part.map(|p| smime::payload(&p)) {
+    let payload = match part.map(|p| smime::decoded_body(&p)) {
         Ok(Some(payload)) if payload.len() <= PAYLOAD_LIMIT => payload,
         Ok(_) => return front.receipt(partner, message, "unexpected-processing-error", mic, &wants),
         Err(why) => {
-            log::warn!("AS2: message {message} from {from} is refused: {}", why.words());
-            return front.receipt(partner, message, why.words(), mic, &wants);
+            log::warn!("AS2: message {message} from {from} is refused: {}", why.disposition_modifier());
+            return front.receipt(partner, message, why.disposition_modifier(), mic, &wants);
         }
     };
     let mic = mic.unwrap_or_default();
@@ -103,7 +103,7 @@
         // Who wants the receipt later gets it when the message is over: one answer, and the final one.
         Answer::Accepted if wants.later => StatusCode::OK.into_response(),
         Answer::Accepted | Answer::Delivered => front.receipt(partner, message, "", Some(mic), &wants),
-        Answer::Reject(after) => super::platform::reject(after),
+        Answer::Reject(after) => super::platform::rejection(after),
         Answer::UnknownDestination | Answer::Failed => {
             front.receipt(partner, message, "unexpected-processing-error", Some(mic), &wants)
         }
@@ -117,7 +117,7 @@
     later: bool,
 }
 
-impl Front {
+impl As2Front {
     fn context(
         &self, partner: &Partner, message: &str, subject: &str, origin: String, payload: Vec<u8>,
     ) -> Option<RequestContext> {
@@ -181,14 +181,18 @@
 }
 
 fn written(
-    book: &Book, message: &str, error: &str, mic: Option<String>, signed: bool,
+    book: &As2Settings, message: &str, error: &str, mic: Option<String>, signed: bool,
 ) -> Result<Entity, Fault> {
     let disposition = if error.is_empty() { "processed".into() } else { format!("processed/error: {error}") };
-    mdn::write(&Receipt { message: message.into(), disposition, mic }, &book.name, signed.then_some(&book.me))
+    mdn::compose(
+        &Mdn { original_message_id: message.into(), disposition, received_content_mic: mic },
+        &book.name,
+        signed.then_some(&book.identity),
+    )
 }
 
 /// Passes on the ends of messages whose partners wait for them.
-pub async fn words(book: Arc<Book>, exchange: Exchange, mut words: UnboundedReceiver<Callback>) {
+pub async fn send_mdns(book: Arc<As2Settings>, exchange: Exchange, mut words: UnboundedReceiver<Callback>) {
     let client = client();
     while let Some(notice) = words.recv().await {
         let (book, exchange, client) = (book.clone(), exchange.clone(), client.clone());
@@ -202,7 +206,7 @@
     }
 }
 
-async fn pass_on(client: &Sender, book: &Book, notice: &Callback) -> Result<(), Fault> {
+async fn pass_on(client: &Sender, book: &As2Settings, notice: &Callback) -> Result<(), Fault> {
     let origin: Origin = json::from_str(&notice.origin).map_err(|_| "its origin cannot be read")?;
     let partner = book.partner(&origin.partner).ok_or("its sender is a partner no more")?;
     let url = partner.receipts_to.as_deref().ok_or("its sender has no place for receipts any more")?;
@@ -213,7 +217,7 @@
 }
 
 /// Sends a receipt until it is answered.
-async fn offer(client: &Sender, book: &Book, url: &str, message: &str, entity: Entity) {
+async fn offer(client: &Sender, book: &As2Settings, url: &str, message: &str, entity: Entity) {
     let body: Bytes = entity.body.into();
     for _ in 0..OFFERS {
         let request = Request::post(url)
@@ -235,11 +239,11 @@
 }
 
 /// A receipt for what was sent earlier. Its attempt judges it, signature and all.
-async fn receipt(State(front): State<Arc<Front>>, headers: HeaderMap, body: Bytes) -> Response {
-    let Some(receipt) = mdn::read(&body) else {
+async fn receipt(State(front): State<Arc<As2Front>>, headers: HeaderMap, body: Bytes) -> Response {
+    let Some(receipt) = mdn::parse(&body) else {
         return (StatusCode::BAD_REQUEST, "not a receipt").into_response();
     };
     let head = format!("Content-Type: {}\r\n\r\n", text(&headers, "content-type"));
-    front.exchange.word(receipt.message, [head.as_bytes(), &body[..]].concat().into());
+    front.exchange.word(receipt.original_message_id, [head.as_bytes(), &body[..]].concat().into());
     StatusCode::OK.into_response()
 }
--- a/src/client/connection.rs
+++ b/src/client/connection.rs
@@ -1,7 +1,7 @@
 //! Serves one client connection: reads whole requests within their bounds, has them answered, and closes in order.
 use super::limiter::{ConnectionLimiter, ConnectionPermit, ConnectionState, Phase};
 use super::socket::{ClientSocket, DISCARD_TIMEOUT};
-use super::LAST_ANSWERS;
+use super::FINAL_RESPONSES;
 use axum::body::Body;
 use axum::response::{IntoResponse, Response};
 use axum::Router;
@@ -35,11 +35,11 @@
 const HEAD_BYTES_LIMIT: usize = 16 * 1024;
 const HEADER_LINES_LIMIT: usize = 64;
 /// Once connections are being closed: how long one waits for the rest of a request that is on its way. Shorter than
-/// `LAST_ANSWERS`, so that the request still gets its answer.
+/// `FINAL_RESPONSES`, so that the request still gets its answer.
 const CLOSING_GRACE: Duration = Duration::from_millis(100);
 
 const _: () = assert!(
-    CLOSING_GRACE.as_millis() + DISCARD_TIMEOUT.as_millis() < LAST_ANSWERS.as_millis(),
+    CLOSING_GRACE.as_millis() + DISCARD_TIMEOUT.as_millis() < FINAL_RESPONSES.as_millis(),
     "what is on its way has its answer, and its connection its close, before the process stops waiting"
 );
 
--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -28,10 +28,10 @@
 use tokio_rustls::TlsAcceptor;
 
 /// How long answers may still go out once connections are being closed.
-pub const LAST_ANSWERS: Duration = Duration::from_millis(250);
+pub const FINAL_RESPONSES: Duration = Duration::from_millis(250);
 /// How long the process outlives its last client connection. Guards the last answers: one that is still on its way when the
 /// process goes may be lost with it, and what it took on counts as never heard.
-pub const FAREWELL: Duration = Duration::from_millis(100);
+pub const CLOSE_LINGER: Duration = Duration::from_millis(100);
 /// Connections that may stand before they are accepted, as the standard library has it.
 const BACKLOG: u32 = 1024;
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
--- a/src/client/platform.rs
+++ b/src/client/platform.rs
@@ -4,7 +4,7 @@
 use crate::core::Answer;
 use crate::exchange::Exchange;
 use crate::request::RequestContext;
-use crate::settings::Site;
+use crate::settings::DeploymentSettings;
 use crate::{Effect, Nanos};
 use axum::body::Bytes;
 use axum::extract::{Path, State};
@@ -28,12 +28,12 @@
 const TEXT_LIMIT: usize = 256;
 
 struct Front {
-    site: Arc<Site>,
+    site: Arc<DeploymentSettings>,
     exchange: Exchange,
 }
 
 /// The routes of this front.
-pub fn routes(site: Arc<Site>, exchange: Exchange) -> Router {
+pub fn routes(site: Arc<DeploymentSettings>, exchange: Exchange) -> Router {
     Router::new()
         .route("/ready", get(|| async { StatusCode::OK }))
         .route("/{class}", post(hand_in))
@@ -53,14 +53,14 @@
     match answer {
         Answer::Accepted => StatusCode::ACCEPTED.into_response(),
         Answer::Delivered => StatusCode::OK.into_response(),
-        Answer::Reject(after) => reject(after),
+        Answer::Reject(after) => rejection(after),
         Answer::UnknownDestination => StatusCode::NOT_FOUND.into_response(),
         Answer::Failed => StatusCode::INTERNAL_SERVER_ERROR.into_response(),
     }
 }
 
 /// Refused; coming again is harmless.
-pub fn reject(after: Option<Nanos>) -> Response {
+pub fn rejection(after: Option<Nanos>) -> Response {
     let mut answer = StatusCode::SERVICE_UNAVAILABLE.into_response();
     if let Some(value) = after.and_then(|a| format!("{:.3}", a.secs()).parse().ok()) {
         answer.headers_mut().insert(RETRY_AFTER, value);
@@ -75,7 +75,9 @@
 }
 
 /// Guards against bad input: whatever is missing, malformed or unknown is a plain 4xx.
-fn context(site: &Site, path: &str, headers: &HeaderMap, body: Bytes) -> Result<RequestContext, Fault> {
+fn context(
+    site: &DeploymentSettings, path: &str, headers: &HeaderMap, body: Bytes,
+) -> Result<RequestContext, Fault> {
     let text = |name: &str| -> Result<Option<&str>, Fault> {
         let Some(value) = headers.get(name) else { return Ok(None) };
         let value = value.to_str().map_err(|_| bad("a header is no plain text"))?;
@@ -119,7 +121,7 @@
 
 /// The number of the tenant that a request names. A deployment without tenants has none to name: all its messages are
 /// counted under number 0.
-fn tenant(site: &Site, name: Option<&str>) -> Result<usize, Fault> {
+fn tenant(site: &DeploymentSettings, name: Option<&str>) -> Result<usize, Fault> {
     if site.tenants.is_empty() {
         return Ok(0);
     }
--- a/src/client/tests.rs
+++ b/src/client/tests.rs
@@ -170,7 +170,7 @@
     scene.write(&REQUEST[..REQUEST.len() - 2]);
     scene.wait_for(Phase::InRequest).await;
     scene.close.send_replace(true);
-    let closed = timeout(super::LAST_ANSWERS, scene.read_to_end()).await;
+    let closed = timeout(super::FINAL_RESPONSES, scene.read_to_end()).await;
     let answer = closed.expect("before the process ends").expect("an end");
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
     assert_eq!(scene.routed(), 0);
--- a/src/config_error.rs
+++ b/src/config_error.rs
@@ -14,7 +14,7 @@
     /// The key, as `settings.classes[0].effect`; empty for the file as a whole.
     pub key: String,
     /// What is wrong with it, and what it may be.
-    pub what: String,
+    pub message: String,
 }
 
 impl fmt::Display for ConfigError {
@@ -23,64 +23,72 @@
         if !self.key.is_empty() {
             write!(f, "{}: ", self.key)?;
         }
-        f.write_str(&self.what)
+        f.write_str(&self.message)
     }
 }
 
-/// The faults of one file.
+/// The errors of one file.
 pub struct ConfigErrors<'a> {
     file: &'a Path,
     /// All that were found, in the order of the file.
-    pub found: Vec<ConfigError>,
+    pub errors: Vec<ConfigError>,
 }
 
 impl<'a> ConfigErrors<'a> {
     /// None yet.
-    pub fn of(file: &'a Path) -> ConfigErrors<'a> {
-        ConfigErrors { file, found: Vec::new() }
+    pub fn new(file: &'a Path) -> ConfigErrors<'a> {
+        ConfigErrors { file, errors: Vec::new() }
     }
 
     /// Adds one.
-    pub fn add(&mut self, key: impl Into<String>, what: impl fmt::Display) {
-        self.found.push(ConfigError { file: self.file.into(), key: key.into(), what: what.to_string() });
+    pub fn add(&mut self, key: impl Into<String>, message: impl fmt::Display) {
+        self.errors.push(ConfigError {
+            file: self.file.into(),
+            key: key.into(),
+            message: message.to_string(),
+        });
     }
 
     /// Adds one unless it holds.
-    pub fn unless(&mut self, holds: bool, key: impl Into<String>, what: impl fmt::Display) {
+    pub fn require(&mut self, holds: bool, key: impl Into<String>, message: impl fmt::Display) {
         if !holds {
-            self.add(key, what);
+            self.add(key, message);
         }
     }
 
     /// Adds one if the word is none of these.
-    pub fn one_of(&mut self, word: Option<&str>, of: &[&str], key: impl Into<String>) {
+    pub fn require_one_of(&mut self, word: Option<&str>, of: &[&str], key: impl Into<String>) {
         if let Some(word) = word.filter(|w| !of.contains(w)) {
             self.add(key, format!("{word:?} is none of {}", of.join(", ")));
         }
     }
 
     /// Adds one unless it is a socket address.
-    pub fn socket_address(&mut self, text: &str, key: impl Into<String>) {
+    pub fn require_socket_address(&mut self, text: &str, key: impl Into<String>) {
         let good = text.parse::<SocketAddr>().is_ok();
-        self.unless(good, key, format!("not a socket address: {text:?}"));
+        self.require(good, key, format!("not a socket address: {text:?}"));
     }
 
     /// Adds one if there is a name that is not among these.
-    pub fn known(&mut self, name: &Option<String>, names: &[String], key: impl Into<String>, what: &str) {
-        self.unless(name.as_ref().is_none_or(|n| names.contains(n)), key, what);
+    pub fn require_known(
+        &mut self, name: &Option<String>, names: &[String], key: impl Into<String>, message: &str,
+    ) {
+        self.require(name.as_ref().is_none_or(|n| names.contains(n)), key, message);
     }
 
     /// Adds one for each name that stands twice.
-    pub fn twice<'n>(&mut self, names: impl Iterator<Item = &'n str>, key: impl Fn(usize) -> String) {
+    pub fn reject_duplicates<'n>(
+        &mut self, names: impl Iterator<Item = &'n str>, key: impl Fn(usize) -> String,
+    ) {
         let mut seen = std::collections::BTreeSet::new();
         for (i, name) in names.enumerate() {
-            self.unless(seen.insert(name), key(i), format!("{name:?} is there twice"));
+            self.require(seen.insert(name), key(i), format!("{name:?} is there twice"));
         }
     }
 
     /// Reads a text as JSON: what it holds, if it can be read, and the keys that nobody knows. `unused` are those
     /// that may stand in the file though this program has no use for them, with `[]` for any place in a list.
-    pub fn json<T: DeserializeOwned>(&mut self, text: &str, unused: &[&str]) -> Option<T> {
+    pub fn parse_json<T: DeserializeOwned>(&mut self, text: &str, unused: &[&str]) -> Option<T> {
         let mut unknown = Vec::new();
         let mut json = serde_json::Deserializer::from_str(text);
         let mut track = serde_path_to_error::Track::new();
@@ -98,7 +106,7 @@
         };
         for key in unknown {
             let any = any_place(&key);
-            self.unless(unused.contains(&any.as_str()), key, "no such key");
+            self.require(unused.contains(&any.as_str()), key, "no such key");
         }
         value
     }
@@ -130,11 +138,11 @@
 }
 
 /// Why a file that must be read could not be, in one line.
-pub fn why<T: DeserializeOwned>(file: &Path, text: &str) -> String {
-    let mut faults = ConfigErrors::of(file);
-    let read: Option<T> = faults.json(text, &[]);
-    let missing = ConfigError { file: file.into(), key: String::new(), what: "cannot be read".into() };
-    let first = faults.found.into_iter().next().filter(|_| read.is_none()).unwrap_or(missing);
+pub fn explain_parse_failure<T: DeserializeOwned>(file: &Path, text: &str) -> String {
+    let mut errors = ConfigErrors::new(file);
+    let read: Option<T> = errors.parse_json(text, &[]);
+    let missing = ConfigError { file: file.into(), key: String::new(), message: "cannot be read".into() };
+    let first = errors.errors.into_iter().next().filter(|_| read.is_none()).unwrap_or(missing);
     first.to_string()
 }
 
--- a/src/config_error/tests.rs
+++ b/src/config_error/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `fault`.
+//! Tests of `config_error`.
 use super::*;
 
 #[test]
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -27,7 +27,7 @@
 use crate::logic::Balancer;
 use crate::metrics::Metrics;
 use crate::plugins::Plugins;
-use crate::settings::Site;
+use crate::settings::DeploymentSettings;
 use in_flight::Busy;
 use journal_writer::Ledger;
 use pending::{records, Held};
@@ -40,7 +40,7 @@
     balancer: Balancer,
     ledger: Ledger,
     plugins: Plugins,
-    site: Arc<Site>,
+    site: Arc<DeploymentSettings>,
     held: BTreeMap<MessageId, Held>,
     /// How many of them are not over.
     open: usize,
@@ -87,7 +87,7 @@
     /// Takes up what the journal says is still owed. `elder`: the process that wrote it may still have calls out, and says
     /// what comes of them.
     pub fn new(
-        site: &Arc<Site>, seed: u64, standing: Vec<Endpoint>, plugins: Plugins,
+        site: &Arc<DeploymentSettings>, seed: u64, standing: Vec<Endpoint>, plugins: Plugins,
         (journal, records): (Journal, Vec<Record>), elder: bool, now: Nanos,
     ) -> Core {
         let settings = site.module.clone();
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -129,7 +129,7 @@
 const DISK: u64 = 9_500;
 const MESSAGES: u64 = 90;
 
-fn site() -> Arc<Site> {
+fn site() -> Arc<DeploymentSettings> {
     let class = |name: &str, effect, fifo_by_key| {
         let (aim, deadline) = (Nanos::from_secs(1.0), Nanos::from_secs(8.0));
         (
@@ -169,7 +169,7 @@
         connection_idle_timeout: Nanos::from_secs(15.0),
         ..Settings::default()
     };
-    Arc::new(Site {
+    Arc::new(DeploymentSettings {
         module,
         classes: classes.into_iter().map(|c| c.0).collect(),
         tenants: vec!["t".into()],
--- a/src/discovery/follow.rs
+++ b/src/discovery/follow.rs
@@ -6,7 +6,7 @@
 };
 use super::values::{Said, Values};
 use crate::backoff::Backoff;
-use crate::settings::GroupUpdate;
+use crate::settings::EndpointListUpdate;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
 use hyper::body::Incoming;
@@ -126,7 +126,7 @@
 
     /// Follows the list for as long as the process runs. `apply` takes each update in and returns the version that is held
     /// from then on; each new watch goes on from that.
-    pub async fn run(mut self, mut apply: impl FnMut(GroupUpdate) -> u64) {
+    pub async fn run(mut self, mut apply: impl FnMut(EndpointListUpdate) -> u64) {
         loop {
             match self.next_event().await {
                 Event::Moved => self.moved(),
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -10,7 +10,7 @@
 use crate::backoff::Backoff;
 use crate::core::Endpoint;
 use crate::exchange::Exchange;
-use crate::settings::{GroupUpdate, Site, Target};
+use crate::settings::{DeploymentSettings, EndpointListUpdate, ListedEndpoint};
 use crate::EndpointState;
 use follow::{Follower, Start, Tcp};
 use std::sync::Arc;
@@ -27,9 +27,10 @@
 
 /// Watches for as long as the process runs; each new watch goes on from the version last held.
 pub async fn run(
-    site: Arc<Site>, mut held: Held, address: watch::Receiver<String>, exchange: Exchange, backoff: Backoff,
+    site: Arc<DeploymentSettings>, mut held: Held, address: watch::Receiver<String>, exchange: Exchange,
+    backoff: Backoff,
 ) {
-    let start = Start { version: held.rev, may_wait: held.serves, shared: site.askers() > 1 };
+    let start = Start { version: held.rev, may_wait: held.serves, shared: site.polling_forwarders() > 1 };
     let follower = Follower::new(Tcp, address, start, backoff);
     follower
         .run(|update| {
@@ -39,40 +40,40 @@
         .await;
 }
 
-fn take(update: GroupUpdate, site: &Site, exchange: &Exchange, held: &mut Held) {
+fn take(update: EndpointListUpdate, site: &DeploymentSettings, exchange: &Exchange, held: &mut Held) {
     // Guards against a discovery that has lost its own list: nothing could be sent at all until it has it back.
-    if held.serves && update.all && update.targets.is_empty() {
+    if held.serves && update.complete && update.endpoints.is_empty() {
         log::warn!("discovery: passed over a whole list without a line; the old one stands");
         return;
     }
-    held.rev = update.rev;
+    held.rev = update.revision;
     held.told.send_replace(held.rev);
-    held.serves |= !update.targets.is_empty();
-    log::info!(lines = update.targets.len(); "upstream group: version {}", held.rev);
-    exchange.update_endpoints(update.all, members(site, &update));
+    held.serves |= !update.endpoints.is_empty();
+    log::info!(lines = update.endpoints.len(); "upstream group: version {}", held.rev);
+    exchange.update_endpoints(update.complete, members(site, &update));
 }
 
 /// The members that an update names.
-pub fn members(site: &Site, update: &GroupUpdate) -> Vec<Endpoint> {
-    update.targets.iter().map(|t| member(site, t)).collect()
+pub fn members(site: &DeploymentSettings, update: &EndpointListUpdate) -> Vec<Endpoint> {
+    update.endpoints.iter().map(|t| member(site, t)).collect()
 }
 
-fn member(site: &Site, t: &Target) -> Endpoint {
+fn member(site: &DeploymentSettings, t: &ListedEndpoint) -> Endpoint {
     let place = |names: &[String], name: &Option<String>| {
         names.iter().position(|n| Some(n) == name.as_ref()).unwrap_or(0)
     };
     Endpoint {
         uid: t.uid.clone(),
-        address: t.endpoint.clone(),
-        zone: place(&site.zones, &t.az),
-        kind: place(&site.kinds, &t.model),
-        dest: t.pod_group,
+        address: t.address.clone(),
+        zone: place(&site.zones, &t.zone),
+        kind: place(&site.kinds, &t.kind),
+        dest: t.destination,
         state: match t.state.as_str() {
             "Ready" => EndpointState::Running,
             "Gone" => EndpointState::Removed,
             // Guards drains against words that are not known: nothing new goes where it may not be wanted.
             _ => EndpointState::Draining,
         },
-        rate: t.capacity_hint.unwrap_or(0.0),
+        rate: t.rate.unwrap_or(0.0),
     }
 }
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -127,8 +127,8 @@
     let known = Arc::new(Mutex::new(Vec::new()));
     let seen = known.clone();
     let follower = Follower::new(stand_in, address, start, backoff).run(move |update| {
-        seen.lock().expect("lock").push((update.rev, begun.elapsed()));
-        update.rev
+        seen.lock().expect("lock").push((update.revision, begun.elapsed()));
+        update.revision
     });
     let following = tokio::spawn(follower);
     if let Some(at) = moves_at {
--- a/src/discovery/values.rs
+++ b/src/discovery/values.rs
@@ -1,6 +1,6 @@
 //! What discovery says, cut into values as they come: lists, over one line or many, and the empty lines between them.
 //! Whole at any cut of the bytes. What is no list is passed over, up to the end of its line; memory is bounded.
-use crate::settings::GroupUpdate;
+use crate::settings::EndpointListUpdate;
 use serde::de::IgnoredAny;
 use serde_json::{Deserializer, Error};
 
@@ -17,7 +17,7 @@
 pub enum Said {
     /// Nothing has changed.
     Nothing,
-    List(GroupUpdate),
+    List(EndpointListUpdate),
 }
 
 /// The bytes of an answer, of which so much has been read.
@@ -58,7 +58,7 @@
                     continue;
                 }
             }
-            let mut stream = Deserializer::from_slice(&self.bytes).into_iter::<GroupUpdate>();
+            let mut stream = Deserializer::from_slice(&self.bytes).into_iter::<EndpointListUpdate>();
             let read = stream.next();
             let size = stream.byte_offset();
             match read {
--- a/src/discovery/values/tests.rs
+++ b/src/discovery/values/tests.rs
@@ -11,7 +11,7 @@
         while let Some(one) = values.next()? {
             said.push(match one {
                 Said::Nothing => None,
-                Said::List(update) => Some(update.rev),
+                Said::List(update) => Some(update.revision),
             });
         }
         assert!(values.bytes.len() <= VALUE_MOST + piece.len(), "{} bytes are kept", values.bytes.len());
--- a/src/exchange/shutdown.rs
+++ b/src/exchange/shutdown.rs
@@ -5,8 +5,8 @@
 const CONNECTIONS_FOR: Duration = Duration::from_millis(500);
 /// For how long new attempts still start.
 const ATTEMPTS_FOR: Duration = Duration::from_millis(1500);
-/// When the last attempt is waited for no longer. With the last answers (`client::LAST_ANSWERS`) and the time that the
-/// process outlives them (`client::FAREWELL`) it must be gone before a SIGKILL that comes after 3.7 s.
+/// When the last attempt is waited for no longer. With the last answers (`client::FINAL_RESPONSES`) and the time that the
+/// process outlives them (`client::CLOSE_LINGER`) it must be gone before a SIGKILL that comes after 3.7 s.
 pub const GONE_BY: Duration = Duration::from_millis(3300);
 /// How soon the phase is looked at again once all its times have passed.
 const LOOK_AGAIN: Duration = Duration::from_millis(50);
--- a/src/main.rs
+++ b/src/main.rs
@@ -18,7 +18,7 @@
 const KILL_AFTER: Duration = Duration::from_millis(3700);
 
 const _: () = assert!(
-    exchange::GONE_BY.as_millis() + client::LAST_ANSWERS.as_millis() + client::FAREWELL.as_millis()
+    exchange::GONE_BY.as_millis() + client::FINAL_RESPONSES.as_millis() + client::CLOSE_LINGER.as_millis()
         < KILL_AFTER.as_millis(),
     "the process has ended by itself before it is killed"
 );
@@ -34,7 +34,7 @@
     };
     match command {
         Command::Run(run) => start(&run),
-        Command::Check(files) => said(&check::all(&files), &files),
+        Command::Check(files) => said(&check::check_files(&files), &files),
         Command::Fleet(what) => {
             let (look, every) = match &what {
                 flags::Fleet::Show(look) => (look, None),
@@ -138,57 +138,61 @@
     let config = settings::Config::read(said)?;
     if let (Some(at), None) = (config.mgmt, &process.mgmt) {
         // Before all that may take time: until this process serves, the answer is no.
-        process.mgmt = Some(mgmt::Mgmt::start(at, &config.site.classes)?);
+        process.mgmt = Some(mgmt::Mgmt::start(at, &config.deployment.classes)?);
     }
     let mut terminate = signal(SignalKind::terminate())?;
     // Before anything is ready: without a handler, a SIGHUP ends the process.
     let hangup = signal(SignalKind::hangup())?;
-    let (folder, mut turn) = (Folder::open(&config.state)?, Turn::new());
+    let (folder, mut turn) = (Folder::open(&config.state_dir)?, Turn::new());
     let asks = process.mgmt.is_some() && !process.has_left;
     let owned = own(&config, &folder, &mut turn, asks, &mut terminate).await?;
     let Some((owner, listener)) = owned else { return Ok(Done::Ended) };
     let left = folder.left();
-    let journal = journal::Journal::open(&config.state, config.disk)?;
-    let book = as2::book(&said.files.as2)?.map(Arc::new);
-    let standing = book.as_ref().map(|b| b.members()).unwrap_or_default();
+    let journal = journal::Journal::open(&config.state_dir, config.disk_limit)?;
+    let book = as2::As2Settings::load(&said.files.as2)?.map(Arc::new);
+    let standing = book.as_ref().map(|b| b.endpoints()).unwrap_or_default();
     let plugins = plugins::Plugins::load(&said.files.plugins);
     let (elder, now) = (left.is_some(), clock::now());
-    let core = core::Core::new(&config.site, config.seed, standing, plugins, journal, elder, now);
+    let core = core::Core::new(&config.deployment, config.seed, standing, plugins, journal, elder, now);
     let (exchange, exchange::Outputs { calls, notices, words }) = exchange::Exchange::new(core);
-    exchange.update_endpoints(true, discovery::members(&config.site, &config.known));
+    exchange.update_endpoints(true, discovery::members(&config.deployment, &config.initial_endpoints));
     if let Some(left) = left {
         tokio::spawn(hear_elder(left, exchange.clone()));
     }
-    tokio::spawn(upstream::run(config.site.clone(), book.clone(), exchange.clone(), calls));
+    tokio::spawn(upstream::run(config.deployment.clone(), book.clone(), exchange.clone(), calls));
     let (moves, discovery) = tokio::sync::watch::channel(config.discovery.clone());
-    let (told, list) = tokio::sync::watch::channel(config.known.rev);
+    let (told, list) = tokio::sync::watch::channel(config.initial_endpoints.revision);
     let changes = peers::Changes { list, discovery: discovery.clone() };
     let fleet = peers::start(&said.files.neighbours, &config, &exchange, changes);
     tokio::spawn(reload::run(config.clone(), hangup, moves));
     tokio::spawn(callbacks::run(discovery.clone(), exchange.clone(), notices));
-    let longest = discovery::timing::longest_pause(config.site.askers() > 1);
-    let again = backoff::Backoff::new(config.site.askers(), longest, config.seed);
-    let held = discovery::Held { rev: config.known.rev, serves: !config.known.targets.is_empty(), told };
-    tokio::spawn(discovery::run(config.site.clone(), held, discovery, exchange.clone(), again));
-    let limiter = client::ConnectionLimiter::new(config.sockets / 3);
+    let longest = discovery::timing::longest_pause(config.deployment.polling_forwarders() > 1);
+    let again = backoff::Backoff::new(config.deployment.polling_forwarders(), longest, config.seed);
+    let held = discovery::Held {
+        rev: config.initial_endpoints.revision,
+        serves: !config.initial_endpoints.endpoints.is_empty(),
+        told,
+    };
+    tokio::spawn(discovery::run(config.deployment.clone(), held, discovery, exchange.clone(), again));
+    let limiter = client::ConnectionLimiter::new(config.socket_limit / 3);
     if let Some(book) = book {
         let listener = TcpListener::bind(&book.listen).await?;
         log::info!("AS2 front listens on {}", book.listen);
-        tokio::spawn(client::as2::words(book.clone(), exchange.clone(), words));
+        tokio::spawn(client::as2::send_mdns(book.clone(), exchange.clone(), words));
         let authority = book.acme.clone();
-        let (site, exchange) = (config.site.clone(), exchange.clone());
-        let routes = client::as2::routes(client::as2::Front { site, book, exchange: exchange.clone() });
-        let keeper = Arc::new(acme::Keeper::default());
+        let (site, exchange) = (config.deployment.clone(), exchange.clone());
+        let routes = client::as2::routes(client::as2::As2Front { site, book, exchange: exchange.clone() });
+        let keeper = Arc::new(acme::CertificateStore::default());
         let tls = authority.as_ref().map(|_| client::tls(keeper.clone())).transpose()?;
         if let Some(authority) = authority {
-            tokio::spawn(acme::run(authority, config.state.clone(), keeper));
+            tokio::spawn(acme::run(authority, config.state_dir.clone(), keeper));
         }
         let front = client::Front { listener, routes, limits: client::as2::LIMITS, tls };
         tokio::spawn(client::serve(front, limiter.clone(), exchange.closing()));
     }
     let shared = process.mgmt.is_some();
     let open = |listener: TcpListener| {
-        let routes = client::platform::routes(config.site.clone(), exchange.clone());
+        let routes = client::platform::routes(config.deployment.clone(), exchange.clone());
         let front = client::Front { listener, routes, limits: client::platform::LIMITS, tls: None };
         tokio::spawn(client::serve(front, limiter.clone(), exchange.closing()))
     };
@@ -244,8 +248,8 @@
         fleet.drain().await;
     }
     exchange.shut_down().await;
-    let _ = tokio::time::timeout(client::LAST_ANSWERS, serving).await;
-    tokio::time::sleep(client::FAREWELL).await;
+    let _ = tokio::time::timeout(client::FINAL_RESPONSES, serving).await;
+    tokio::time::sleep(client::CLOSE_LINGER).await;
     if let Some(fleet) = &fleet {
         fleet.leave().await;
     }
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -68,21 +68,21 @@
         return None;
     };
     let trust = Arc::new(Trust::new(files).inspect_err(|e| off(e)).ok()?);
-    let disk = journal::on(&config.state).inspect_err(|e| off(e)).ok()?;
+    let disk = journal::on(&config.state_dir).inspect_err(|e| off(e)).ok()?;
     let (name, seed) = (config.name.clone(), config.seed);
     if name.len() > NAME_MOST {
         off(&format_args!("a name of {} bytes, of {NAME_MOST} at the most", name.len()));
         return None;
     }
     // What stands on disk is raised; the clock is asked only where there is nothing, and above all that was there.
-    let mut memory = Memory::open(disk, config.disk);
+    let mut memory = Memory::open(disk, config.disk_limit);
     let started = clock::now();
     let incarnation = memory.begin(started.0 / 1_000_000);
     let (fleet, wishes) = Fleet::new();
     let me = Me { name: name.clone(), group: flags.papers.group.clone(), fleet: Some(fleet.clone()) };
     let address = flags.advertise.unwrap_or(listen);
     let mut facts = Facts {
-        zone: config.site.zones.get(config.site.module.zone).cloned().unwrap_or_default(),
+        zone: config.deployment.zones.get(config.deployment.module.zone).cloned().unwrap_or_default(),
         version: env!("CARGO_PKG_VERSION").into(),
         config: config.digest() ^ discovery_at(&config.discovery),
         epoch: 1,
--- a/src/peers/trust.rs
+++ b/src/peers/trust.rs
@@ -111,7 +111,7 @@
         let said = |path: &Path, e: &dyn std::fmt::Display| ConfigError {
             file: path.into(),
             key: String::new(),
-            what: e.to_string(),
+            message: e.to_string(),
         };
         let chain = CertificateDer::pem_file_iter(&self.certificate).and_then(Iterator::collect);
         let chain: Vec<CertificateDer<'static>> = chain.map_err(|e| said(&self.certificate, &e))?;
--- a/src/plugins.rs
+++ b/src/plugins.rs
@@ -119,14 +119,14 @@
 pub fn check(folder: &Path) -> Vec<ConfigError> {
     let files = match files(folder) {
         Err(e) if e.kind() != std::io::ErrorKind::NotFound => {
-            return vec![ConfigError { file: folder.into(), key: String::new(), what: e.to_string() }];
+            return vec![ConfigError { file: folder.into(), key: String::new(), message: e.to_string() }];
         }
         files => files.unwrap_or_default(),
     };
     let engine = Plugins::none().engine;
     let fault = |file: PathBuf| {
-        let what = engine.compile_file(file.clone()).err()?.to_string();
-        Some(ConfigError { file, key: String::new(), what })
+        let message = engine.compile_file(file.clone()).err()?.to_string();
+        Some(ConfigError { file, key: String::new(), message })
     };
     files.into_iter().filter_map(fault).collect()
 }
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -7,14 +7,14 @@
 pub async fn run(mut held: Config, mut hangup: Signal, discovery: watch::Sender<String>) {
     while hangup.recv().await.is_some() {
         // Guards against a file that is half written or wrong: what is held stays in force.
-        let fresh = match held.again() {
+        let fresh = match held.reload() {
             Ok(fresh) => fresh,
             Err(fault) => {
                 log::error!("configuration not reloaded, the old one stays: {fault}");
                 continue;
             }
         };
-        for key in held.fixed(&fresh) {
+        for key in held.keys_needing_restart(&fresh) {
             log::warn!("configuration reloaded, but a new {key} needs a restart");
         }
         log::info!("configuration reloaded: discovery at {}", fresh.discovery);
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -19,21 +19,21 @@
     pub discovery: String,
     /// Where operators call; none: nobody listens for them.
     pub mgmt: Option<SocketAddr>,
-    pub state: PathBuf,
+    pub state_dir: PathBuf,
     /// Bytes that the lasting folder may hold.
-    pub disk: u64,
+    pub disk_limit: u64,
     /// Descriptors that the process may hold.
-    pub sockets: usize,
+    pub socket_limit: usize,
     pub seed: u64,
-    pub known: GroupUpdate,
-    pub site: Arc<Site>,
+    pub initial_endpoints: EndpointListUpdate,
+    pub deployment: Arc<DeploymentSettings>,
     path: PathBuf,
-    before: Before,
+    before: CommandLineOverrides,
 }
 
 /// What the command line and the environment put before keys of the file.
 #[derive(Clone)]
-struct Before {
+struct CommandLineOverrides {
     name: Option<String>,
     listen: Option<String>,
     discovery: Option<String>,
@@ -42,7 +42,7 @@
 
 /// The settings: the module's, and the names that the wires use.
 #[derive(PartialEq)]
-pub struct Site {
+pub struct DeploymentSettings {
     pub module: Settings,
     pub classes: Vec<String>,
     pub tenants: Vec<String>,
@@ -53,22 +53,30 @@
 
 /// Discovery's word on the upstream group: all of it, or what changed.
 #[derive(Deserialize, serde::Deserialize, Clone)]
-pub struct GroupUpdate {
-    pub rev: u64,
-    pub all: bool,
-    pub targets: Vec<Target>,
+pub struct EndpointListUpdate {
+    #[serde(rename = "rev")]
+    pub revision: u64,
+    #[serde(rename = "all")]
+    pub complete: bool,
+    #[serde(rename = "targets")]
+    pub endpoints: Vec<ListedEndpoint>,
 }
 
 /// One endpoint as discovery lists it.
 #[derive(Deserialize, serde::Deserialize, Clone)]
-pub struct Target {
+pub struct ListedEndpoint {
     pub uid: String,
-    pub endpoint: String,
-    pub az: Option<String>,
-    pub model: Option<String>,
-    pub pod_group: u64,
+    #[serde(rename = "endpoint")]
+    pub address: String,
+    #[serde(rename = "az")]
+    pub zone: Option<String>,
+    #[serde(rename = "model")]
+    pub kind: Option<String>,
+    #[serde(rename = "pod_group")]
+    pub destination: u64,
     pub state: String,
-    pub capacity_hint: Option<f64>,
+    #[serde(rename = "capacity_hint")]
+    pub rate: Option<f64>,
 }
 
 #[derive(Deserialize, serde::Deserialize)]
@@ -79,7 +87,7 @@
     seed: String,
     limits: Limits,
     mgmt: Option<String>,
-    known: GroupUpdate,
+    known: EndpointListUpdate,
     settings: Conf,
 }
 
@@ -198,11 +206,11 @@
     quota_rps: f64,
 }
 
-impl Site {
+impl DeploymentSettings {
     /// Forwarders that ask the same place for the list. A list that is pushed lies ready for each of them, at no cost
     /// to the others, and what it holds counts as told from then on: who waits for a turn breaks drains meanwhile.
     /// One that answers on request loads a place that all share.
-    pub fn askers(&self) -> usize {
+    pub fn polling_forwarders(&self) -> usize {
         if self.module.poll_interval.is_some() {
             self.module.forwarders
         } else {
@@ -214,13 +222,13 @@
 impl Config {
     /// What a reload cannot change while the process runs, as far as `fresh` differs in it. `seed` and `known`
     /// only count at a start.
-    pub fn fixed(&self, fresh: &Config) -> Vec<&'static str> {
+    pub fn keys_needing_restart(&self, fresh: &Config) -> Vec<&'static str> {
         let differs = [
             ("name", self.name != fresh.name),
             ("listen", self.listen != fresh.listen),
             ("mgmt", self.mgmt != fresh.mgmt),
-            ("limits", (self.disk, self.sockets) != (fresh.disk, fresh.sockets)),
-            ("settings", self.site != fresh.site),
+            ("limits", (self.disk_limit, self.socket_limit) != (fresh.disk_limit, fresh.socket_limit)),
+            ("settings", self.deployment != fresh.deployment),
         ];
         differs.into_iter().filter(|d| d.1).map(|d| d.0).collect()
     }
@@ -231,7 +239,7 @@
         let file = read(&path)?;
         let listen = run.listen.map(|l| l.to_string());
         let mgmt = run.mgmt.map(|m| m.to_string());
-        let before = Before {
+        let before = CommandLineOverrides {
             name: run.before("name", run.name.clone(), &file.name),
             listen: run.before("listen", listen, &file.listen),
             discovery: run.before("discovery", run.discovery.clone(), &file.discovery),
@@ -241,8 +249,8 @@
     }
 
     /// The same file read again; what stood before its keys still does.
-    pub fn again(&self) -> Result<Config, Box<dyn Error>> {
-        Config::new(self.path.clone(), self.state.clone(), read(&self.path)?, self.before.clone())
+    pub fn reload(&self) -> Result<Config, Box<dyn Error>> {
+        Config::new(self.path.clone(), self.state_dir.clone(), read(&self.path)?, self.before.clone())
     }
 
     /// One number for the settings that all forwarders of a site share, whatever the order and form in which the file has
@@ -255,7 +263,9 @@
         hash.and_then(|h| Some(u64::from_be_bytes(*h.first_chunk()?))).unwrap_or(0)
     }
 
-    fn new(path: PathBuf, state: PathBuf, file: File, before: Before) -> Result<Config, Box<dyn Error>> {
+    fn new(
+        path: PathBuf, state: PathBuf, file: File, before: CommandLineOverrides,
+    ) -> Result<Config, Box<dyn Error>> {
         let kept = before.clone();
         let listen = before.listen.unwrap_or(file.listen);
         let discovery = before.discovery.unwrap_or(file.discovery);
@@ -269,12 +279,12 @@
             listen: listen.parse().map_err(|e| format!("listen address {listen}: {e}"))?,
             discovery,
             mgmt: mgmt.transpose()?,
-            state,
-            disk: (file.limits.disk_mb * 1e6) as u64,
-            sockets: file.limits.sockets as usize,
+            state_dir: state,
+            disk_limit: (file.limits.disk_mb * 1e6) as u64,
+            socket_limit: file.limits.sockets as usize,
             seed: u64::from_str_radix(&file.seed, 16).map_err(|e| format!("seed {}: {e}", file.seed))?,
-            known: file.known,
-            site: Arc::new(site(file.settings)),
+            initial_endpoints: file.known,
+            deployment: Arc::new(site(file.settings)),
             path,
             before: kept,
         })
@@ -288,7 +298,7 @@
 
 fn read(path: &Path) -> Result<File, Box<dyn Error>> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    json::from_str(&text).map_err(|_| crate::config_error::why::<File>(path, &text).into())
+    json::from_str(&text).map_err(|_| crate::config_error::explain_parse_failure::<File>(path, &text).into())
 }
 
 fn class(c: &ConfClass) -> Class {
@@ -311,7 +321,7 @@
     }
 }
 
-fn site(c: Conf) -> Site {
+fn site(c: Conf) -> DeploymentSettings {
     let info = &c.family_info;
     let kind = |i: usize| EndpointKind {
         separate_routes: info.kind_apart.get(i).copied().unwrap_or(false),
@@ -356,7 +366,7 @@
         overload_window: Nanos(c.rules.tip_after_ns),
         ordering_pause: Nanos(c.rules.order_pause_ns.unwrap_or(0)),
     };
-    Site {
+    DeploymentSettings {
         module,
         classes: c.classes.into_iter().map(|c| c.name).collect(),
         tenants: c.tenants.into_iter().map(|t| t.name).collect(),
--- a/src/upstream/as2.rs
+++ b/src/upstream/as2.rs
@@ -1,9 +1,9 @@
 //! The AS2 encoding of an attempt: a signed message to a partner, and what its receipt means.
 use super::pool::Pool;
 use super::{platform, Ending};
-use crate::as2::mdn::{self, Meaning};
+use crate::as2::mdn::{self, DispositionOutcome};
 use crate::as2::smime::{self, Entity};
-use crate::as2::{Book, Partner};
+use crate::as2::{As2Settings, Partner};
 use crate::core::Attempt;
 use crate::exchange::Exchange;
 use crate::Outcome;
@@ -25,7 +25,7 @@
 
 /// Makes the call and waits for its receipt; dropping it closes its connection.
 pub async fn call(
-    pool: Arc<Pool>, one: &Attempt, book: &Book, partner: &Partner, exchange: &Exchange,
+    pool: Arc<Pool>, one: &Attempt, book: &As2Settings, partner: &Partner, exchange: &Exchange,
 ) -> Ending {
     let id = message_id(&one.context.name, &book.name);
     let (request, mic) = match request(one, book, partner, &id) {
@@ -53,7 +53,7 @@
     if !head.status.is_success() {
         return platform::ending(head.status, &head.headers);
     }
-    let received = if partner.later {
+    let received = if partner.is_mdn_asynchronous() {
         word.await.ok()
     } else {
         let kind =
@@ -76,13 +76,13 @@
 }
 
 fn request(
-    one: &Attempt, book: &Book, partner: &Partner, id: &str,
+    one: &Attempt, book: &As2Settings, partner: &Partner, id: &str,
 ) -> Result<(Request<Full<Bytes>>, String), Fault> {
     let mut part =
         b"Content-Type: application/octet-stream\r\nContent-Transfer-Encoding: binary\r\n\r\n".to_vec();
     part.extend_from_slice(&one.context.body);
-    let mic = smime::mic(&part);
-    let signed = smime::sign(&part, &book.me)?;
+    let mic = smime::message_integrity_check(&part);
+    let signed = smime::sign(&part, &book.identity)?;
     let entity = if partner.encrypt { smime::encrypt(&signed, &partner.certificate)? } else { signed };
     let Entity { content_type, body } = entity;
     let mut request = Request::post(&partner.url)
@@ -93,36 +93,40 @@
         .header("mime-version", "1.0")
         .header("subject", "message")
         .header(CONTENT_TYPE, content_type)
-        .header("disposition-notification-to", &book.receipt_url)
+        .header("disposition-notification-to", &book.mdn_url)
         .header(
             "disposition-notification-options",
             "signed-receipt-protocol=required, pkcs7-signature; signed-receipt-micalg=required, sha-256",
         );
-    if partner.later {
-        request = request.header("receipt-delivery-option", &book.receipt_url);
+    if partner.is_mdn_asynchronous() {
+        request = request.header("receipt-delivery-option", &book.mdn_url);
     }
     Ok((request.body(Full::new(body.into()))?, mic))
 }
 
 /// Only a receipt that the partner signed, for this message and with its digest, is a delivery.
-fn judge(text: &[u8], id: &str, mic: &str, book: &Book, partner: &Partner) -> Ending {
+fn judge(text: &[u8], id: &str, mic: &str, book: &As2Settings, partner: &Partner) -> Ending {
     let fault = |why: &str, outcome: Outcome| {
         log::warn!("AS2: message {id} to {}: {why}", partner.name);
         Ending::from(outcome)
     };
-    let Some(entity) = smime::split(text) else { return fault("no receipt came", Outcome::Error) };
-    let part = match smime::open(entity, &book.me, &partner.certificate) {
+    let Some(entity) = smime::parse_entity(text) else { return fault("no receipt came", Outcome::Error) };
+    let part = match smime::decrypt_and_verify(entity, &book.identity, &partner.certificate) {
         Ok(part) => part,
-        Err(why) => return fault(&format!("its receipt is not good: {}", why.words()), Outcome::Error),
+        Err(why) => {
+            return fault(&format!("its receipt is not good: {}", why.disposition_modifier()), Outcome::Error)
+        }
     };
-    match mdn::read(&part) {
+    match mdn::parse(&part) {
         None => fault("its receipt cannot be read", Outcome::Error),
-        Some(r) if r.message != id => fault("its receipt is for another message", Outcome::Error),
-        Some(r) => match r.meaning() {
-            Meaning::Processed if r.mic.as_deref() == Some(mic) => Outcome::Ok.into(),
-            Meaning::Processed => fault("its receipt has another digest", Outcome::Error),
-            Meaning::NeverRan => fault(&r.disposition, Outcome::Rejected(None)),
-            Meaning::MayHaveRun => fault(&r.disposition, Outcome::Error),
+        Some(r) if r.original_message_id != id => fault("its receipt is for another message", Outcome::Error),
+        Some(r) => match r.outcome() {
+            DispositionOutcome::Processed if r.received_content_mic.as_deref() == Some(mic) => {
+                Outcome::Ok.into()
+            }
+            DispositionOutcome::Processed => fault("its receipt has another digest", Outcome::Error),
+            DispositionOutcome::NotProcessed => fault(&r.disposition, Outcome::Rejected(None)),
+            DispositionOutcome::MayBeProcessed => fault(&r.disposition, Outcome::Error),
         },
     }
 }
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -7,10 +7,10 @@
 #[cfg(test)]
 mod tests;
 
-use crate::as2::Book;
+use crate::as2::As2Settings;
 use crate::core::Attempt;
 use crate::exchange::{Exchange, UpstreamCommand};
-use crate::settings::Site;
+use crate::settings::DeploymentSettings;
 use crate::{EndpointId, LoadReport, Nanos, Outcome};
 use pool::Pool;
 use std::collections::BTreeMap;
@@ -53,7 +53,7 @@
 
 /// Carries out attempts as the exchange hands them over.
 pub async fn run(
-    site: Arc<Site>, book: Option<Arc<Book>>, exchange: Exchange,
+    site: Arc<DeploymentSettings>, book: Option<Arc<As2Settings>>, exchange: Exchange,
     mut works: UnboundedReceiver<UpstreamCommand>,
 ) {
     let mut pools: BTreeMap<EndpointId, Arc<Pool>> = BTreeMap::new();
@@ -78,7 +78,7 @@
                     *pool = new();
                 }
                 out.retain(|_, call| !call.is_over());
-                let partner = book.as_ref().is_some_and(|b| b.at(&first.address).is_some());
+                let partner = book.as_ref().is_some_and(|b| b.partner_at(&first.address).is_some());
                 if attempts.len() > 1 && !partner {
                     let (off, calls_off) = unbounded_channel();
                     let places = attempts.iter().map(|one| (one.id, one.attempt));
@@ -109,8 +109,8 @@
     }
 }
 
-async fn attempt(pool: Arc<Pool>, one: Attempt, book: Option<Arc<Book>>, exchange: Exchange) {
-    let partner = book.as_ref().and_then(|b| Some((b, b.at(&one.address)?)));
+async fn attempt(pool: Arc<Pool>, one: Attempt, book: Option<Arc<As2Settings>>, exchange: Exchange) {
+    let partner = book.as_ref().and_then(|b| Some((b, b.partner_at(&one.address)?)));
     let call = async {
         match partner {
             Some((book, partner)) => as2::call(pool, &one, book, partner, &exchange).await,
--- a/src/upstream/pool.rs
+++ b/src/upstream/pool.rs
@@ -2,7 +2,7 @@
 //! whether it may go, and only then its request is handed over: a connect may take seconds, and much may be told
 //! meanwhile. A connection whose attempt may not go any more serves the next one.
 use super::tap::{Listener, Tapped, Watch};
-use crate::settings::Site;
+use crate::settings::DeploymentSettings;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -183,7 +183,7 @@
 }
 
 /// How often `trim` is to be called, so that what stands idle is closed before the endpoint's machine does so.
-pub fn sweep(site: &Site) -> Duration {
+pub fn sweep(site: &DeploymentSettings) -> Duration {
     Duration::from_secs_f64(site.module.connection_idle_timeout.secs() * (1.0 - IDLE_SHARE)).max(SWEEP_LEAST)
 }
 
@@ -195,7 +195,7 @@
 }
 
 impl Pool {
-    pub fn new(site: &Site, address: String) -> Pool {
+    pub fn new(site: &DeploymentSettings, address: String) -> Pool {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(Duration::from_nanos(site.connect_timeout.0)));
--- a/src/upstream/tests.rs
+++ b/src/upstream/tests.rs
@@ -2,7 +2,7 @@
 //! two awaits happens before the connection's task, or the runtime itself, can hear of it.
 use super::platform::no_head;
 use super::pool::{Call, Fault, Pool};
-use crate::settings::Site;
+use crate::settings::DeploymentSettings;
 use crate::{Nanos, Outcome, Settings};
 use http_body_util::Full;
 use hyper::{Request, Uri};
@@ -16,11 +16,18 @@
 
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
 
-fn site() -> Site {
+fn site() -> DeploymentSettings {
     let module = Settings { connection_idle_timeout: Nanos::from_secs(15.0), ..Settings::default() };
     let connect_timeout = Nanos::from_secs(1.0);
     let names = Vec::new;
-    Site { module, classes: names(), tenants: names(), zones: names(), kinds: names(), connect_timeout }
+    DeploymentSettings {
+        module,
+        classes: names(),
+        tenants: names(),
+        zones: names(),
+        kinds: names(),
+        connect_timeout,
+    }
 }
 
 async fn call(pool: &Arc<Pool>) -> Result<Call, Fault> {
