--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -27,7 +27,7 @@
 use crate::logic::Balancer;
 use crate::metrics::Metrics;
 use crate::plugins::Plugins;
-use crate::settings::Site;
+use crate::settings::DeploymentSettings;
 use in_flight::Busy;
 use journal_writer::Ledger;
 use pending::{records, Held};
@@ -38,7 +38,7 @@
 /// What a core needs to start.
 pub struct CoreOptions {
     /// Settings of the decision module, and the names of classes, tenants, zones and endpoint kinds.
-    pub site: Arc<Site>,
+    pub site: Arc<DeploymentSettings>,
     /// Seed of the decision module's random numbers.
     pub seed: u64,
     /// Endpoints that discovery does not list; they are added to each complete endpoint list.
@@ -70,7 +70,7 @@
     balancer: Balancer,
     ledger: Ledger,
     plugins: Plugins,
-    site: Arc<Site>,
+    site: Arc<DeploymentSettings>,
     held: BTreeMap<MessageId, Held>,
     /// How many of them are not over.
     open: usize,
--- a/src/main.rs
+++ b/src/main.rs
@@ -18,7 +18,9 @@
 const KILL_AFTER: Duration = Duration::from_millis(3700);
 
 const _: () = assert!(
-    exchange::SHUTDOWN_TIMEOUT.as_millis() + client::LAST_ANSWERS.as_millis() + client::FAREWELL.as_millis()
+    exchange::SHUTDOWN_TIMEOUT.as_millis()
+        + client::FINAL_RESPONSES.as_millis()
+        + client::CLOSE_LINGER.as_millis()
         < KILL_AFTER.as_millis(),
     "the process has ended by itself before it is killed"
 );
@@ -34,7 +36,7 @@
     };
     match command {
         Command::Run(run) => start(&run),
-        Command::Check(files) => said(&check::all(&files), &files),
+        Command::Check(files) => said(&check::check_files(&files), &files),
         Command::Fleet(what) => {
             let (look, every) = match &what {
                 flags::FleetCommand::Show(look) => (look, None),
@@ -144,19 +146,19 @@
     let config = settings::Config::read(said)?;
     if let (Some(at), None) = (config.mgmt, &process.mgmt) {
         // Before all that may take time: until this process serves, the answer is no.
-        process.mgmt = Some(mgmt::ManagementServer::start(at, &config.site.classes)?);
+        process.mgmt = Some(mgmt::ManagementServer::start(at, &config.deployment.classes)?);
     }
     let mut terminate = signal(SignalKind::terminate())?;
     // Before anything is ready: without a handler, a SIGHUP ends the process.
     let hangup = signal(SignalKind::hangup())?;
-    let (folder, mut turn) = (SharedFolder::open(&config.state)?, StateMachine::new());
+    let (folder, mut turn) = (SharedFolder::open(&config.state_dir)?, StateMachine::new());
     let asks = process.mgmt.is_some() && !process.has_left;
     let owned = own(&config, &folder, &mut turn, asks, &mut terminate).await?;
     let Some((owner, listener)) = owned else { return Ok(Done::Ended) };
     let left = folder.open_late_outcomes();
-    let journal = journal::Journal::open(&config.state, config.disk)?;
-    let book = as2::book(&said.files.as2)?.map(Arc::new);
-    let standing = book.as_ref().map(|b| b.members()).unwrap_or_default();
+    let journal = journal::Journal::open(&config.state_dir, config.disk_limit)?;
+    let book = as2::As2Settings::load(&said.files.as2)?.map(Arc::new);
+    let standing = book.as_ref().map(|b| b.endpoints()).unwrap_or_default();
     let plugins = plugins::Plugins::load(&said.files.plugins);
     let (journal, records) = journal;
     let predecessor = match left {
@@ -164,7 +166,7 @@
         None => core::Predecessor::None,
     };
     let core = core::Core::new(core::CoreOptions {
-        site: config.site.clone(),
+        site: config.deployment.clone(),
         seed: config.seed,
         static_endpoints: standing,
         plugins,
@@ -175,43 +177,43 @@
     });
     let (exchange, exchange::Outputs { upstream_commands, platform_callbacks, as2_receipts }) =
         exchange::Exchange::new(core);
-    let known = discovery::endpoints(&config.site, &config.known);
+    let known = discovery::endpoints(&config.deployment, &config.initial_endpoints);
     exchange.update_endpoints(exchange::EndpointUpdate::Complete(known));
     if let Some(left) = left {
         tokio::spawn(hear_elder(left, exchange.clone()));
     }
-    tokio::spawn(upstream::run(config.site.clone(), book.clone(), exchange.clone(), upstream_commands));
+    tokio::spawn(upstream::run(config.deployment.clone(), book.clone(), exchange.clone(), upstream_commands));
     let (moves, discovery) = tokio::sync::watch::channel(config.discovery.clone());
-    let (told, list) = tokio::sync::watch::channel(config.known.rev);
+    let (told, list) = tokio::sync::watch::channel(config.initial_endpoints.revision);
     let changes = peers::Changes { list, discovery: discovery.clone() };
     let fleet = peers::start(&said.files.peers, &config, &exchange, changes);
     tokio::spawn(reload::run(config.clone(), hangup, moves));
     tokio::spawn(callbacks::run(discovery.clone(), exchange.clone(), platform_callbacks));
     let known = discovery::EndpointListState {
-        version: config.known.rev,
-        can_serve: !config.known.targets.is_empty(),
+        version: config.initial_endpoints.revision,
+        can_serve: !config.initial_endpoints.endpoints.is_empty(),
         published_version: told,
     };
-    tokio::spawn(discovery::run(config.site.clone(), known, discovery, exchange.clone(), config.seed));
-    let limiter = client::ConnectionLimiter::new(config.sockets / 3);
+    tokio::spawn(discovery::run(config.deployment.clone(), known, discovery, exchange.clone(), config.seed));
+    let limiter = client::ConnectionLimiter::new(config.socket_limit / 3);
     if let Some(book) = book {
         let listener = TcpListener::bind(&book.listen).await?;
         log::info!("AS2 front listens on {}", book.listen);
-        tokio::spawn(client::as2::words(book.clone(), exchange.clone(), as2_receipts));
+        tokio::spawn(client::as2::send_mdns(book.clone(), exchange.clone(), as2_receipts));
         let authority = book.acme.clone();
-        let (site, exchange) = (config.site.clone(), exchange.clone());
-        let routes = client::as2::routes(client::as2::Front { site, book, exchange: exchange.clone() });
-        let keeper = Arc::new(acme::Keeper::default());
+        let (site, exchange) = (config.deployment.clone(), exchange.clone());
+        let routes = client::as2::routes(client::as2::As2Front { site, book, exchange: exchange.clone() });
+        let keeper = Arc::new(acme::CertificateStore::default());
         let tls = authority.as_ref().map(|_| client::tls(keeper.clone())).transpose()?;
         if let Some(authority) = authority {
-            tokio::spawn(acme::run(authority, config.state.clone(), keeper));
+            tokio::spawn(acme::run(authority, config.state_dir.clone(), keeper));
         }
         let front = client::Front { listener, routes, limits: client::as2::LIMITS, tls };
         tokio::spawn(client::serve(front, limiter.clone(), exchange.close_signal()));
     }
     let shared = process.mgmt.is_some();
     let open = |listener: TcpListener| {
-        let routes = client::platform::routes(config.site.clone(), exchange.clone());
+        let routes = client::platform::routes(config.deployment.clone(), exchange.clone());
         let front = client::Front { listener, routes, limits: client::platform::LIMITS, tls: None };
         tokio::spawn(client::serve(front, limiter.clone(), exchange.close_signal()))
     };
@@ -275,8 +277,8 @@
         fleet.drain().await;
     }
     exchange.shut_down().await;
-    let _ = tokio::time::timeout(client::LAST_ANSWERS, serving).await;
-    tokio::time::sleep(client::FAREWELL).await;
+    let _ = tokio::time::timeout(client::FINAL_RESPONSES, serving).await;
+    tokio::time::sleep(client::CLOSE_LINGER).await;
     if let Some(fleet) = &fleet {
         fleet.leave().await;
     }
