--- a/src/main.rs
+++ b/src/main.rs
@@ -41,7 +41,7 @@
                 flags::Fleet::Watch { look, every } => (look, Some(Duration::from_secs_f64(*every))),
             };
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-            runtime.map_or(ExitCode::FAILURE, |r| r.block_on(peers::look::run(look, every)))
+            runtime.map_or(ExitCode::FAILURE, |r| r.block_on(peers::inspect::run(look, every)))
         }
         Command::Completions(shell) => {
             flags::complete(shell);
@@ -162,7 +162,7 @@
     tokio::spawn(upstream::run(config.site.clone(), book.clone(), exchange.clone(), calls));
     let (moves, discovery) = tokio::sync::watch::channel(config.discovery.clone());
     let (told, list) = tokio::sync::watch::channel(config.known.rev);
-    let changes = peers::Changes { list, discovery: discovery.clone() };
+    let changes = peers::LocalChanges { list_version: list, discovery_address: discovery.clone() };
     let fleet = peers::start(&said.files.neighbours, &config, &exchange, changes);
     tokio::spawn(reload::run(config.clone(), hangup, moves));
     tokio::spawn(callbacks::run(discovery.clone(), exchange.clone(), notices));
--- a/src/peers/weigh.rs
+++ b/src/peers/aggregation.rs
@@ -9,7 +9,7 @@
 //! | well | a second | the same |
 //! | wait | to the end that the partner told | the latest end |
 //! | pace, room | ten seconds | the youngest sight |
-use super::frame::Item;
+use super::frame::EndpointObservation;
 use crate::interface::{Finding, Nanos};
 use std::collections::BTreeMap;
 
@@ -34,7 +34,7 @@
 const NEIGHBOURS_MOST: usize = 8;
 
 /// A neighbour, by a number that a restart under the same name does not keep.
-pub type Neighbour = u64;
+pub type PeerId = u64;
 
 /// What news is about: of each only the last counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -95,7 +95,7 @@
 
 #[derive(Default)]
 struct Endpoint {
-    seen: BTreeMap<(Topic, Neighbour), Seen>,
+    seen: BTreeMap<(Topic, PeerId), Seen>,
     /// When it was last said, and whether there is something new since.
     said: Nanos,
     fresh: bool,
@@ -103,14 +103,14 @@
 
 /// All that neighbours said and that may still count.
 #[derive(Default)]
-pub struct Weigh {
+pub struct Aggregator {
     endpoints: BTreeMap<String, Endpoint>,
 }
 
-impl Weigh {
+impl Aggregator {
     /// Takes in what a neighbour told. `way` is the longest that the frame can have been on its way: all in it is
     /// that much older, and a wait has that much less left, so that it never ends later than the partner said.
-    pub fn take(&mut self, now: Nanos, from: Neighbour, way: Nanos, items: Vec<Item>) {
+    pub fn take(&mut self, now: Nanos, from: PeerId, way: Nanos, items: Vec<EndpointObservation>) {
         for item in items {
             let at = now - item.age - way;
             let sight = match item.finding {
@@ -155,13 +155,13 @@
     }
 
     /// What counts now and is new, or has not been said for a while.
-    pub fn counts(&mut self, now: Nanos) -> Vec<Item> {
+    pub fn counts(&mut self, now: Nanos) -> Vec<EndpointObservation> {
         let mut items = Vec::new();
         self.endpoints.retain(|uid, endpoint| {
             endpoint.seen.retain(|_, s| s.until() > now);
             if endpoint.fresh || (now - endpoint.said).secs() >= AGAIN {
                 (endpoint.said, endpoint.fresh) = (now, false);
-                items.extend(endpoint.counts(now).map(|(finding, age)| Item {
+                items.extend(endpoint.counts(now).map(|(finding, age)| EndpointObservation {
                     uid: uid.clone(),
                     finding,
                     age,
--- a/src/peers/weigh/tests.rs
+++ b/src/peers/aggregation/tests.rs
@@ -3,8 +3,8 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-const A: Neighbour = 1;
-const B: Neighbour = 2;
+const A: PeerId = 1;
+const B: PeerId = 2;
 const NONE: Nanos = Nanos(0);
 
 fn at(secs: f64) -> Nanos {
@@ -15,8 +15,8 @@
     Nanos::from_secs(secs)
 }
 
-fn item(finding: Finding, age: f64) -> Vec<Item> {
-    vec![Item { uid: "s-1".into(), finding, age: span(age) }]
+fn item(finding: Finding, age: f64) -> Vec<EndpointObservation> {
+    vec![EndpointObservation { uid: "s-1".into(), finding, age: span(age) }]
 }
 
 fn out(since: f64) -> Finding {
@@ -42,7 +42,7 @@
     #[case] a: (Finding, f64), #[case] b: (Finding, f64), #[case] wanted: Option<u8>,
 ) {
     for (first, second) in [(a, b), (b, a)] {
-        let mut weigh = Weigh::default();
+        let mut weigh = Aggregator::default();
         weigh.take(at(0.0), A, NONE, item(first.0, first.1));
         weigh.take(at(0.0), B, NONE, item(second.0, second.1));
         let counts = weigh.counts(at(0.0));
@@ -58,10 +58,10 @@
 
 #[test]
 fn a_wait_learned_second_hand_never_ends_later_than_the_partner_said() {
-    let mut weigh = Weigh::default();
+    let mut weigh = Aggregator::default();
     // Told at 0 with 5 s; the frame was built at 1, and may have been under way since 0.7.
     weigh.take(at(1.2), A, span(0.5), item(Finding::RetryAfter { left: span(4.0) }, 1.0));
-    let left = |weigh: &mut Weigh, now| match weigh.counts(now).first().map(|i| i.finding) {
+    let left = |weigh: &mut Aggregator, now| match weigh.counts(now).first().map(|i| i.finding) {
         Some(Finding::RetryAfter { left }) => left,
         other => panic!("{other:?}"),
     };
@@ -76,7 +76,7 @@
 
 #[test]
 fn what_came_later_but_was_seen_earlier_changes_nothing() {
-    let mut weigh = Weigh::default();
+    let mut weigh = Aggregator::default();
     weigh.take(at(10.0), A, NONE, item(back(1.0), 0.2));
     weigh.take(at(10.1), A, span(3.0), item(out(5.0), 0.1));
     assert!(matches!(weigh.counts(at(10.1))[0].finding, Finding::Recovering { .. }));
@@ -84,7 +84,7 @@
 
 #[test]
 fn of_two_that_saw_it_return_the_later_moment_counts() {
-    let mut weigh = Weigh::default();
+    let mut weigh = Aggregator::default();
     weigh.take(at(0.0), A, NONE, item(back(3.0), 0.0));
     weigh.take(at(0.0), B, NONE, item(back(1.0), 0.4));
     assert_eq!(weigh.counts(at(0.0))[0].finding, back(1.0));
@@ -92,10 +92,10 @@
 
 #[test]
 fn a_flood_of_names_takes_a_bounded_place_and_pushes_nobody_out() {
-    let mut weigh = Weigh::default();
+    let mut weigh = Aggregator::default();
     weigh.take(at(0.0), A, NONE, item(out(60.0), 0.0));
     for n in 0..ENDPOINTS_MOST as u64 + 500 {
-        let one = Item { uid: format!("x-{n}"), finding: out(60.0), age: NONE };
+        let one = EndpointObservation { uid: format!("x-{n}"), finding: out(60.0), age: NONE };
         weigh.take(at(0.0), B, NONE, vec![one]);
     }
     assert_eq!(weigh.len(), ENDPOINTS_MOST);
@@ -114,7 +114,7 @@
     fn nothing_counts_that_nobody_saw(
         words in prop::collection::vec((0..4u64, 0..3u8, 0.0..5.0f64, 0.0..20.0f64, 0.0..2.0f64), 1..30),
     ) {
-        let mut weigh = Weigh::default();
+        let mut weigh = Aggregator::default();
         let mut now = at(0.0);
         let mut told = Vec::new();
         for (from, kind, after, age, way) in words {
--- a/src/peers/meet.rs
+++ b/src/peers/authentication.rs
@@ -1,8 +1,8 @@
 //! Members that have not shown a certificate in this life are visited: only who has shown one counts. Whoever learns or
 //! teaches has done so already; a visit is for the rest. One visit serves both sides.
-use super::dial::Dial;
-use super::link::{self, End};
-use super::turns::{Turns, AGAIN, SHUNNED};
+use super::connect::Connector;
+use super::rotation::{Rotation, AGAIN, SHUNNED};
+use super::session::{self, SessionEnd};
 use crate::fleet::gossip::Known;
 use crate::fleet::members::Member;
 use std::net::SocketAddr;
@@ -18,12 +18,12 @@
 pub const EVERY: Duration = Duration::from_millis(50);
 
 /// Whom to visit, without I/O: some at a time, those that failed not again at once. Times in seconds of any clock.
-pub struct Visits(Turns);
+pub struct Visits(Rotation);
 
 impl Visits {
     /// None yet.
     pub fn new(seed: u64) -> Visits {
-        Visits(Turns::new(AT_ONCE, seed))
+        Visits(Rotation::new(AT_ONCE, seed))
     }
 
     /// Whom to visit now.
@@ -40,7 +40,7 @@
 }
 
 /// Visits for as long as the process runs.
-pub async fn all(dial: Dial, known: watch::Receiver<Arc<Known>>, seed: u64) {
+pub async fn run(dial: Connector, known: watch::Receiver<Arc<Known>>, seed: u64) {
     let began = Instant::now();
     let mut visits = Visits::new(seed);
     let (ended_in, mut ended) = mpsc::unbounded_channel();
@@ -59,14 +59,14 @@
         for who in visits.choose(now(), &unshown) {
             let (dial, ended) = (dial.clone(), ended_in.clone());
             tokio::spawn(async move {
-                let met = async { link::meet(dial.to(who.address).await?, &dial.me).await };
+                let met = async { session::meet(dial.to(who.address).await?, &dial.me).await };
                 let pause = match met.await {
                     Ok(()) => AGAIN,
-                    Err(End::Over(why)) => {
+                    Err(SessionEnd::Closed(why)) => {
                         log::debug!("neighbours: {} has not shown its certificate: {why}", who.name);
                         AGAIN
                     }
-                    Err(End::Shun(why)) => {
+                    Err(SessionEnd::Rejected(why)) => {
                         log::warn!("neighbours: {} is there and does not count: {why}", who.name);
                         SHUNNED
                     }
--- a/src/peers/dial.rs
+++ b/src/peers/connect.rs
@@ -1,6 +1,6 @@
 //! Connections to other forwarders: with this one's certificate, within bounds of time.
-use super::link::{End, Me, HELLO_BY};
-use super::trust::{self, Trust};
+use super::credentials::{self, Credentials};
+use super::session::{LocalIdentity, SessionEnd, HELLO_BY};
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,21 +13,21 @@
 
 /// Who connects, from where, and with what.
 #[derive(Clone)]
-pub struct Dial {
+pub struct Connector {
     /// From the address that it listens on, as its datagrams: who filters by address knows it by one.
     pub from: IpAddr,
-    pub trust: Arc<Trust>,
-    pub me: Me,
+    pub trust: Arc<Credentials>,
+    pub me: LocalIdentity,
 }
 
-impl Dial {
+impl Connector {
     /// A connection on which both sides have shown their certificates.
     ///
     /// # Errors
     ///
     /// Why there is none, and whether the other side is to be left alone for it.
-    pub async fn to(&self, who: SocketAddr) -> Result<TlsStream<TcpStream>, End> {
-        let over = |e: std::io::Error| End::Over(e.to_string());
+    pub async fn to(&self, who: SocketAddr) -> Result<TlsStream<TcpStream>, SessionEnd> {
+        let over = |e: std::io::Error| SessionEnd::Closed(e.to_string());
         let connect = async {
             let socket = if who.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
             if !self.from.is_unspecified() && self.from.is_ipv4() == who.is_ipv4() {
@@ -37,14 +37,16 @@
             let _ = socket.set_nodelay(true);
             Ok(socket)
         };
-        let late = |_| End::Over("no connection in time".into());
+        let late = |_| SessionEnd::Closed("no connection in time".into());
         let socket = timeout(CONNECT_FOR, connect).await.map_err(late)?.map_err(over)?;
-        let tls = TlsConnector::from(self.trust.sides().client);
-        match timeout(HELLO_BY, tls.connect(trust::server_name(), socket)).await {
+        let tls = TlsConnector::from(self.trust.current().client);
+        match timeout(HELLO_BY, tls.connect(credentials::server_name(), socket)).await {
             Ok(Ok(stream)) => Ok(stream),
-            Ok(Err(e)) if e.kind() == std::io::ErrorKind::InvalidData => Err(End::Shun(e.to_string())),
+            Ok(Err(e)) if e.kind() == std::io::ErrorKind::InvalidData => {
+                Err(SessionEnd::Rejected(e.to_string()))
+            }
             Ok(Err(e)) => Err(over(e)),
-            Err(_) => Err(End::Over("a handshake without end".into())),
+            Err(_) => Err(SessionEnd::Closed("a handshake without end".into())),
         }
     }
 }
--- a/src/peers/trust.rs
+++ b/src/peers/credentials.rs
@@ -15,11 +15,11 @@
 
 /// The DNS name that each forwarder's certificate carries. The authority is for forwarders alone, and which of them one
 /// talks to makes no difference.
-pub const NAME: &str = "micaladder-neighbour";
+pub const CERTIFICATE_NAME: &str = "micaladder-neighbour";
 
 /// Where the certificates lie (PEM).
 #[derive(Clone, Debug)]
-pub struct Files {
+pub struct CredentialFiles {
     /// This forwarder's certificate, with those that lead to the authority behind it.
     pub certificate: PathBuf,
     /// Its key.
@@ -30,7 +30,7 @@
 
 /// Both sides' settings.
 #[derive(Clone)]
-pub struct Sides {
+pub struct TlsConfigs {
     /// For those who come.
     pub server: Arc<ServerConfig>,
     /// For those to whom this one goes.
@@ -42,34 +42,34 @@
 
 struct Held {
     stamp: Stamp,
-    sides: Sides,
+    sides: TlsConfigs,
 }
 
 /// What is in use, and from where.
-pub struct Trust {
-    files: Files,
+pub struct Credentials {
+    files: CredentialFiles,
     held: Mutex<Held>,
 }
 
-impl Trust {
+impl Credentials {
     /// Reads the files.
     ///
     /// # Errors
     ///
     /// A file that cannot be read or used, named.
-    pub fn new(files: Files) -> Result<Trust, ConfigError> {
-        let held = Held { stamp: files.stamp(), sides: files.read()? };
-        Ok(Trust { files, held: Mutex::new(held) })
+    pub fn new(files: CredentialFiles) -> Result<Credentials, ConfigError> {
+        let held = Held { stamp: files.stamp(), sides: files.load()? };
+        Ok(Credentials { files, held: Mutex::new(held) })
     }
 
     /// What is in use now. Asked for each connection: the files are looked at, and read where they changed.
-    pub fn sides(&self) -> Sides {
+    pub fn current(&self) -> TlsConfigs {
         let mut held = self.held.lock().unwrap_or_else(PoisonError::into_inner);
         let stamp = self.files.stamp();
         if stamp != held.stamp {
             // Also after a fault: a file that is half written is tried again when it has changed once more.
             held.stamp = stamp;
-            match self.files.read() {
+            match self.files.load() {
                 Ok(sides) => {
                     log::info!("neighbours: new certificates are in use");
                     held.sides = sides;
@@ -86,15 +86,16 @@
 /// The name that is asked for.
 pub fn server_name() -> ServerName<'static> {
     // A constant that is a name: the test below holds it to that.
-    ServerName::try_from(NAME).unwrap_or(ServerName::IpAddress(std::net::Ipv4Addr::UNSPECIFIED.into()))
+    ServerName::try_from(CERTIFICATE_NAME)
+        .unwrap_or(ServerName::IpAddress(std::net::Ipv4Addr::UNSPECIFIED.into()))
 }
 
-impl Files {
+impl CredentialFiles {
     /// Those that the command line names, where it names all.
-    pub fn of(flags: &flags::Papers) -> Option<Files> {
+    pub fn from_flags(flags: &flags::Papers) -> Option<CredentialFiles> {
         let (certificate, key, authority) =
             (flags.certificate.clone()?, flags.key.clone()?, flags.authority.clone()?);
-        Some(Files { certificate, key, authority })
+        Some(CredentialFiles { certificate, key, authority })
     }
 
     fn stamp(&self) -> Stamp {
@@ -107,7 +108,7 @@
     /// # Errors
     ///
     /// A file that cannot be read or used, named.
-    pub fn read(&self) -> Result<Sides, ConfigError> {
+    pub fn load(&self) -> Result<TlsConfigs, ConfigError> {
         let said = |path: &Path, e: &dyn std::fmt::Display| ConfigError {
             file: path.into(),
             key: String::new(),
@@ -135,7 +136,7 @@
         let client = ClientConfig::builder_with_provider(provider).with_protocol_versions(&[&TLS13]);
         let client = client.map_err(own)?.with_root_certificates(roots);
         let client = client.with_client_auth_cert(chain, key).map_err(own)?;
-        Ok(Sides { server: Arc::new(server), client: Arc::new(client) })
+        Ok(TlsConfigs { server: Arc::new(server), client: Arc::new(client) })
     }
 }
 
--- a/src/peers/frame.rs
+++ b/src/peers/frame.rs
@@ -12,7 +12,7 @@
 const VERSION: u8 = 1;
 const HEAD: usize = 9;
 /// A longer frame is no frame of a neighbour. In bytes, without its length.
-pub const MOST: usize = 64 * 1024;
+pub const MAX_FRAME_BYTES: usize = 64 * 1024;
 /// So many bytes of items go into a frame; the rest goes into the next.
 const ITEMS_MOST: usize = 48 * 1024;
 const NAME_MOST: usize = 256;
@@ -44,7 +44,7 @@
     Told(Told),
 }
 
-/// Own experience of the one who teaches. Empty ones show that it lives.
+/// LocalObservations experience of the one who teaches. Empty ones show that it lives.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Told {
     /// The last ping that had come when this was built, and for how long it had been there.
@@ -54,16 +54,16 @@
     /// The last of the snapshot with which it begins.
     pub whole: bool,
     /// What is told.
-    pub items: Vec<Item>,
+    pub items: Vec<EndpointObservation>,
 }
 
 /// Finding of an endpoint that all forwarders know by the same uid; its age is that at which the frame was built.
-pub use crate::core::EndpointObservation as Item;
+pub use crate::core::EndpointObservation;
 
 /// Why a peer's bytes are not read any further.
 #[derive(Debug, PartialEq, thiserror::Error)]
-pub enum Fault {
-    /// The frame's length is more than `MOST`.
+pub enum FrameError {
+    /// The frame's length is more than `MAX_FRAME_BYTES`.
     #[error("a frame of {0} bytes")]
     TooLong(usize),
     /// Its payload is not what was sent.
@@ -142,7 +142,7 @@
     out
 }
 
-fn item(item: &Item) -> (u8, Vec<u8>) {
+fn item(item: &EndpointObservation) -> (u8, Vec<u8>) {
     let head = WireItem { uid: item.uid.clone(), age: item.age.0 };
     let both = |rest: Vec<u8>| {
         let mut out = postcard::to_stdvec(&head).unwrap_or_default();
@@ -162,11 +162,12 @@
     }
 }
 
-fn read_item((kind, bytes): &(u8, Vec<u8>)) -> Result<Option<Item>, Fault> {
+fn read_item((kind, bytes): &(u8, Vec<u8>)) -> Result<Option<EndpointObservation>, FrameError> {
     if !(1..=6).contains(kind) {
         return Ok(None);
     }
-    let (head, bytes): (WireItem, &[u8]) = postcard::take_from_bytes(bytes).map_err(|_| Fault::Garbled)?;
+    let (head, bytes): (WireItem, &[u8]) =
+        postcard::take_from_bytes(bytes).map_err(|_| FrameError::Garbled)?;
     let finding = match kind {
         1 => {
             let (since, risky) = take(bytes)?;
@@ -189,13 +190,13 @@
         Finding::Outage { .. } | Finding::Recovering { .. } | Finding::RetryAfter { .. } => [0.0, 0.0],
     };
     if head.uid.len() > NAME_MOST || figures.iter().any(|f| !(0.0..=1e9).contains(f)) {
-        return Err(Fault::Garbled);
+        return Err(FrameError::Garbled);
     }
-    Ok(Some(Item { uid: head.uid, finding, age: Nanos(head.age) }))
+    Ok(Some(EndpointObservation { uid: head.uid, finding, age: Nanos(head.age) }))
 }
 
 /// Items in parts that fit into a frame each; one empty part if there is none.
-pub fn parts(items: Vec<Item>) -> Vec<Vec<Item>> {
+pub fn parts(items: Vec<EndpointObservation>) -> Vec<Vec<EndpointObservation>> {
     let (mut parts, mut size) = (vec![Vec::new()], 0);
     for one in items {
         let more = one.uid.len() + 48;
@@ -220,11 +221,11 @@
 
 /// Makes messages of a stream of bytes, wherever it is cut. Holds one frame at the most, and what came behind it.
 #[derive(Default)]
-pub struct Reader {
+pub struct FrameReader {
     bytes: Vec<u8>,
 }
 
-impl Reader {
+impl FrameReader {
     /// Takes in what came.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
@@ -235,16 +236,16 @@
     /// # Errors
     ///
     /// A frame that is too long, spoilt, or no frame.
-    pub fn message(&mut self) -> Result<Option<Message>, Fault> {
+    pub fn message(&mut self) -> Result<Option<Message>, FrameError> {
         loop {
             let Some(head) = self.bytes.first_chunk::<4>() else { return Ok(None) };
             let length = u32::from_be_bytes(*head) as usize;
             // Before anything is waited for: a peer that sends gigabytes is not heard out.
-            if length > MOST {
-                return Err(Fault::TooLong(length));
+            if length > MAX_FRAME_BYTES {
+                return Err(FrameError::TooLong(length));
             }
             if length < 5 {
-                return Err(Fault::Garbled);
+                return Err(FrameError::Garbled);
             }
             if self.bytes.len() < 4 + length {
                 return Ok(None);
@@ -256,7 +257,7 @@
             }
             let payload = &frame[HEAD..];
             if frame[5..HEAD] != crc32fast::hash(payload).to_be_bytes() {
-                return Err(Fault::Checksum);
+                return Err(FrameError::Checksum);
             }
             if let Some(message) = read(payload)? {
                 return Ok(Some(message));
@@ -266,19 +267,19 @@
 }
 
 /// Reads a value; what stands behind it is a field of a later program.
-fn take<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, Fault> {
-    postcard::take_from_bytes(bytes).map(|(value, _)| value).map_err(|_| Fault::Garbled)
+fn take<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, FrameError> {
+    postcard::take_from_bytes(bytes).map(|(value, _)| value).map_err(|_| FrameError::Garbled)
 }
 
-fn read(payload: &[u8]) -> Result<Option<Message>, Fault> {
-    let (kind, bytes) = payload.split_first().ok_or(Fault::Garbled)?;
+fn read(payload: &[u8]) -> Result<Option<Message>, FrameError> {
+    let (kind, bytes) = payload.split_first().ok_or(FrameError::Garbled)?;
     match *kind {
         HELLO => {
             let (WireHello { name, group }, rest) =
-                postcard::take_from_bytes(bytes).map_err(|_| Fault::Garbled)?;
+                postcard::take_from_bytes(bytes).map_err(|_| FrameError::Garbled)?;
             let member: WireMember = if rest.is_empty() { None } else { take(rest)? };
             match name.len().max(group.len()) > NAME_MOST {
-                true => Err(Fault::Garbled),
+                true => Err(FrameError::Garbled),
                 false => Ok(Some(Message::Hello { name, group, member })),
             }
         }
@@ -290,7 +291,7 @@
         PING => Ok(Some(Message::Ping(take(bytes)?))),
         TOLD => {
             let WireTold { ping, held, whole, items } = take(bytes)?;
-            let items: Result<Vec<_>, Fault> = items.iter().map(read_item).collect();
+            let items: Result<Vec<_>, FrameError> = items.iter().map(read_item).collect();
             let items = items?.into_iter().flatten().collect();
             Ok(Some(Message::Told(Told { ping, held: Nanos(held), whole, items })))
         }
--- a/src/peers/frame/tests.rs
+++ b/src/peers/frame/tests.rs
@@ -17,7 +17,7 @@
 
 fn message() -> impl Strategy<Value = Message> {
     let item = ("[a-z0-9-]{0,40}", finding(), any::<u64>());
-    let item = item.prop_map(|(uid, finding, age)| Item { uid, finding, age: Nanos(age) });
+    let item = item.prop_map(|(uid, finding, age)| EndpointObservation { uid, finding, age: Nanos(age) });
     let told = (any::<u64>(), any::<u64>(), any::<bool>(), prop::collection::vec(item, 0..20));
     prop_oneof![
         ("[a-z]{0,20}", "[a-z]{0,20}", prop::option::of(any::<(u16, u64)>())).prop_map(|(name, group, m)| {
@@ -34,7 +34,7 @@
     ]
 }
 
-fn all(reader: &mut Reader) -> Result<Vec<Message>, Fault> {
+fn all(reader: &mut FrameReader) -> Result<Vec<Message>, FrameError> {
     std::iter::from_fn(|| reader.message().transpose()).collect()
 }
 
@@ -44,7 +44,7 @@
         messages in prop::collection::vec(message(), 0..6), cut in 1..40usize,
     ) {
         let bytes: Vec<u8> = messages.iter().flat_map(encode).collect();
-        let (mut reader, mut heard) = (Reader::default(), Vec::new());
+        let (mut reader, mut heard) = (FrameReader::default(), Vec::new());
         for part in bytes.chunks(cut) {
             reader.push(part);
             heard.extend(all(&mut reader).expect("no fault"));
@@ -57,7 +57,7 @@
         let mut bytes = encode(&message);
         let at = at.index(bytes.len());
         bytes[at] ^= 1 << bit;
-        let mut reader = Reader::default();
+        let mut reader = FrameReader::default();
         reader.push(&bytes);
         // Passed over, refused, or waited for: never another message.
         let heard = all(&mut reader).unwrap_or_default();
@@ -66,7 +66,7 @@
 
     #[test]
     fn no_bytes_make_it_panic_or_hold_more_than_came(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        let mut reader = Reader::default();
+        let mut reader = FrameReader::default();
         reader.push(&bytes);
         let _ = all(&mut reader);
         prop_assert!(reader.bytes.len() <= bytes.len());
@@ -76,7 +76,7 @@
 #[test]
 fn what_is_not_known_is_passed_over() {
     let hello = Message::Hello { name: "n1".into(), group: "g".into(), member: None };
-    let mut reader = Reader::default();
+    let mut reader = FrameReader::default();
     reader.push(&frame(VERSION + 1, b"a later version"));
     reader.push(&frame(VERSION, &[99, 1, 2, 3]));
     // Of a program that knows no view of the fleet.
@@ -85,8 +85,11 @@
     let mut longer = kind(PING, &7u64);
     longer.extend([1, 2, 3]);
     reader.push(&frame(VERSION, &longer));
-    let known =
-        item(&Item { uid: "s-1".into(), finding: Finding::Recovering { since: Nanos(5) }, age: Nanos(1) });
+    let known = item(&EndpointObservation {
+        uid: "s-1".into(),
+        finding: Finding::Recovering { since: Nanos(5) },
+        age: Nanos(1),
+    });
     let told = WireTold { ping: 1, held: 2, whole: true, items: vec![(77, vec![9]), known] };
     reader.push(&frame(VERSION, &kind(TOLD, &told)));
     let heard = all(&mut reader).expect("no fault");
@@ -101,14 +104,14 @@
         0, 0, 0, 27, 1, 225, 22, 127, 70, 3, 5, 9, 1, 1, 1, 15, 3, b's', b'-', b'1', 128, 148, 235, 220, 3,
         128, 168, 214, 185, 7, 1,
     ];
-    let item = Item {
+    let item = EndpointObservation {
         uid: "s-1".into(),
         finding: Finding::Outage { since: Nanos(2_000_000_000), risky: true },
         age: Nanos(1_000_000_000),
     };
     let told = Message::Told(Told { ping: 5, held: Nanos(9), whole: true, items: vec![item] });
     assert_eq!(encode(&told), bytes);
-    let mut reader = Reader::default();
+    let mut reader = FrameReader::default();
     reader.push(&bytes);
     assert_eq!(reader.message(), Ok(Some(told)));
 }
@@ -116,19 +119,20 @@
 #[test]
 fn figures_that_are_none_are_refused() {
     for rate in [f64::NAN, f64::INFINITY, -1.0] {
-        let bad = Item { uid: "s".into(), finding: Finding::RateLimit { rate }, age: Nanos(0) };
-        let mut reader = Reader::default();
+        let bad =
+            EndpointObservation { uid: "s".into(), finding: Finding::RateLimit { rate }, age: Nanos(0) };
+        let mut reader = FrameReader::default();
         reader.push(&encode(&Message::Told(Told { items: vec![bad], ..Told::default() })));
-        assert_eq!(reader.message(), Err(Fault::Garbled));
+        assert_eq!(reader.message(), Err(FrameError::Garbled));
     }
-    let mut reader = Reader::default();
+    let mut reader = FrameReader::default();
     reader.push(&u32::MAX.to_be_bytes());
-    assert_eq!(reader.message(), Err(Fault::TooLong(u32::MAX as usize)));
+    assert_eq!(reader.message(), Err(FrameError::TooLong(u32::MAX as usize)));
 }
 
 #[test]
 fn a_large_table_goes_in_parts_that_fit() {
-    let item = |n: u32| Item {
+    let item = |n: u32| EndpointObservation {
         uid: format!("{n:0>200}"),
         finding: Finding::Recovering { since: Nanos(1) },
         age: Nanos(1),
@@ -136,6 +140,6 @@
     let parts = parts((0..5000).map(item).collect());
     assert_eq!(parts.iter().map(Vec::len).sum::<usize>(), 5000);
     for items in parts {
-        assert!(encode(&Message::Told(Told { items, ..Told::default() })).len() <= MOST);
+        assert!(encode(&Message::Told(Told { items, ..Told::default() })).len() <= MAX_FRAME_BYTES);
     }
 }
--- a/src/peers/look.rs
+++ b/src/peers/inspect.rs
@@ -1,8 +1,8 @@
 //! `micaladder fleet`: asks a member for its view of the fleet, on the connection that members use and with a certificate
 //! of the same kind.
-use super::dial::Dial;
-use super::link::{self, End, Me};
-use super::trust::{Files, Trust};
+use super::connect::Connector;
+use super::credentials::{CredentialFiles, Credentials};
+use super::session::{self, LocalIdentity, SessionEnd};
 use crate::flags;
 use crate::fleet::view::View;
 use std::io::Write;
@@ -33,7 +33,7 @@
 
 /// Shows the fleet once, or each time that it has changed.
 pub async fn run(flags: &flags::Look, watch: Option<Duration>) -> ExitCode {
-    let trust = match Files::of(&flags.papers).map(Trust::new) {
+    let trust = match CredentialFiles::from_flags(&flags.papers).map(Credentials::new) {
         Some(Ok(trust)) => Arc::new(trust),
         Some(Err(fault)) => {
             eprintln!("{fault}");
@@ -41,8 +41,8 @@
         }
         None => return ExitCode::from(WRONG_FLAGS),
     };
-    let me = Me { name: "fleet".into(), group: flags.papers.group.clone(), fleet: None };
-    let dial = Dial { from: IpAddr::V4(Ipv4Addr::UNSPECIFIED), trust, me };
+    let me = LocalIdentity { name: "fleet".into(), group: flags.papers.group.clone(), fleet: None };
+    let dial = Connector { from: IpAddr::V4(Ipv4Addr::UNSPECIFIED), trust, me };
     let (mut last, mut agreed) = (None, None);
     let mut shut = false;
     loop {
@@ -58,10 +58,10 @@
                 watch.is_some() && !shut
             };
             let asked =
-                async { link::look(dial.to(*at).await?, &dial.me, take, watch.unwrap_or_default()).await };
+                async { session::look(dial.to(*at).await?, &dial.me, take, watch.unwrap_or_default()).await };
             match asked.await {
                 Ok(()) => break,
-                Err(End::Over(e) | End::Shun(e)) => why.push(format!("{at}: {e}")),
+                Err(SessionEnd::Closed(e) | SessionEnd::Rejected(e)) => why.push(format!("{at}: {e}")),
             }
         }
         let ends = watch.is_none() || shut || agreed.is_none();
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -2,17 +2,17 @@
 //! and what counts of it (`weigh`). Here are the sockets and the tasks. Nothing of the forwarder waits for any of it:
 //! what is learned comes as an input of a moment like all else. Off unless it is given an address to listen on.
 //! `docs/design/neighbours.md` says why it is as it is, `docs/operate/neighbours.md` how to run it.
-pub mod dial;
+pub mod aggregation;
+pub mod authentication;
+pub mod connect;
+pub mod credentials;
 pub mod frame;
-pub mod link;
-pub mod look;
-pub mod meet;
-pub mod own;
-pub mod teachers;
-pub mod tell;
-pub mod trust;
-pub mod turns;
-pub mod weigh;
+pub mod inspect;
+pub mod local_observations;
+pub mod publish;
+pub mod rotation;
+pub mod session;
+pub mod sources;
 
 use crate::clock;
 use crate::exchange::Exchange;
@@ -25,21 +25,21 @@
 use crate::interface::Nanos;
 use crate::journal;
 use crate::settings::Config;
-use dial::Dial;
-use frame::Item;
-use link::{End, Me};
-use own::Own;
+use aggregation::Aggregator;
+use connect::Connector;
+use credentials::Credentials;
+use frame::EndpointObservation;
+use local_observations::LocalObservations;
+use session::{LocalIdentity, SessionEnd};
+use sources::Sources;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
-use teachers::Teachers;
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::{mpsc, watch, Semaphore};
 use tokio::time::{interval, sleep, timeout, Instant};
 use tokio_rustls::TlsAcceptor;
-use trust::Trust;
-use weigh::Weigh;
 
 /// How soon news goes out, and how soon what counts is looked at anew.
 const LOOK: Duration = Duration::from_millis(100);
@@ -49,25 +49,25 @@
 const WAITING: usize = 256;
 
 /// What changes while the process runs and is told to the fleet.
-pub struct Changes {
+pub struct LocalChanges {
     /// Version of discovery's list.
-    pub list: watch::Receiver<u64>,
+    pub list_version: watch::Receiver<u64>,
     /// Where discovery is: what a reload can change.
-    pub discovery: watch::Receiver<String>,
+    pub discovery_address: watch::Receiver<String>,
 }
 
 /// Starts all of it; returns at once, with the way to the fleet. What cannot be started is logged, and the forwarder
 /// goes on without.
 pub fn start(
-    flags: &flags::Neighbours, config: &Config, exchange: &Exchange, changes: Changes,
+    flags: &flags::Neighbours, config: &Config, exchange: &Exchange, changes: LocalChanges,
 ) -> Option<Fleet> {
     let listen = flags.listen?;
     let off = |why: &dyn std::fmt::Display| log::error!("neighbours are off: {why}");
-    let Some(files) = trust::Files::of(&flags.papers) else {
+    let Some(files) = credentials::CredentialFiles::from_flags(&flags.papers) else {
         off(&"they need a certificate, a key and an authority");
         return None;
     };
-    let trust = Arc::new(Trust::new(files).inspect_err(|e| off(e)).ok()?);
+    let trust = Arc::new(Credentials::new(files).inspect_err(|e| off(e)).ok()?);
     let disk = journal::on(&config.state).inspect_err(|e| off(e)).ok()?;
     let (name, seed) = (config.name.clone(), config.seed);
     if name.len() > NAME_MOST {
@@ -79,14 +79,15 @@
     let started = clock::now();
     let incarnation = memory.begin(started.0 / 1_000_000);
     let (fleet, wishes) = Fleet::new();
-    let me = Me { name: name.clone(), group: flags.papers.group.clone(), fleet: Some(fleet.clone()) };
+    let me =
+        LocalIdentity { name: name.clone(), group: flags.papers.group.clone(), fleet: Some(fleet.clone()) };
     let address = flags.advertise.unwrap_or(listen);
     let mut facts = Facts {
         zone: config.site.zones.get(config.site.module.zone).cloned().unwrap_or_default(),
         version: env!("CARGO_PKG_VERSION").into(),
         config: config.digest() ^ discovery_at(&config.discovery),
         epoch: 1,
-        list: *changes.list.borrow(),
+        list: *changes.list_version.borrow(),
         started: started.0 / 1_000_000_000,
         ..Facts::default()
     };
@@ -114,7 +115,7 @@
             }
         };
         log::info!("neighbours: listening on {listen}");
-        let (own_in, own) = watch::channel(Own::default());
+        let (own_in, own) = watch::channel(LocalObservations::default());
         let (learned_in, learned) = mpsc::channel(WAITING);
         tokio::spawn(look(exchange.clone(), own_in));
         tokio::spawn(weigh_all(exchange, learned));
@@ -122,9 +123,9 @@
         let began = Instant::now();
         tokio::spawn(gossip::run(datagrams, Node::new(setup, Duration::ZERO), began, memory, wishes));
         tokio::spawn(write_all(way, facts, changes));
-        let dial = Dial { from: listen.ip(), trust, me };
-        tokio::spawn(meet::all(dial.clone(), known, seed));
-        learn_all(Teachers::new(address, seeds, seed), dial, learned_in).await;
+        let dial = Connector { from: listen.ip(), trust, me };
+        tokio::spawn(authentication::run(dial.clone(), known, seed));
+        learn_all(Sources::new(address, seeds, seed), dial, learned_in).await;
     });
     Some(fleet)
 }
@@ -134,16 +135,16 @@
 }
 
 /// Tells the fleet what changes here.
-async fn write_all(fleet: Fleet, mut facts: Facts, mut changes: Changes) {
-    let settings = facts.config ^ discovery_at(&changes.discovery.borrow_and_update());
+async fn write_all(fleet: Fleet, mut facts: Facts, mut changes: LocalChanges) {
+    let settings = facts.config ^ discovery_at(&changes.discovery_address.borrow_and_update());
     loop {
-        facts.list = *changes.list.borrow_and_update();
+        facts.list = *changes.list_version.borrow_and_update();
         fleet.write(facts.clone()).await;
         tokio::select! {
-            Ok(()) = changes.list.changed() => {}
-            Ok(()) = changes.discovery.changed() => {
+            Ok(()) = changes.list_version.changed() => {}
+            Ok(()) = changes.discovery_address.changed() => {
                 // All else of the settings stands until a restart.
-                facts.config = settings ^ discovery_at(&changes.discovery.borrow_and_update());
+                facts.config = settings ^ discovery_at(&changes.discovery_address.borrow_and_update());
                 facts.epoch += 1;
             }
             else => return,
@@ -152,27 +153,27 @@
 }
 
 /// Keeps what this forwarder has seen itself at hand, while somebody wants to know.
-async fn look(exchange: Exchange, own: watch::Sender<Own>) {
+async fn look(exchange: Exchange, own: watch::Sender<LocalObservations>) {
     let mut ticks = interval(LOOK);
     loop {
         ticks.tick().await;
         // One receiver is the listener's own.
         if own.receiver_count() > 1 {
             let items = Arc::new(exchange.observations().await);
-            own.send_replace(Own { items, at: clock::now() });
+            own.send_replace(LocalObservations { items, at: clock::now() });
         }
     }
 }
 
 /// What came from one neighbour.
 struct Learned {
-    from: weigh::Neighbour,
+    from: aggregation::PeerId,
     way: Nanos,
-    items: Vec<Item>,
+    items: Vec<EndpointObservation>,
 }
 
 async fn weigh_all(exchange: Exchange, mut learned: mpsc::Receiver<Learned>) {
-    let mut weigh = Weigh::default();
+    let mut weigh = Aggregator::default();
     let mut ticks = interval(LOOK);
     loop {
         tokio::select! {
@@ -192,7 +193,10 @@
     }
 }
 
-async fn teach_all(listener: TcpListener, trust: Arc<Trust>, me: Me, own: watch::Receiver<Own>) {
+async fn teach_all(
+    listener: TcpListener, trust: Arc<Credentials>, me: LocalIdentity,
+    own: watch::Receiver<LocalObservations>,
+) {
     let seats = Arc::new(Semaphore::new(LEARNERS));
     loop {
         let (socket, from) = match listener.accept().await {
@@ -205,14 +209,14 @@
         };
         // With no seat left the connection closes at once: whoever came finds another teacher.
         let Ok(seat) = seats.clone().try_acquire_owned() else { continue };
-        let (server, me, own) = (trust.sides().server, me.clone(), own.clone());
+        let (server, me, own) = (trust.current().server, me.clone(), own.clone());
         tokio::spawn(async move {
             let _seat = seat;
             let _ = socket.set_nodelay(true);
-            match timeout(link::HELLO_BY, TlsAcceptor::from(server).accept(socket)).await {
-                Ok(Ok(stream)) => match link::teach(stream, &me, own).await {
-                    End::Over(why) => log::debug!("neighbours: {from} learns no more: {why}"),
-                    End::Shun(why) => log::warn!("neighbours: {from} is not taught: {why}"),
+            match timeout(session::HELLO_BY, TlsAcceptor::from(server).accept(socket)).await {
+                Ok(Ok(stream)) => match session::teach(stream, &me, own).await {
+                    SessionEnd::Closed(why) => log::debug!("neighbours: {from} learns no more: {why}"),
+                    SessionEnd::Rejected(why) => log::warn!("neighbours: {from} is not taught: {why}"),
                 },
                 Ok(Err(e)) => log::warn!("neighbours: {from} is not taught: {e}"),
                 Err(_) => log::debug!("neighbours: {from}: a handshake without end"),
@@ -222,7 +226,7 @@
 }
 
 /// Learns from some of those that are there, for as long as the process runs.
-async fn learn_all(mut teachers: Teachers, dial: Dial, learned: mpsc::Sender<Learned>) {
+async fn learn_all(mut teachers: Sources, dial: Connector, learned: mpsc::Sender<Learned>) {
     let began = Instant::now();
     let (ended_in, mut ended) = mpsc::unbounded_channel();
     // One line for each that is shunned, not one for each attempt.
@@ -235,16 +239,16 @@
             _ = ticks.tick() => {}
             some = ended.recv() => if let Some((who, end)) = some {
                 let pause = match end {
-                    End::Over(why) => {
+                    SessionEnd::Closed(why) => {
                         log::debug!("neighbours: learning from {who} is over: {why}");
-                        turns::AGAIN
+                        rotation::AGAIN
                     }
-                    End::Shun(why) => {
+                    SessionEnd::Rejected(why) => {
                         if shunned.get(&who) != Some(&why) {
                             log::warn!("neighbours: nothing is learned from {who}: {why}");
                             shunned.insert(who, why);
                         }
-                        turns::SHUNNED
+                        rotation::SHUNNED
                     }
                 };
                 teachers.ended(now(), who, pause);
@@ -259,7 +263,7 @@
             tokio::spawn(async move {
                 let end = match dial.to(who).await {
                     Ok(stream) => {
-                        link::learn(stream, &dial.me, |way, told| {
+                        session::learn(stream, &dial.me, |way, told| {
                             // Where weighing is behind, news is dropped; what counts is told again.
                             let _ = learned.try_send(Learned { from, way, items: told.items });
                         })
--- a/src/peers/tell.rs
+++ b/src/peers/publish.rs
@@ -1,6 +1,6 @@
 //! What of its own experience a forwarder still has to tell one neighbour, without I/O: all of it at first, then what
 //! changed.
-use super::frame::Item;
+use super::frame::EndpointObservation;
 use crate::interface::{Finding, Nanos};
 use std::collections::HashMap;
 use std::mem::{discriminant, Discriminant};
@@ -25,13 +25,13 @@
 
 /// What one neighbour has been told.
 #[derive(Default)]
-pub struct Telling {
+pub struct PublicationState {
     told: HashMap<(String, Discriminant<Finding>), Told>,
 }
 
-impl Telling {
+impl PublicationState {
     /// What is to be told now of all that is known.
-    pub fn due(&mut self, now: Nanos, known: &[Item]) -> Vec<Item> {
+    pub fn due(&mut self, now: Nanos, known: &[EndpointObservation]) -> Vec<EndpointObservation> {
         let mut due = Vec::new();
         for item in known {
             let key = (item.uid.clone(), topic(&item.finding));
--- a/src/peers/tell/tests.rs
+++ b/src/peers/publish/tests.rs
@@ -5,13 +5,13 @@
     Nanos::from_secs(1000.0 + secs)
 }
 
-fn item(finding: Finding, age: f64) -> Item {
-    Item { uid: "s-1".into(), finding, age: Nanos::from_secs(age) }
+fn item(finding: Finding, age: f64) -> EndpointObservation {
+    EndpointObservation { uid: "s-1".into(), finding, age: Nanos::from_secs(age) }
 }
 
 #[test]
 fn all_at_first_and_then_what_changed() {
-    let mut telling = Telling::default();
+    let mut telling = PublicationState::default();
     let out = |since: f64, age| item(Finding::Outage { since: Nanos::from_secs(since), risky: true }, age);
     assert_eq!(telling.due(at(0.0), &[out(5.0, 0.5)]).len(), 1);
     // The same outage, a moment later, with no new sight.
@@ -26,7 +26,7 @@
 
 #[test]
 fn a_wait_is_told_once_however_much_of_it_is_left() {
-    let mut telling = Telling::default();
+    let mut telling = PublicationState::default();
     let wait = |left: f64, age| item(Finding::RetryAfter { left: Nanos::from_secs(left) }, age);
     assert_eq!(telling.due(at(0.0), &[wait(4.0, 0.0)]).len(), 1);
     for tenth in 1..30 {
@@ -38,7 +38,7 @@
 
 #[test]
 fn an_endpoint_that_is_well_costs_little() {
-    let mut telling = Telling::default();
+    let mut telling = PublicationState::default();
     let mut told = 0;
     for tenth in 0..600 {
         let well = item(Finding::Healthy { mean: 0.1 + 0.001 * f64::from(tenth % 7), dev: 0.01 }, 0.0);
@@ -49,7 +49,7 @@
 
 #[test]
 fn what_is_known_no_more_is_forgotten() {
-    let mut telling = Telling::default();
+    let mut telling = PublicationState::default();
     for n in 0..10_000 {
         let mut one = item(Finding::Recovering { since: Nanos(0) }, 0.0);
         one.uid = format!("s-{n}");
--- a/src/peers/turns.rs
+++ b/src/peers/rotation.rs
@@ -12,18 +12,18 @@
 pub const AGAIN: f64 = 1.0;
 
 /// Those connected with, and those to leave alone. Times in seconds of any clock that only moves forward.
-pub struct Turns {
+pub struct Rotation {
     most: usize,
     with: BTreeSet<SocketAddr>,
     not_before: BTreeMap<SocketAddr, f64>,
     random: StdRng,
 }
 
-impl Turns {
+impl Rotation {
     /// With nobody yet, and with `most` at a time.
-    pub fn new(most: usize, seed: u64) -> Turns {
+    pub fn new(most: usize, seed: u64) -> Rotation {
         let random = StdRng::seed_from_u64(seed);
-        Turns { most, with: BTreeSet::new(), not_before: BTreeMap::new(), random }
+        Rotation { most, with: BTreeSet::new(), not_before: BTreeMap::new(), random }
     }
 
     /// With whom of these to connect now.
--- a/src/peers/link.rs
+++ b/src/peers/session.rs
@@ -1,9 +1,9 @@
 //! One connection between two neighbours: one learns, the other teaches. Holds the sockets' side only; what is told is
 //! `tell`'s, how it looks `frame`'s, what counts of it `weigh`'s. Each side ends a connection that is silent, slow or
 //! spoilt; nothing waits for it.
-use super::frame::{self, Message, Reader, Told};
-use super::own::Own;
-use super::tell::Telling;
+use super::frame::{self, FrameReader, Message, Told};
+use super::local_observations::LocalObservations;
+use super::publish::PublicationState;
 use crate::clock;
 use crate::fleet::gossip::Fleet;
 use crate::fleet::members::Member;
@@ -36,16 +36,16 @@
 
 /// How a connection ended.
 #[derive(Debug, PartialEq)]
-pub enum End {
+pub enum SessionEnd {
     /// It broke, or this side has ended it in the usual way: try again soon.
-    Over(String),
+    Closed(String),
     /// The peer is none to learn from: leave it alone for a while.
-    Shun(String),
+    Rejected(String),
 }
 
 /// Who speaks.
 #[derive(Clone)]
-pub struct Me {
+pub struct LocalIdentity {
     /// This forwarder's name.
     pub name: String,
     /// Its group.
@@ -54,7 +54,7 @@
     pub fleet: Option<Fleet>,
 }
 
-impl Me {
+impl LocalIdentity {
     fn hello(&self) -> Vec<u8> {
         let me = self.fleet.as_ref().and_then(|f| f.known.borrow().me.clone());
         let member = me.map(|m| (m.address, m.incarnation));
@@ -79,7 +79,7 @@
 /// Reads what comes, bounded in time and in bytes.
 struct Hearing<R> {
     stream: R,
-    reader: Reader,
+    reader: FrameReader,
     bytes: Box<[u8]>,
     allowance: f64,
     at: Instant,
@@ -88,56 +88,67 @@
 impl<R: AsyncRead + Unpin> Hearing<R> {
     fn new(stream: R) -> Hearing<R> {
         let bytes = vec![0; 8 * 1024].into_boxed_slice();
-        Hearing { stream, reader: Reader::default(), bytes, allowance: BYTES_AT_ONCE, at: Instant::now() }
+        Hearing {
+            stream,
+            reader: FrameReader::default(),
+            bytes,
+            allowance: BYTES_AT_ONCE,
+            at: Instant::now(),
+        }
     }
 
     /// The next message. Stopped in the midst, it goes on where it was.
-    async fn next(&mut self) -> Result<Message, End> {
+    async fn next(&mut self) -> Result<Message, SessionEnd> {
         loop {
             match self.reader.message() {
                 Ok(Some(message)) => return Ok(message),
                 Ok(None) => {}
-                Err(fault) => return Err(End::Shun(fault.to_string())),
+                Err(fault) => return Err(SessionEnd::Rejected(fault.to_string())),
             }
-            let read = self.stream.read(&mut self.bytes).await.map_err(|e| End::Over(e.to_string()))?;
+            let read =
+                self.stream.read(&mut self.bytes).await.map_err(|e| SessionEnd::Closed(e.to_string()))?;
             if read == 0 {
-                return Err(End::Over("closed".into()));
+                return Err(SessionEnd::Closed("closed".into()));
             }
             let now = Instant::now();
             self.allowance += (now - self.at).as_secs_f64() * BYTES_A_SECOND - read as f64;
             self.allowance = self.allowance.min(BYTES_AT_ONCE);
             self.at = now;
             if self.allowance < 0.0 {
-                return Err(End::Shun("a flood".into()));
+                return Err(SessionEnd::Rejected("a flood".into()));
             }
             self.reader.push(&self.bytes[..read]);
         }
     }
 
-    async fn hello(&mut self, me: &Me) -> Result<Peer, End> {
+    async fn hello(&mut self, me: &LocalIdentity) -> Result<Peer, SessionEnd> {
         match timeout(HELLO_BY, self.next()).await {
             Ok(Ok(Message::Hello { name, group, member })) if group == me.group => Ok(Peer { name, member }),
-            Ok(Ok(Message::Hello { group, .. })) => Err(End::Shun(format!("of another group: {group}"))),
-            Ok(Ok(_)) => Err(End::Shun("no hello".into())),
+            Ok(Ok(Message::Hello { group, .. })) => {
+                Err(SessionEnd::Rejected(format!("of another group: {group}")))
+            }
+            Ok(Ok(_)) => Err(SessionEnd::Rejected("no hello".into())),
             Ok(Err(end)) => Err(end),
-            Err(_) => Err(End::Over("no hello in time".into())),
+            Err(_) => Err(SessionEnd::Closed("no hello in time".into())),
         }
     }
 }
 
-async fn write<W: AsyncWrite + Unpin>(stream: &mut W, bytes: &[u8]) -> Result<(), End> {
+async fn write<W: AsyncWrite + Unpin>(stream: &mut W, bytes: &[u8]) -> Result<(), SessionEnd> {
     let both = async {
         stream.write_all(bytes).await?;
         stream.flush().await
     };
     match timeout(WRITE_FOR, both).await {
-        Ok(done) => done.map_err(|e| End::Over(e.to_string())),
-        Err(_) => Err(End::Over("takes no bytes".into())),
+        Ok(done) => done.map_err(|e| SessionEnd::Closed(e.to_string())),
+        Err(_) => Err(SessionEnd::Closed("takes no bytes".into())),
     }
 }
 
 /// Teaches whoever came: all that this forwarder has seen itself, then what changes.
-pub async fn teach<S: AsyncRead + AsyncWrite>(stream: S, me: &Me, mut own: watch::Receiver<Own>) -> End {
+pub async fn teach<S: AsyncRead + AsyncWrite>(
+    stream: S, me: &LocalIdentity, mut own: watch::Receiver<LocalObservations>,
+) -> SessionEnd {
     let (read, mut write_to) = tokio::io::split(stream);
     let mut hearing = Hearing::new(read);
     let run = async {
@@ -145,7 +156,7 @@
         write(&mut write_to, &me.hello()).await?;
         me.met(&peer).await;
         log::debug!(neighbour = peer.name; "teaching");
-        let mut telling = Telling::default();
+        let mut telling = PublicationState::default();
         // The number of the last ping, and when it came.
         let (mut ping, mut whole) = ((0, clock::now()), true);
         let (mut beat, mut heard) = (interval(BEAT), Instant::now());
@@ -173,38 +184,40 @@
                                 Some(fleet) => fleet.view().await,
                                 None => None,
                             };
-                            let view = view.ok_or_else(|| End::Over("this forwarder has left".into()))?;
-                            let text = serde_json::to_string(&view).map_err(|e| End::Over(e.to_string()))?;
+                            let view = view.ok_or_else(|| SessionEnd::Closed("this forwarder has left".into()))?;
+                            let text = serde_json::to_string(&view).map_err(|e| SessionEnd::Closed(e.to_string()))?;
                             for part in frame::views(&text) {
                                 write(&mut write_to, &frame::encode(&part)).await?;
                             }
                             heard = Instant::now();
                         }
                         Message::Hello { .. } | Message::Told(_) | Message::View { .. } => {
-                            return Err(End::Shun("speaks out of turn".into()));
+                            return Err(SessionEnd::Rejected("speaks out of turn".into()));
                         }
                     },
                     changed = own.changed() => match changed {
                         Ok(()) => break,
-                        Err(_) => return Err(End::Over("this forwarder ends".into())),
+                        Err(_) => return Err(SessionEnd::Closed("this forwarder ends".into())),
                     },
                     _ = beat.tick() => break,
                 }
             }
             if heard.elapsed() > SILENCE {
-                return Err(End::Over("silent".into()));
+                return Err(SessionEnd::Closed("silent".into()));
             }
             if Instant::now() > until {
-                return Err(End::Over("made anew".into()));
+                return Err(SessionEnd::Closed("made anew".into()));
             }
         }
     };
-    let ended: Result<(), End> = run.await;
-    ended.err().unwrap_or(End::Over(String::new()))
+    let ended: Result<(), SessionEnd> = run.await;
+    ended.err().unwrap_or(SessionEnd::Closed(String::new()))
 }
 
 /// Learns from a neighbour: `take` gets what it told, and how long that can have been on its way at the most.
-pub async fn learn<S: AsyncRead + AsyncWrite>(stream: S, me: &Me, mut take: impl FnMut(Nanos, Told)) -> End {
+pub async fn learn<S: AsyncRead + AsyncWrite>(
+    stream: S, me: &LocalIdentity, mut take: impl FnMut(Nanos, Told),
+) -> SessionEnd {
     let (read, mut write_to) = tokio::io::split(stream);
     let mut hearing = Hearing::new(read);
     let run = async {
@@ -224,7 +237,7 @@
                     let told = match message? {
                         Message::Told(told) => told,
                         Message::Hello { .. } | Message::Ping(_) | Message::Look | Message::View { .. } => {
-                            return Err(End::Shun("speaks out of turn".into()));
+                            return Err(SessionEnd::Rejected("speaks out of turn".into()));
                         }
                     };
                     // The frame was built after that ping had come and had been there for `held`.
@@ -235,7 +248,7 @@
                 }
                 _ = ticks.tick() => {
                     if heard.elapsed() > SILENCE {
-                        return Err(End::Over("silent".into()));
+                        return Err(SessionEnd::Closed("silent".into()));
                     }
                     let next = pings.back().map_or(1, |p| p.0 + 1);
                     pings.push_back((next, Instant::now()));
@@ -244,12 +257,12 @@
             }
         }
     };
-    let ended: Result<(), End> = run.await;
-    ended.err().unwrap_or(End::Over(String::new()))
+    let ended: Result<(), SessionEnd> = run.await;
+    ended.err().unwrap_or(SessionEnd::Closed(String::new()))
 }
 
 /// Shows this one's certificate to another and sees the other's, and no more.
-pub async fn meet<S: AsyncRead + AsyncWrite>(stream: S, me: &Me) -> Result<(), End> {
+pub async fn meet<S: AsyncRead + AsyncWrite>(stream: S, me: &LocalIdentity) -> Result<(), SessionEnd> {
     let (read, mut write_to) = tokio::io::split(stream);
     write(&mut write_to, &me.hello()).await?;
     let peer = Hearing::new(read).hello(me).await?;
@@ -259,8 +272,8 @@
 
 /// Asks for the other side's view of the fleet, with a pause between, for as long as `take` wants more.
 pub async fn look<S: AsyncRead + AsyncWrite>(
-    stream: S, me: &Me, mut take: impl FnMut(View) -> bool, pause: Duration,
-) -> Result<(), End> {
+    stream: S, me: &LocalIdentity, mut take: impl FnMut(View) -> bool, pause: Duration,
+) -> Result<(), SessionEnd> {
     let (read, mut write_to) = tokio::io::split(stream);
     let mut hearing = Hearing::new(read);
     write(&mut write_to, &me.hello()).await?;
@@ -274,7 +287,7 @@
                 if let Message::View { part, last } = hearing.next().await? {
                     text.extend(part);
                     if text.len() > VIEW_MOST {
-                        return Err(End::Shun("a view without end".into()));
+                        return Err(SessionEnd::Rejected("a view without end".into()));
                     }
                     if last {
                         return Ok(text);
@@ -282,8 +295,9 @@
                 }
             }
         };
-        let text = timeout(SILENCE, whole).await.map_err(|_| End::Over("silent".into()))??;
-        let view = serde_json::from_slice(&text).map_err(|e| End::Shun(format!("no view: {e}")))?;
+        let text = timeout(SILENCE, whole).await.map_err(|_| SessionEnd::Closed("silent".into()))??;
+        let view =
+            serde_json::from_slice(&text).map_err(|e| SessionEnd::Rejected(format!("no view: {e}")))?;
         if !take(view) {
             return Ok(());
         }
--- a/src/peers/link/tests.rs
+++ b/src/peers/session/tests.rs
@@ -1,28 +1,28 @@
 //! Tests of `link`.
 use super::*;
-use crate::core::EndpointObservation as Item;
+use crate::core::EndpointObservation;
 use crate::interface::Finding;
 use rstest::rstest;
 use std::sync::Arc;
 use tokio::io::{duplex, DuplexStream};
 
-fn me() -> Me {
-    Me { name: "n0".into(), group: "g".into(), fleet: None }
+fn me() -> LocalIdentity {
+    LocalIdentity { name: "n0".into(), group: "g".into(), fleet: None }
 }
 
-fn item(uid: &str, finding: Finding) -> Item {
-    Item { uid: uid.into(), finding, age: Nanos(0) }
+fn item(uid: &str, finding: Finding) -> EndpointObservation {
+    EndpointObservation { uid: uid.into(), finding, age: Nanos(0) }
 }
 
-fn out(uid: &str) -> Item {
+fn out(uid: &str) -> EndpointObservation {
     item(uid, Finding::Outage { since: Nanos::from_secs(5.0), risky: true })
 }
 
-fn own(items: Vec<Item>) -> Own {
-    Own { items: Arc::new(items), at: clock::now() }
+fn own(items: Vec<EndpointObservation>) -> LocalObservations {
+    LocalObservations { items: Arc::new(items), at: clock::now() }
 }
 
-fn told(items: Vec<Item>) -> Vec<u8> {
+fn told(items: Vec<EndpointObservation>) -> Vec<u8> {
     frame::encode(&Message::Told(Told { items, whole: true, ..Told::default() }))
 }
 
@@ -31,7 +31,7 @@
 }
 
 /// A scripted teacher: says its bytes and then closes, or holds the connection open. Gives what was learned.
-async fn script(bytes: Vec<u8>, closes: bool) -> (End, Vec<Item>) {
+async fn script(bytes: Vec<u8>, closes: bool) -> (SessionEnd, Vec<EndpointObservation>) {
     let (near, far) = duplex(1 << 16);
     let teacher = async move {
         let (mut read, mut write) = tokio::io::split(far);
@@ -60,7 +60,7 @@
     let second = told(vec![out("s-2")]);
     bytes.extend(&second[..second.len() / 2]);
     let (end, heard) = script(bytes, true).await;
-    assert!(matches!(end, End::Over(_)), "{end:?}");
+    assert!(matches!(end, SessionEnd::Closed(_)), "{end:?}");
     assert_eq!(heard, [out("s-1")]);
 }
 
@@ -74,7 +74,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_teacher_that_makes_no_sense_is_left_alone(#[case] bytes: Vec<u8>, #[case] wanted: &str) {
     let (end, _) = script(bytes, false).await;
-    assert!(matches!(&end, End::Shun(why) if why.contains(wanted)), "{end:?}");
+    assert!(matches!(&end, SessionEnd::Rejected(why) if why.contains(wanted)), "{end:?}");
 }
 
 #[tokio::test(start_paused = true)]
@@ -83,7 +83,7 @@
     let flood: Vec<u8> =
         hello("g").into_iter().chain(frame.iter().copied().cycle().take(4_000_000)).collect();
     let (end, _) = script(flood, false).await;
-    assert_eq!(end, End::Shun("a flood".into()));
+    assert_eq!(end, SessionEnd::Rejected("a flood".into()));
 }
 
 #[rstest]
@@ -93,7 +93,7 @@
 async fn a_silent_teacher_is_given_up(#[case] bytes: Vec<u8>) {
     let begun = Instant::now();
     let (end, _) = script(bytes, false).await;
-    assert!(matches!(end, End::Over(_)), "{end:?}");
+    assert!(matches!(end, SessionEnd::Closed(_)), "{end:?}");
     assert!(begun.elapsed() <= HELLO_BY + SILENCE + PING);
 }
 
@@ -125,8 +125,8 @@
     assert!(!change.whole && change.items.len() == 1 && change.items[0].uid == "s-1", "{change:?}");
     // A forwarder that ends says so by closing; the learner sees it at once.
     drop(say);
-    assert!(matches!(teacher.await, Ok(End::Over(_))));
-    assert!(matches!(learner.await, Ok(End::Over(_))));
+    assert!(matches!(teacher.await, Ok(SessionEnd::Closed(_))));
+    assert!(matches!(learner.await, Ok(SessionEnd::Closed(_))));
 }
 
 /// The way of a frame is never taken for shorter than it was.
--- a/src/peers/teachers.rs
+++ b/src/peers/sources.rs
@@ -1,22 +1,22 @@
 //! From whom to learn.
-use super::turns::Turns;
+use super::rotation::Rotation;
 use crate::fleet::members::Member;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
 /// A forwarder learns from so many at once: three views are enough to start from, and each costs its teacher little.
-pub const TEACHERS: usize = 3;
+pub const MAX_SOURCES: usize = 3;
 /// From whom to learn: some of those that are there, chosen anew when one ends.
-pub struct Teachers {
+pub struct Sources {
     seeds: Vec<SocketAddr>,
     me: SocketAddr,
-    turns: Turns,
+    turns: Rotation,
 }
 
-impl Teachers {
+impl Sources {
     /// `seeds` are tried from the start: who waits for membership to settle has learned everything the hard way.
-    pub fn new(me: SocketAddr, seeds: Vec<SocketAddr>, seed: u64) -> Teachers {
-        Teachers { seeds, me, turns: Turns::new(TEACHERS, seed) }
+    pub fn new(me: SocketAddr, seeds: Vec<SocketAddr>, seed: u64) -> Sources {
+        Sources { seeds, me, turns: Rotation::new(MAX_SOURCES, seed) }
     }
 
     /// To whom to connect now; `now` in seconds of any clock that only moves forward.
