--- a/src/main.rs
+++ b/src/main.rs
@@ -45,7 +45,7 @@
                 }
             };
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-            runtime.map_or(ExitCode::FAILURE, |r| r.block_on(peers::look::run(look, every)))
+            runtime.map_or(ExitCode::FAILURE, |r| r.block_on(peers::inspect::run(look, every)))
         }
         Command::Completions(shell) => {
             flags::write_completions(shell);
@@ -185,7 +185,7 @@
     tokio::spawn(upstream::run(config.deployment.clone(), book.clone(), exchange.clone(), upstream_commands));
     let (moves, discovery) = tokio::sync::watch::channel(config.discovery.clone());
     let (told, list) = tokio::sync::watch::channel(config.initial_endpoints.revision);
-    let changes = peers::Changes { list, discovery: discovery.clone() };
+    let changes = peers::LocalChanges { list_version: list, discovery_address: discovery.clone() };
     let fleet = peers::start(&said.files.peers, &config, &exchange, changes);
     tokio::spawn(reload::run(config.clone(), hangup, moves));
     tokio::spawn(callbacks::run(discovery.clone(), exchange.clone(), platform_callbacks));
