--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -30,7 +30,7 @@
 
 #[derive(clap::Args)]
 struct Fleet {
-    /// Members, one fleet of each size (3 to 3000).
+    /// Membership, one fleet of each size (3 to 3000).
     #[arg(long, value_delimiter = ',', default_value = "3,12,50", value_parser = clap::value_parser!(u64).range(3..=3000))]
     members: Vec<u64>,
     /// Percent of the datagrams that are lost.
--- a/crates/lab/src/net.rs
+++ b/crates/lab/src/net.rs
@@ -1,8 +1,8 @@
 //! The network: members that start, end, stand still and come back, and links that lose, delay and are cut.
-use micaladder::fleet::members::Member;
-use micaladder::fleet::node::{Node, Setup};
-use micaladder::fleet::view::{State, View};
-use micaladder::fleet::wire::Facts;
+use micaladder::fleet::member::Member;
+use micaladder::fleet::node::{Node, NodeConfig};
+use micaladder::fleet::view::{FleetView, MemberState};
+use micaladder::fleet::wire::Attributes;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -156,15 +156,20 @@
         self.did(format!("{name} starts at {} with life {life}", address(n)));
         self.next += 1;
         let start = self.next;
-        let setup = Setup {
-            me: Member { address: address(n), name: name.into(), incarnation: life },
+        let setup = NodeConfig {
+            local: Member { address: address(n), name: name.into(), incarnation: life },
             group: self.group.clone(),
-            size: self.size as u32,
-            seed: self.random.random(),
-            seeds: self.seeds.clone(),
-            remembered: remembered.clone(),
-            agreed: agreed.clone(),
-            facts: Facts { version: "lab".into(), epoch: 1, started: self.now.as_secs(), ..Facts::default() },
+            expected_members: self.size as u32,
+            random_seed: self.random.random(),
+            seed_addresses: self.seeds.clone(),
+            remembered_addresses: remembered.clone(),
+            agreed_fleet: agreed.clone(),
+            attributes: Attributes {
+                version: "lab".into(),
+                settings_epoch: 1,
+                started: self.now.as_secs(),
+                ..Attributes::default()
+            },
         };
         let node = Node::new(setup, self.now);
         let process =
@@ -177,16 +182,19 @@
 
     fn end(&mut self, n: usize) -> Option<Process> {
         let process = self.processes[n].take()?;
-        let life = process.node.me().incarnation;
+        let life = process.node.local_member().incarnation;
         self.deaths += life - process.began;
-        let mut seen: Vec<SocketAddr> = process.node.there().iter().map(|m| m.address).collect();
+        let mut seen: Vec<SocketAddr> = process.node.available_members().iter().map(|m| m.address).collect();
         seen.extend(
-            process.remembered.iter().filter(|a| !process.node.there().iter().any(|m| m.address == **a)),
+            process
+                .remembered
+                .iter()
+                .filter(|a| !process.node.available_members().iter().any(|m| m.address == **a)),
         );
-        seen.truncate(micaladder::fleet::members::MEMBERS_MOST);
-        let agreed = match process.node.agreed().is_empty() {
+        seen.truncate(micaladder::fleet::member::MAX_MEMBERS);
+        let agreed = match process.node.agreed_fleet().is_empty() {
             true => process.agreed.clone(),
-            false => process.node.agreed().clone(),
+            false => process.node.agreed_fleet().clone(),
         };
         self.left.insert(n, (life, seen, agreed));
         Some(process)
@@ -229,12 +237,12 @@
         // It may find its clock first or what came.
         let clock_first = self.random.random_bool(0.5);
         if clock_first {
-            p.node.wake(now);
+            p.node.handle_wakeup(now);
         }
         for bytes in p.stopped.take().unwrap_or_default() {
-            p.node.datagram(now, &bytes);
+            p.node.handle_datagram(now, &bytes);
         }
-        p.node.wake(now);
+        p.node.handle_wakeup(now);
         self.settle(n);
         let start = self.processes[n].as_ref().map_or(0, |p| p.start);
         self.push(VISITS, n, start, What::Visits);
@@ -249,15 +257,15 @@
         &self.processes[n].as_ref().expect("it runs").node
     }
 
-    pub fn view(&self, n: usize) -> View {
+    pub fn view(&self, n: usize) -> FleetView {
         self.node(n).view(self.now)
     }
 
     /// A member has something new to say of itself.
-    pub fn write(&mut self, n: usize, facts: Facts) {
+    pub fn write(&mut self, n: usize, facts: Attributes) {
         let now = self.now;
         if let Some(p) = self.processes[n].as_mut() {
-            p.node.write(now, facts);
+            p.node.publish_attributes(now, facts);
         }
         self.settle(n);
     }
@@ -315,8 +323,8 @@
     /// Sends what a member has to send, and sees to its clock.
     fn settle(&mut self, n: usize) {
         let Some(process) = self.processes[n].as_mut() else { return };
-        let out = process.node.out();
-        let next = process.node.next();
+        let out = process.node.take_outgoing();
+        let next = process.node.next_wakeup();
         let (start, fresh) = (process.start, next != process.wake);
         process.wake = next;
         for (to, bytes) in out {
@@ -334,12 +342,12 @@
 
     fn visits(&mut self, n: usize, start: u64) {
         let Some(process) = self.processes[n].as_ref() else { return };
-        let me = process.node.me().clone();
-        for who in process.node.unshown().into_iter().take(VISITED) {
+        let me = process.node.local_member().clone();
+        for who in process.node.unauthenticated_members().into_iter().take(VISITED) {
             let Some(to) = number(who.address) else { continue };
             let open = !self.cut.contains(&(n, to)) && !self.cut.contains(&(to, n));
             let there = self.processes.get(to).and_then(Option::as_ref).filter(|p| p.stopped.is_none());
-            if let Some(other) = there.filter(|_| open).map(|p| p.node.me().clone()) {
+            if let Some(other) = there.filter(|_| open).map(|p| p.node.local_member().clone()) {
                 self.push(VISIT, n, start, What::Met(me.clone(), other));
             }
         }
@@ -350,7 +358,7 @@
         for (at, whom) in [(one, other), (other, one)] {
             let Some(n) = number(at.address) else { continue };
             if let Some(p) = self.processes[n].as_mut().filter(|p| p.stopped.is_none()) {
-                p.node.shown(self.now, whom);
+                p.node.mark_authenticated(self.now, whom);
                 self.settle(n);
             }
         }
@@ -379,13 +387,13 @@
                     continue;
                 }
                 (_, Some(_)) => continue,
-                (What::Bytes(bytes), None) => process.node.datagram(now, &bytes),
+                (What::Bytes(bytes), None) => process.node.handle_datagram(now, &bytes),
                 (What::Wake, None) => {
                     if process.wake != at {
                         continue;
                     }
                     process.wake = Duration::MAX;
-                    process.node.wake(now);
+                    process.node.handle_wakeup(now);
                 }
                 (What::Visits, None) => {
                     self.visits(to, start);
@@ -396,7 +404,7 @@
                     continue;
                 }
             }
-            if self.processes[to].as_ref().is_some_and(|p| p.node.withdrawn()) {
+            if self.processes[to].as_ref().is_some_and(|p| p.node.has_withdrawn()) {
                 self.terminate(to);
                 continue;
             }
@@ -418,8 +426,8 @@
         if !among.iter().all(|n| self.node(*n).digest() == digest) {
             return false;
         }
-        let mut there: Vec<Member> = self.node(*first).there();
-        there.push(self.node(*first).me().clone());
+        let mut there: Vec<Member> = self.node(*first).available_members();
+        there.push(self.node(*first).local_member().clone());
         let there: BTreeSet<SocketAddr> = there.iter().map(|m| m.address).collect();
         there == among.iter().map(|n| address(*n)).collect()
     }
@@ -438,17 +446,17 @@
 
     /// How often a member that ran was taken for dead so that it had to come back, up to now.
     pub fn false_deaths(&self) -> u64 {
-        let rose = |p: &Process| p.node.me().incarnation - p.began;
+        let rose = |p: &Process| p.node.local_member().incarnation - p.began;
         self.deaths + self.processes.iter().flatten().map(rose).sum::<u64>()
     }
 
     /// How often anybody was suspected.
     pub fn suspicions(&self) -> u64 {
-        self.processes.iter().flatten().map(|p| p.node.suspicions()).sum()
+        self.processes.iter().flatten().map(|p| p.node.suspicion_count()).sum()
     }
 
     /// What the members that run say of one.
-    pub fn states(&self, of: usize) -> Vec<Option<State>> {
+    pub fn states(&self, of: usize) -> Vec<Option<MemberState>> {
         let at = address(of).to_string();
         let state = |n: &usize| self.view(*n).members.iter().find(|m| m.address == at).map(|m| m.state);
         self.running().iter().filter(|n| **n != of).map(state).collect()
@@ -462,7 +470,7 @@
         for n in among.iter().take(60) {
             let node = self.node(*n);
             let there: BTreeSet<SocketAddr> =
-                node.there().iter().map(|m| m.address).chain([address(*n)]).collect();
+                node.available_members().iter().map(|m| m.address).chain([address(*n)]).collect();
             let (lacks, more) = (all.difference(&there).count(), there.difference(&all).count());
             out.push(format!(
                 "{:9.3} {} digest {:016x} lacks {lacks}, has {more} too many, of its own: {:?}",
--- a/crates/lab/tests/scenes/mod.rs
+++ b/crates/lab/tests/scenes/mod.rs
@@ -1,9 +1,9 @@
 //! The fleet's hard cases in virtual time: each from a seed, each with a bound. A scene panics where it does not hold.
 #![allow(dead_code)]
-use micaladder::fleet::members::{Member, MEMBERS_MOST};
-use micaladder::fleet::node::{crash_known_within, passed_within, GREET};
-use micaladder::fleet::sides::{Side, AGREED_AFTER};
-use micaladder::fleet::view::State;
+use micaladder::fleet::member::{Member, MAX_MEMBERS};
+use micaladder::fleet::node::{crash_detection_bound, dissemination_bound, GREETING_INTERVAL};
+use micaladder::fleet::partition::{PartitionSide, AGREEMENT_DELAY};
+use micaladder::fleet::view::MemberState;
 use micaladder_lab::net::{address, name, Net, Weather};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -38,36 +38,48 @@
     let (mut net, all) = fleet(seed, count, 0.0);
     let (others, last) = (&all[..count - 1], count - 1);
     net.terminate(last);
-    settles(&mut net, others, passed_within(count));
+    settles(&mut net, others, dissemination_bound(count));
     net.start(last, false);
     // Seeds are greeted at once.
-    settles(&mut net, &all, passed_within(count) + Duration::from_millis(500));
+    settles(&mut net, &all, dissemination_bound(count) + Duration::from_millis(500));
     net.kill(last);
-    settles(&mut net, others, crash_known_within(count - 1));
-    assert!(net.states(last).iter().all(|s| *s == Some(State::Dead)));
+    settles(&mut net, others, crash_detection_bound(count - 1));
+    assert!(net.states(last).iter().all(|s| *s == Some(MemberState::Dead)));
 }
 
 /// Each side knows that it is one, how many are out of reach, and whether it is the majority; heal makes one of both.
 pub fn the_sides_of_a_cut_know_what_they_are(seed: u64) {
     let (mut net, all) = fleet(seed, 12, 0.05);
-    assert!(all.iter().all(|n| net.view(*n).side == Side::Majority && net.view(*n).agreed));
+    assert!(all.iter().all(|n| net.view(*n).side == PartitionSide::Majority && net.view(*n).agreed));
     let (many, few) = (&all[..8], &all[8..]);
     net.cut_apart(many, few);
     net.run_for(secs(20));
     for n in many {
         let view = net.view(*n);
-        assert_eq!((view.side, view.out_of_reach, view.counted), (Side::Majority, 4, 8), "{}", view.table());
+        assert_eq!(
+            (view.side, view.out_of_reach, view.counted),
+            (PartitionSide::Majority, 4, 8),
+            "{}",
+            view.table()
+        );
     }
     for n in few {
         let view = net.view(*n);
-        assert_eq!((view.side, view.out_of_reach, view.counted), (Side::Minority, 8, 4), "{}", view.table());
-        let dead = view.members.iter().filter(|m| m.state == State::Dead).count();
+        assert_eq!(
+            (view.side, view.out_of_reach, view.counted),
+            (PartitionSide::Minority, 8, 4),
+            "{}",
+            view.table()
+        );
+        let dead = view.members.iter().filter(|m| m.state == MemberState::Dead).count();
         assert_eq!(dead, 8, "silent, and no more is known");
     }
     net.heal();
-    settles(&mut net, &all, GREET * 3);
-    net.run_for(AGREED_AFTER + secs(3));
-    assert!(all.iter().all(|n| net.view(*n).side == Side::Majority && net.view(*n).out_of_reach == 0));
+    settles(&mut net, &all, GREETING_INTERVAL * 3);
+    net.run_for(AGREEMENT_DELAY + secs(3));
+    assert!(all
+        .iter()
+        .all(|n| net.view(*n).side == PartitionSide::Majority && net.view(*n).out_of_reach == 0));
 }
 
 /// One that restarts on the smaller side is on the smaller side, whether it was killed or said goodbye.
@@ -85,11 +97,11 @@
     net.start(8, false);
     net.run_for(secs(15));
     for n in few {
-        assert_ne!(net.view(*n).side, Side::Majority, "{}", net.view(*n).table());
+        assert_ne!(net.view(*n).side, PartitionSide::Majority, "{}", net.view(*n).table());
     }
-    assert!(many.iter().all(|n| net.view(*n).side == Side::Majority));
+    assert!(many.iter().all(|n| net.view(*n).side == PartitionSide::Majority));
     net.heal();
-    settles(&mut net, &all, GREET * 3);
+    settles(&mut net, &all, GREETING_INTERVAL * 3);
 }
 
 /// Some cannot reach one, which all others reach: it is there for all.
@@ -121,16 +133,16 @@
     still.iter().for_each(|n| net.stop(*n));
     net.run_for(secs(8));
     let before = net.false_deaths();
-    let suspicions = |net: &Net| still.iter().map(|n| net.node(*n).suspicions()).sum::<u64>();
+    let suspicions = |net: &Net| still.iter().map(|n| net.node(*n).suspicion_count()).sum::<u64>();
     let suspected = suspicions(&net);
     still.iter().for_each(|n| net.go_on(*n));
     net.run_for(Duration::from_millis(5));
     assert_eq!(suspicions(&net), suspected, "nobody is blamed for what was not heard");
     settles(&mut net, &all, secs(4));
     // Those that ran were never taken for dead by those that had not.
-    let lives: Vec<u64> = rest.iter().map(|n| net.node(*n).me().incarnation).collect();
+    let lives: Vec<u64> = rest.iter().map(|n| net.node(*n).local_member().incarnation).collect();
     net.run_for(secs(10));
-    assert_eq!(lives, rest.iter().map(|n| net.node(*n).me().incarnation).collect::<Vec<_>>());
+    assert_eq!(lives, rest.iter().map(|n| net.node(*n).local_member().incarnation).collect::<Vec<_>>());
     assert!(net.false_deaths() - before <= 12, "only those that stood still came back");
 }
 
@@ -152,7 +164,7 @@
         net.start(*n, false);
         net.run_for(Duration::from_millis(80));
     }
-    settles(&mut net, &all[2..], GREET * 4);
+    settles(&mut net, &all[2..], GREETING_INTERVAL * 4);
 }
 
 /// The seeds live but nobody hears them: who comes finds the others by what it remembers, and the seeds when they are back.
@@ -163,17 +175,17 @@
     net.start(5, false);
     settles(&mut net, &all[2..], secs(12));
     net.heal();
-    settles(&mut net, &all, GREET * 3);
+    settles(&mut net, &all, GREETING_INTERVAL * 3);
 }
 
 /// A lost folder and a clock that was set back: its life begins below the one that the others know.
 pub fn a_member_with_an_earlier_life_is_there_again_at_once() {
     let (mut net, all) = fleet(15, 6, 0.0);
-    let before = net.node(4).me().incarnation;
+    let before = net.node(4).local_member().incarnation;
     net.kill(4);
     net.start_as(4, &name(4), 1, Vec::new(), BTreeSet::new());
     settles(&mut net, &all, secs(5));
-    assert!(net.node(4).me().incarnation > before);
+    assert!(net.node(4).local_member().incarnation > before);
 }
 
 /// Another name at an address that was left, with a life below the one known there.
@@ -182,7 +194,7 @@
     net.kill(4);
     net.start_as(4, "other", 1, Vec::new(), BTreeSet::new());
     settles(&mut net, &all, secs(5));
-    assert!(net.view(0).members.iter().any(|m| m.name == "other" && m.state == State::Alive));
+    assert!(net.view(0).members.iter().any(|m| m.name == "other" && m.state == MemberState::Alive));
     assert!(net.view(0).members.iter().all(|m| m.name != "n4"));
 }
 
@@ -200,8 +212,8 @@
 pub fn a_forged_end_and_an_earlier_life_change_nothing() {
     use micaladder::fleet::wire::{encode, tag, Head, Record, Say};
     let (mut net, all) = fleet(18, 6, 0.0);
-    let head = Head { digest: 1, side: Side::Unknown };
-    let (forger, victim) = (net.node(5).me().clone(), net.node(3).me().clone());
+    let head = Head { digest: 1, side: PartitionSide::Unknown };
+    let (forger, victim) = (net.node(5).local_member().clone(), net.node(3).local_member().clone());
     let earlier = Member { incarnation: 0, ..victim.clone() };
     for (of, gone) in [(victim.clone(), true), (earlier.clone(), true), (earlier, false)] {
         let record = Record { of, count: u32::MAX, age: 0, gone, facts: Some(Default::default()) };
@@ -211,11 +223,11 @@
     }
     net.run_for(secs(5));
     settles(&mut net, &all, secs(1));
-    let now = net.node(3).me().clone();
+    let now = net.node(3).local_member().clone();
     for n in &all {
         let view = net.view(*n);
         let line = view.members.iter().find(|m| m.name == "n3").expect("a line");
-        assert_eq!((line.state, line.life), (State::Alive, now.incarnation));
+        assert_eq!((line.state, line.incarnation), (MemberState::Alive, now.incarnation));
         assert_eq!(line.version, "lab", "what it says of itself stands");
     }
 }
@@ -224,7 +236,7 @@
 pub fn forged_names_fill_a_bounded_table_and_count_for_nothing() {
     use micaladder::fleet::wire::{encode, tag, Head, Record, Say};
     let (mut net, all) = fleet(19, 4, 0.0);
-    let head = Head { digest: 1, side: Side::Majority };
+    let head = Head { digest: 1, side: PartitionSide::Majority };
     let from = Member { address: ([10, 9, 9, 9], 1).into(), name: "x".into(), incarnation: 1 };
     for n in 0..3000u16 {
         let of = Member {
@@ -238,16 +250,19 @@
     }
     net.run_for(Duration::from_millis(50));
     let view = net.view(0);
-    assert!(view.members.len() <= 2 * MEMBERS_MOST + 20, "{}", view.members.len());
+    assert!(view.members.len() <= 2 * MAX_MEMBERS + 20, "{}", view.members.len());
     assert_eq!(view.counted, 4);
     // Its own are there whatever came, and one that goes is missed.
     net.terminate(3);
     net.run_for(secs(1));
     let view = net.view(0);
-    assert!(view.members.iter().any(|m| m.name == "n3" && m.state == State::Left), "one that goes is missed");
+    assert!(
+        view.members.iter().any(|m| m.name == "n3" && m.state == MemberState::Left),
+        "one that goes is missed"
+    );
     assert_eq!(view.counted, 3, "strangers count for nothing");
     let all = &all[..3];
-    let there: BTreeSet<_> = net.node(0).there().iter().map(|m| m.address).collect();
+    let there: BTreeSet<_> = net.node(0).available_members().iter().map(|m| m.address).collect();
     assert!(all[1..].iter().all(|n| there.contains(&address(*n))));
 }
 
@@ -289,33 +304,33 @@
 
 /// What one writes is with all within its bound, and somebody else's word on it does not stand.
 pub fn facts_are_with_all_and_only_their_owner_writes_them() {
-    use micaladder::fleet::wire::{encode, tag, Facts, Head, Record, Say};
+    use micaladder::fleet::wire::{encode, tag, Attributes, Head, Record, Say};
     let (mut net, all) = fleet(22, 12, 0.05);
     let listed = |net: &Net, n: usize| {
         let view = net.view(n);
-        view.members.iter().find(|m| m.name == "n7").map(|m| (m.list, m.version.clone()))
+        view.members.iter().find(|m| m.name == "n7").map(|m| (m.list_version, m.version.clone()))
     };
     for list in 1..=5 {
-        net.write(7, Facts { version: "lab".into(), list, ..Facts::default() });
-        settles(&mut net, &all, passed_within(12) + secs(1));
+        net.write(7, Attributes { version: "lab".into(), list_version: list, ..Attributes::default() });
+        settles(&mut net, &all, dissemination_bound(12) + secs(1));
         assert!(all.iter().all(|n| listed(&net, *n) == Some((list, "lab".into()))));
-        let oldest = net.view(0).members.iter().find(|m| m.name == "n7").and_then(|m| m.facts_secs_old);
+        let oldest = net.view(0).members.iter().find(|m| m.name == "n7").and_then(|m| m.attributes_age_secs);
         assert!(oldest.is_some_and(|age| age < 3.0), "{oldest:?}");
     }
-    let of = net.node(7).me().clone();
+    let of = net.node(7).local_member().clone();
     // What it wrote before, sent again: taken by nobody, not even for a moment.
-    let before = Facts { version: "lab".into(), list: 3, ..Facts::default() };
+    let before = Attributes { version: "lab".into(), list_version: 3, ..Attributes::default() };
     let record = Record { of: of.clone(), count: 4, age: 0, gone: false, facts: Some(before) };
-    let say = Say::Records { from: net.node(3).me().clone(), records: vec![record] };
-    net.inject(2, encode(tag("lab"), Head { digest: 1, side: Side::Unknown }, &say));
+    let say = Say::Records { from: net.node(3).local_member().clone(), records: vec![record] };
+    net.inject(2, encode(tag("lab"), Head { digest: 1, side: PartitionSide::Unknown }, &say));
     net.run_for(Duration::from_millis(1));
     assert_eq!(listed(&net, 2), Some((5, "lab".into())));
-    let forged = Facts { version: "forged".into(), ..Facts::default() };
+    let forged = Attributes { version: "forged".into(), ..Attributes::default() };
     // One with the count that the owner has used, one far above, one far below.
     for count in [6, 5_000, 1] {
         let record = Record { of: of.clone(), count, age: 0, gone: false, facts: Some(forged.clone()) };
-        let say = Say::Records { from: net.node(3).me().clone(), records: vec![record] };
-        net.inject(2, encode(tag("lab"), Head { digest: 1, side: Side::Unknown }, &say));
+        let say = Say::Records { from: net.node(3).local_member().clone(), records: vec![record] };
+        net.inject(2, encode(tag("lab"), Head { digest: 1, side: PartitionSide::Unknown }, &say));
         net.run_for(secs(3));
         settles(&mut net, &all, secs(1));
         assert!(all.iter().all(|n| listed(&net, *n) == Some((5, "lab".into()))), "count {count}");
@@ -332,7 +347,12 @@
     for n in &all[..7] {
         let view = net.view(*n);
         let state = |name: &str| view.members.iter().find(|m| m.name == name).map(|m| m.state);
-        assert_eq!((state("n8"), state("n7")), (Some(State::Left), Some(State::Dead)), "{}", view.table());
-        assert_eq!((view.out_of_reach, view.side), (1, Side::Majority), "{}", view.table());
+        assert_eq!(
+            (state("n8"), state("n7")),
+            (Some(MemberState::Left), Some(MemberState::Dead)),
+            "{}",
+            view.table()
+        );
+        assert_eq!((view.out_of_reach, view.side), (1, PartitionSide::Majority), "{}", view.table());
     }
 }
--- a/crates/lab/tests/seeded.rs
+++ b/crates/lab/tests/seeded.rs
@@ -1,6 +1,6 @@
 //! Each fault that is put into the fleet's code on purpose is found by a scene, and without one all scenes hold.
 mod scenes;
-use micaladder::fleet::seeded;
+use micaladder::fleet::fault_injection;
 use std::panic::catch_unwind;
 
 type Scene = (&'static str, fn());
--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -1,9 +1,10 @@
 //! A node on its socket: datagrams in and out, its clock, what is remembered, and what others want of it.
-use super::members::Member;
-use super::memory::Memory;
+use super::error::FleetError;
+use super::member::Member;
 use super::node::{Node, Sent};
-use super::view::View;
-use super::wire::{Facts, DATAGRAM};
+use super::snapshot::SnapshotStore;
+use super::view::FleetView;
+use super::wire::{Attributes, DATAGRAM};
 use crate::clock;
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,85 +21,87 @@
 const GOODBYE_GAP: Duration = Duration::from_millis(30);
 /// A process that ends waits so long for its goodbyes.
 const GOODBYE_FOR: Duration = Duration::from_secs(1);
-/// Wishes that wait; who has more waits itself.
+/// DriverChannels that wait; who has more waits itself.
 const WISHES: usize = 64;
 
-enum Wish {
-    View(oneshot::Sender<View>),
+enum Command {
+    View(oneshot::Sender<FleetView>),
     /// A member that has shown its certificate on a connection.
     Shown(Member),
-    Facts(Facts),
+    Attributes(Attributes),
     Drain,
     Leave(oneshot::Sender<()>),
 }
 
 /// What the node knows, for those who work with it.
 #[derive(Clone, Default)]
-pub struct Known {
+pub struct KnownMembers {
     /// This one; none before it has begun, and after it has left.
-    pub me: Option<Member>,
+    pub local: Option<Member>,
     /// Those that are there and stay.
-    pub there: Vec<Member>,
+    pub available: Vec<Member>,
     /// Of all that are there, those that have not shown a certificate in this life.
-    pub unshown: Vec<Member>,
+    pub unauthenticated: Vec<Member>,
 }
 
 /// The way to a node that runs.
 #[derive(Clone)]
-pub struct Fleet {
-    wishes: mpsc::Sender<Wish>,
+pub struct FleetHandle {
+    wishes: mpsc::Sender<Command>,
     /// What it knows, a quarter of a second old at the most.
-    pub known: watch::Receiver<Arc<Known>>,
+    pub known_members: watch::Receiver<Arc<KnownMembers>>,
 }
 
 /// The node's end of it.
-pub struct Wishes {
-    wishes: mpsc::Receiver<Wish>,
-    known: watch::Sender<Arc<Known>>,
+pub struct DriverChannels {
+    wishes: mpsc::Receiver<Command>,
+    known_members: watch::Sender<Arc<KnownMembers>>,
 }
 
-impl Fleet {
+impl FleetHandle {
     /// Both ends.
-    pub fn new() -> (Fleet, Wishes) {
+    pub fn new() -> (FleetHandle, DriverChannels) {
         let (wish, wishes) = mpsc::channel(WISHES);
         let (tell, known) = watch::channel(Arc::default());
-        (Fleet { wishes: wish, known }, Wishes { wishes, known: tell })
+        (FleetHandle { wishes: wish, known_members: known }, DriverChannels { wishes, known_members: tell })
     }
 
     /// The view of this moment; none once the node has left.
-    pub async fn view(&self) -> Option<View> {
+    pub async fn view(&self) -> Result<FleetView, FleetError> {
         let (ask, answer) = oneshot::channel();
-        self.wishes.send(Wish::View(ask)).await.ok()?;
-        answer.await.ok()
+        self.wishes.send(Command::View(ask)).await.map_err(|_| FleetError::Stopped)?;
+        answer.await.map_err(|_| FleetError::Stopped)
     }
 
     /// A member has shown its certificate on a connection, in the life named.
-    pub async fn shown(&self, who: Member) {
-        let _ = self.wishes.send(Wish::Shown(who)).await;
+    pub async fn mark_authenticated(&self, who: Member) {
+        let _ = self.wishes.send(Command::Shown(who)).await;
     }
 
     /// What this forwarder says of itself.
-    pub async fn write(&self, facts: Facts) {
-        let _ = self.wishes.send(Wish::Facts(facts)).await;
+    pub async fn publish_attributes(&self, facts: Attributes) {
+        let _ = self.wishes.send(Command::Attributes(facts)).await;
     }
 
     /// Tells the fleet that this one takes nothing new.
     pub async fn drain(&self) {
-        let _ = self.wishes.send(Wish::Drain).await;
+        let _ = self.wishes.send(Command::Drain).await;
     }
 
     /// Says goodbye, and gives back when that is said.
     pub async fn leave(&self) {
         let (done, said) = oneshot::channel();
-        if self.wishes.send(Wish::Leave(done)).await.is_ok() {
+        if self.wishes.send(Command::Leave(done)).await.is_ok() {
             let _ = timeout(GOODBYE_FOR, said).await;
         }
     }
 }
 
 /// Keeps the view for as long as the process runs, or until it leaves. `began` is the moment from which the node counts.
-pub async fn run(socket: UdpSocket, mut node: Node, began: Instant, mut memory: Memory, wishes: Wishes) {
-    let Wishes { mut wishes, known } = wishes;
+pub async fn run(
+    socket: UdpSocket, mut node: Node, began: Instant, mut memory: SnapshotStore, wishes: DriverChannels,
+) {
+    let DriverChannels { mut wishes, known_members: known } = wishes;
     let (mut write, mut written): (Option<Instant>, Instant) = (None, Instant::now());
     let mut looks = interval(LOOK);
     looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -106,10 +109,10 @@
     // What was published and remembered last.
     let mut digest = None;
     let mut done = None;
-    while !node.withdrawn() {
+    while !node.has_withdrawn() {
         // Before anybody hears of it.
-        memory.live(node.me().incarnation);
-        send(&socket, node.out()).await;
+        memory.raise_incarnation(node.local_member().incarnation);
+        send(&socket, node.take_outgoing()).await;
         if digest != Some(node.digest()) {
             digest = Some(node.digest());
             publish(&known, &node);
@@ -117,27 +120,27 @@
         }
         tokio::select! {
             read = socket.recv_from(&mut bytes) => match read {
-                Ok((size, _)) if size <= DATAGRAM => node.datagram(began.elapsed(), &bytes[..size]),
+                Ok((size, _)) if size <= DATAGRAM => node.handle_datagram(began.elapsed(), &bytes[..size]),
                 // On loopback an earlier datagram that nobody took comes back as an error.
                 Ok(_) | Err(_) => {}
             },
-            () = sleep_until(began + node.next()) => node.wake(began.elapsed()),
+            () = sleep_until(began + node.next_wakeup()) => node.handle_wakeup(began.elapsed()),
             () = sleep_until(write.unwrap_or_else(Instant::now)), if write.is_some() => {
                 (write, written) = (None, Instant::now());
-                memory.note(&node.there(), node.agreed(), clock::now().0 / 1_000_000_000);
+                memory.record(&node.available_members(), node.agreed_fleet(), clock::now().0 / 1_000_000_000);
             }
             _ = looks.tick() => {
                 publish(&known, &node);
-                if node.agreed() != memory.agreed() {
+                if node.agreed_fleet() != memory.agreed_fleet() {
                     write = write.or(Some(written + WRITE));
                 }
             }
             wish = wishes.recv() => match wish {
-                Some(Wish::View(answer)) => drop(answer.send(node.view(began.elapsed()))),
-                Some(Wish::Shown(who)) => node.shown(began.elapsed(), &who),
-                Some(Wish::Facts(facts)) => node.write(began.elapsed(), facts),
-                Some(Wish::Drain) => node.drain(began.elapsed()),
-                Some(Wish::Leave(said)) => {
+                Some(Command::View(answer)) => drop(answer.send(node.view(began.elapsed()))),
+                Some(Command::Shown(who)) => node.mark_authenticated(began.elapsed(), &who),
+                Some(Command::Attributes(facts)) => node.publish_attributes(began.elapsed(), facts),
+                Some(Command::Drain) => node.drain(began.elapsed()),
+                Some(Command::Leave(said)) => {
                     done = Some(said);
                     break;
                 }
@@ -147,7 +150,7 @@
         }
     }
     log::info!("neighbours: goodbye");
-    let there = node.there();
+    let there = node.available_members();
     known.send_replace(Arc::default());
     let goodbye = node.leave(began.elapsed());
     for _ in 0..GOODBYES {
@@ -155,16 +158,22 @@
         sleep(GOODBYE_GAP).await;
     }
     // Who has said that it goes counts nobody: it comes back as one that joins.
-    memory.note(&there, &Default::default(), clock::now().0 / 1_000_000_000);
+    memory.record(&there, &Default::default(), clock::now().0 / 1_000_000_000);
     if let Some(said) = done {
         let _ = said.send(());
     }
 }
 
-fn publish(known: &watch::Sender<Arc<Known>>, node: &Node) {
-    let now = Known { me: Some(node.me().clone()), there: node.there(), unshown: node.unshown() };
+fn publish(known: &watch::Sender<Arc<KnownMembers>>, node: &Node) {
+    let now = KnownMembers {
+        local: Some(node.local_member().clone()),
+        available: node.available_members(),
+        unauthenticated: node.unauthenticated_members(),
+    };
     known.send_if_modified(|held| {
-        let changed = held.me != now.me || held.there != now.there || held.unshown != now.unshown;
+        let changed = held.local != now.local
+            || held.available != now.available
+            || held.unauthenticated != now.unauthenticated;
         if changed {
             *held = Arc::new(now);
         }
--- a/src/fleet/rows.rs
+++ b/src/fleet/member_table.rs
@@ -1,15 +1,15 @@
 //! The table behind the view: a row for each member, with what it wrote of itself, how old that is, and what became of
 //! it. Bounded; its digest is one number for all of it. Pure.
-use super::members::{Member, MEMBERS_MOST};
-use super::seeded::broken;
-use super::wire::{Facts, Record, PARTS};
+use super::fault_injection::broken;
+use super::member::{Member, MAX_MEMBERS};
+use super::wire::{Attributes, Record, PARTS};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// Rows of those that are gone, beside as many of those that are there.
-pub const GONE_MOST: usize = MEMBERS_MOST;
+pub const GONE_MOST: usize = MAX_MEMBERS;
 
 /// Records of one answer.
 const TOLD_MOST: usize = 256;
@@ -22,7 +22,7 @@
     /// How often it has written its facts.
     pub count: u32,
     /// What it wrote, and when that was.
-    pub facts: Option<Facts>,
+    pub facts: Option<Attributes>,
     pub written: Duration,
     /// It is there no more.
     pub gone: bool,
@@ -127,7 +127,7 @@
     }
 
     /// This member writes its facts, perhaps in a later life; a count that others have seen is passed over.
-    pub fn write(&mut self, now: Duration, me: &Member, facts: Facts, above: u32) {
+    pub fn write(&mut self, now: Duration, me: &Member, facts: Attributes, above: u32) {
         self.change(self.me, |own| {
             let own = own.filter(|r| r.of == *me);
             let count = own.as_ref().map_or(0, |r| r.count.max(above)).saturating_add(1);
--- a/src/fleet/rows/tests.rs
+++ b/src/fleet/member_table/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of `rows`.
 use super::*;
-use crate::fleet::members::tests::{address, member};
+use crate::fleet::member::tests::{address, member};
 
 fn rows(count: u16) -> Rows {
     let mut rows = Rows::new(member(0, 1), Duration::ZERO);
@@ -8,8 +8,8 @@
     rows
 }
 
-fn facts(list: u64) -> Facts {
-    Facts { list, ..Facts::default() }
+fn facts(list: u64) -> Attributes {
+    Attributes { list_version: list, ..Attributes::default() }
 }
 
 #[test]
--- a/src/fleet/members.rs
+++ b/src/fleet/membership.rs
@@ -1,32 +1,27 @@
 //! Who is there: SWIM by `foca` over UDP (Das, Gupta and Motivala, "SWIM", 2002). Says where a member may be found and
 //! no more; whom to believe is settled by certificates, on the connections. This file drives foca; it holds no socket.
-use super::seeded::broken;
+use super::fault_injection::broken;
+use super::member::{Member, MAX_MEMBERS, MAX_NAME_BYTES};
 use bytes::BufMut;
 use foca::{
     AccumulatingRuntime, Codec, Config, Foca, Identity, Message, OwnedNotification, PostcardCodec, Timer,
 };
 use rand::rngs::StdRng;
 use rand::SeedableRng;
-use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::num::{NonZeroU32, NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// Members kept in the table. Once it is full, who only appears in gossip is passed over, and who speaks for itself takes
-/// the place of one that never did.
-pub const MEMBERS_MOST: usize = 1000;
 /// So many are told directly of a planned end; of more, the rest hear it from these.
 const FAREWELLS: usize = 64;
 /// What foca writes at most; with the head of a datagram it stays under what most networks carry in one piece.
 const PACKET: usize = super::wire::DATAGRAM - super::wire::HEAD;
-/// Longer names are no names of members, in bytes.
-pub const NAME_MOST: usize = 128;
 /// Of those that are gone foca keeps the names so long: a word about their last life changes nothing any more.
 const BURIED: Duration = Duration::from_secs(3600);
 /// A restart gives its old name up sooner than SWIM would call it dead; the rest is for real failures.
-pub const PROBE: Duration = Duration::from_millis(500);
+pub const PROBE_PERIOD: Duration = Duration::from_millis(500);
 const PROBE_RTT: Duration = Duration::from_millis(150);
 
 /// So often each member passes a change on. Each of n members then hears of it so often on the average; that one of
@@ -35,24 +30,6 @@
 /// one run of six.
 const TRANSMISSIONS: NonZeroU8 = NonZeroU8::new(26).unwrap();
 
-/// A forwarder as its neighbours know it. A restart under the same name is a later incarnation of the same address.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Member {
-    /// Where it hears datagrams and takes connections.
-    pub address: SocketAddr,
-    /// Its forwarder's name.
-    pub name: String,
-    /// Rises with each start and each time that it was wrongly taken for dead.
-    pub incarnation: u64,
-}
-
-impl Member {
-    /// Of two that claim one address or one name, the later life is it.
-    pub fn win(&self, other: &Member) -> bool {
-        (self.incarnation, &self.name, self.address) > (other.incarnation, &other.name, other.address)
-    }
-}
-
 impl Identity for Member {
     type Addr = SocketAddr;
 
@@ -64,13 +41,13 @@
         self.address
     }
     fn win_addr_conflict(&self, other: &Member) -> bool {
-        self.win(other)
+        self.supersedes(other)
     }
 }
 
 /// What is to be done after a step.
 #[derive(Default)]
-pub struct Steps {
+pub struct Effects {
     /// Datagrams, and where to.
     pub send: Vec<(SocketAddr, Vec<u8>)>,
     /// Timers, and after how long they are to be handed back.
@@ -93,7 +70,7 @@
 }
 
 /// Membership as seen by one forwarder.
-pub struct Members {
+pub struct Membership {
     foca: Foca<Member, PostcardCodec, StdRng, foca::NoCustomBroadcast>,
     runtime: AccumulatingRuntime<Member>,
     me: SocketAddr,
@@ -103,11 +80,11 @@
     heard: BTreeSet<SocketAddr>,
 }
 
-impl Members {
+impl Membership {
     /// Alone at first. `size` is about how many forwarders there are.
-    pub fn new(me: Member, size: u32, seed: u64) -> Members {
+    pub fn new(me: Member, size: u32, seed: u64) -> Membership {
         let mut config = Config::new_lan(NonZeroU32::new(size).unwrap_or(NonZeroU32::MIN));
-        config.probe_period = PROBE;
+        config.probe_period = PROBE_PERIOD;
         config.probe_rtt = PROBE_RTT;
         // The timer that ends a suspicion is handed back when `doubts` says so.
         config.remove_down_after = BURIED;
@@ -117,13 +94,13 @@
         let address = me.address;
         let foca = Foca::new(me, config, StdRng::seed_from_u64(seed), PostcardCodec);
         let runtime = AccumulatingRuntime::new();
-        Members { foca, runtime, me: address, outlived: None, heard: BTreeSet::new() }
+        Membership { foca, runtime, me: address, outlived: None, heard: BTreeSet::new() }
     }
 
     /// Makes itself known at an address.
-    pub fn announce(&mut self, to: SocketAddr) -> Steps {
+    pub fn announce(&mut self, to: SocketAddr) -> Effects {
         if to == self.me {
-            return Steps::default();
+            return Effects::default();
         }
         // Only the address counts for a message that is not for a member yet.
         let to = Member { address: to, name: String::new(), incarnation: 0 };
@@ -132,13 +109,13 @@
     }
 
     /// Takes in a datagram, whatever it holds.
-    pub fn datagram(&mut self, bytes: &[u8]) -> Steps {
-        let Some((from, admitted)) = self.admit(bytes) else { return Steps::default() };
+    pub fn datagram(&mut self, bytes: &[u8]) -> Effects {
+        let Some((from, admitted)) = self.admit(bytes) else { return Effects::default() };
         let mut told = self.foca.handle_data(&admitted, &mut self.runtime);
         if let Some(life) = self.outlived.take() {
             told = told.and(self.live_above(life));
         }
-        Steps { from: Some(from), ..self.steps("a datagram", told) }
+        Effects { from: Some(from), ..self.steps("a datagram", told) }
     }
 
     /// What of a datagram is taken in, and who sent it. Guards the view against names that nobody bears: they may fill
@@ -149,16 +126,16 @@
         let header: foca::Header<Member> = PostcardCodec.decode_header(&mut rest).ok()?;
         let from = header.src.address;
         // Nobody else is where this one is.
-        if from == self.me || header.src.name.len() > NAME_MOST {
+        if from == self.me || header.src.name.len() > MAX_NAME_BYTES {
             return None;
         }
-        if self.heard.len() >= 2 * MEMBERS_MOST {
+        if self.heard.len() >= 2 * MAX_MEMBERS {
             let there = self.addresses();
             self.heard.retain(|a| there.contains(a));
         }
         self.heard.insert(from);
         // Those given up stay on foca's books for a while: these are bounded as well.
-        let (full, booked) = (self.full(), self.foca.iter_membership_state().len() >= 2 * MEMBERS_MOST);
+        let (full, booked) = (self.full(), self.foca.iter_membership_state().len() >= 2 * MAX_MEMBERS);
         let mut there = if full || booked { self.addresses() } else { BTreeSet::new() };
         if full && !there.contains(&from) {
             let silent =
@@ -182,7 +159,7 @@
             let id = update.id();
             if id.address == self.me && *id != *self.foca.identity() {
                 self.heard_of_own(id.incarnation);
-            } else if id.name.len() <= NAME_MOST && (!(full || booked) || there.contains(&id.address)) {
+            } else if id.name.len() <= MAX_NAME_BYTES && (!(full || booked) || there.contains(&id.address)) {
                 kept.push(update);
             }
         }
@@ -196,7 +173,7 @@
 
     /// Whether the table takes nobody in any more by hearsay.
     pub fn full(&self) -> bool {
-        self.foca.num_members() >= MEMBERS_MOST
+        self.foca.num_members() >= MAX_MEMBERS
     }
 
     /// Somebody knows a life at this one's address that is later than its own: its folder was lost and its clock set
@@ -218,7 +195,7 @@
     }
 
     /// Takes in what the records say of a member: that it is there, or that this life of it is over.
-    pub fn told(&mut self, of: &Member, there: bool) -> Steps {
+    pub fn told(&mut self, of: &Member, there: bool) -> Effects {
         let me = self.foca.identity();
         let told = if of.address == self.me {
             // Of its own life that is said to be over, and of later ones.
@@ -253,7 +230,7 @@
     }
 
     /// Another one has not been answered by a member: suspects it too, unless it has answered that already.
-    pub fn doubted(&mut self, of: &Member, number: u16) -> Steps {
+    pub fn doubted(&mut self, of: &Member, number: u16) -> Effects {
         let update = std::iter::once(foca::Member::new(of.clone(), number, foca::State::Suspect));
         let known = self.foca.iter_members().find(|m| m.id() == of).map(|m| m.incarnation());
         let told = match known {
@@ -284,14 +261,14 @@
     }
 
     /// Takes a timer back.
-    pub fn timer(&mut self, timer: Timer<Member>) -> Steps {
+    pub fn timer(&mut self, timer: Timer<Member>) -> Effects {
         let told = self.foca.handle_timer(timer, &mut self.runtime);
         self.steps("a timer", told)
     }
 
     /// Says goodbye: a planned restart needs no suspicion. Told to those that have spoken for themselves, each by a
     /// datagram of its own, and by foca to a few of all: names that nobody bears take nobody's place.
-    pub fn leave(&mut self) -> Steps {
+    pub fn leave(&mut self) -> Effects {
         let me = self.foca.identity().clone();
         let gone = || foca::Member::new(me.clone(), 0, foca::State::Down);
         let told: Vec<_> =
@@ -309,7 +286,7 @@
     }
 
     /// Passes on what changed lately, to a few: SWIM's own turn may be 0.2 s away.
-    pub fn pass_on(&mut self) -> Steps {
+    pub fn pass_on(&mut self) -> Effects {
         let told = self.foca.gossip(&mut self.runtime);
         self.steps("passing on", told)
     }
@@ -323,12 +300,12 @@
         self.foca.iter_members().map(|m| m.id().address).collect()
     }
 
-    fn steps(&mut self, what: &str, told: Result<(), foca::Error>) -> Steps {
+    fn steps(&mut self, what: &str, told: Result<(), foca::Error>) -> Effects {
         if let Err(fault) = told {
             // Also what a stranger sent. It changes nothing.
             log::debug!("{what}: {fault}");
         }
-        let mut steps = Steps::default();
+        let mut steps = Effects::default();
         while let Some((to, bytes)) = self.runtime.to_send() {
             steps.send.push((to.address, bytes.to_vec()));
         }
@@ -374,4 +351,4 @@
 }
 
 #[cfg(test)]
-pub(crate) mod tests;
+mod tests;
--- a/src/fleet/members/tests.rs
+++ b/src/fleet/membership/tests.rs
@@ -1,18 +1,11 @@
 //! Tests of `members`.
 use super::*;
+use crate::fleet::member::tests::{address, member};
 use std::collections::{BTreeMap, BinaryHeap};
 
-pub(crate) fn address(n: u16) -> SocketAddr {
-    ([127, 0, 0, 1], 1000 + n).into()
-}
-
-pub(crate) fn member(n: u16, incarnation: u64) -> Member {
-    Member { address: address(n), name: format!("n{n}"), incarnation }
-}
-
 /// Forwarders on a network that this test cuts and mends, in virtual time.
 struct Net {
-    nodes: BTreeMap<SocketAddr, Members>,
+    nodes: BTreeMap<SocketAddr, Membership>,
     queue: BinaryHeap<std::cmp::Reverse<(Duration, u64)>>,
     events: BTreeMap<u64, (SocketAddr, What)>,
     now: Duration,
@@ -42,7 +35,7 @@
         self.queue.push(std::cmp::Reverse((self.now + after, self.next)));
         self.events.insert(self.next, (at, what));
     }
-    fn steps(&mut self, of: SocketAddr, steps: Steps) {
+    fn steps(&mut self, of: SocketAddr, steps: Effects) {
         for (to, bytes) in steps.send {
             self.push(Duration::from_millis(1), to, What::Bytes(of, bytes));
         }
@@ -52,7 +45,7 @@
     }
     fn start(&mut self, n: u16, incarnation: u64, seed: u16) {
         self.events.retain(|_, (at, what)| *at != address(n) || !matches!(what, What::Timer(_)));
-        let mut members = Members::new(member(n, incarnation), 10, u64::from(n));
+        let mut members = Membership::new(member(n, incarnation), 10, u64::from(n));
         let steps = members.announce(address(seed));
         self.nodes.insert(address(n), members);
         self.steps(address(n), steps);
@@ -165,7 +158,7 @@
         net.nodes.get_mut(&address(0)).expect("it is there").datagram(&bytes);
     }
     let full = net.seen_by(0).len();
-    assert!((MEMBERS_MOST..MEMBERS_MOST + 20).contains(&full), "{full}");
+    assert!((MAX_MEMBERS..MAX_MEMBERS + 20).contains(&full), "{full}");
     net.start(3, 1, 0);
     net.run(1);
     assert!(net.seen_by(0).contains(&member(3, 1)), "one that comes is let in");
@@ -174,12 +167,12 @@
     net.steps(address(1), goodbye);
     net.run(1);
     assert!(!net.seen_by(0).contains(&member(1, 1)), "one that goes is missed");
-    assert!(net.seen_by(0).len() < MEMBERS_MOST + 20);
+    assert!(net.seen_by(0).len() < MAX_MEMBERS + 20);
 }
 
 #[test]
 fn what_strangers_send_changes_nothing() {
-    let mut members = Members::new(member(0, 1), 10, 1);
+    let mut members = Membership::new(member(0, 1), 10, 1);
     for n in 0..200u8 {
         let steps = members.datagram(&vec![n; usize::from(n)]);
         assert!(steps.send.len() <= 1);
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -4,13 +4,18 @@
 //! is `neighbours`. Off unless that is given an address: then no socket, no byte on disk, no CPU.
 //! A package of this program and no crate: it shares the disk's bounds, the clock and the log with it, and the lab
 //! drives the library as a whole.
-pub mod doubts;
+
+pub mod error;
+pub mod fault_injection;
 pub mod gossip;
-pub mod members;
-pub mod memory;
+pub mod member;
+pub mod member_table;
+pub mod membership;
+
 pub mod node;
-pub mod rows;
-pub mod seeded;
-pub mod sides;
+
+pub mod partition;
+pub mod snapshot;
+pub mod suspicion;
 pub mod view;
 pub mod wire;
--- a/src/fleet/node.rs
+++ b/src/fleet/node.rs
@@ -5,13 +5,14 @@
 //! The one who drives it calls `datagram` with what came, and `wake` at `next`; after each it sends what `out` gives.
 //! A call that comes late shows that this process stood still: time then does not count for probes and suspicions, and
 //! what the others said meanwhile, which lies in the socket, is heard before anybody is given up.
-use super::doubts::Doubts;
-use super::members::{Change, Member, Members, Steps, PROBE};
-use super::rows::{Row, Rows};
-use super::seeded::broken;
-use super::sides::{Side, Sides, Standing, FORGET};
-use super::view::{word, Line, State, View};
-use super::wire::{self, Facts, Head, Record, Say, DATAGRAM, HEAD, RECORD_MOST};
+use super::fault_injection::broken;
+use super::member::Member;
+use super::member_table::{Row, Rows};
+use super::membership::{Change, Effects, Membership, PROBE_PERIOD};
+use super::partition::{PartitionDetector, PartitionSide, PartitionStatus, FORGET};
+use super::suspicion::SuspicionTracker;
+use super::view::{word, FleetView, MemberState, MemberView};
+use super::wire::{self, Attributes, Head, Record, Say, DATAGRAM, HEAD, MAX_RECORD_BYTES};
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -24,11 +25,11 @@
 pub type Sent = (SocketAddr, Vec<u8>);
 
 /// How often those that are not there are greeted, seeds and remembered ones: groups that were cut apart meet again by it.
-pub const GREET: Duration = Duration::from_secs(2);
+pub const GREETING_INTERVAL: Duration = Duration::from_secs(2);
 /// Of those that are remembered, so many at a time, in turn: a large fleet is not greeted whole by each of its members.
 pub const GREETED: usize = 4;
 /// Addresses that are remembered while the process runs.
-const REMEMBERED_MOST: usize = super::members::MEMBERS_MOST;
+const REMEMBERED_MOST: usize = super::member::MAX_MEMBERS;
 /// Who comes or goes is passed on at once and a few times more, but not more often than this.
 pub const PASS_ON: Duration = Duration::from_millis(100);
 const PASSES: u32 = 3;
@@ -56,28 +57,28 @@
 const LATE: Duration = Duration::from_millis(250);
 
 /// What a node begins with.
-pub struct Setup {
-    pub me: Member,
+pub struct NodeConfig {
+    pub local: Member,
     pub group: String,
     /// About how many there are.
-    pub size: u32,
-    pub seed: u64,
-    pub seeds: Vec<SocketAddr>,
+    pub expected_members: u32,
+    pub random_seed: u64,
+    pub seed_addresses: Vec<SocketAddr>,
     /// Who was there in an earlier life.
-    pub remembered: Vec<SocketAddr>,
+    pub remembered_addresses: Vec<SocketAddr>,
     /// The fleet as an earlier life last agreed on it.
-    pub agreed: BTreeSet<String>,
-    pub facts: Facts,
+    pub agreed_fleet: BTreeSet<String>,
+    pub attributes: Attributes,
 }
 
 /// Times are spans since any moment that is the same for all calls.
 pub struct Node {
     tag: u32,
-    members: Members,
+    members: Membership,
     rows: Rows,
-    doubts: Doubts,
-    sides: Sides,
-    facts: Facts,
+    doubts: SuspicionTracker,
+    sides: PartitionDetector,
+    facts: Attributes,
     seeds: Vec<SocketAddr>,
     remembered: Vec<SocketAddr>,
     turn: usize,
@@ -104,7 +105,7 @@
     /// Since when it stands.
     since: Duration,
     out: Vec<Sent>,
-    side: Side,
+    side: PartitionSide,
     /// The rows' changes up to which they were looked at.
     looked: u64,
     withdrawn: bool,
@@ -113,21 +114,30 @@
 
 impl Node {
     /// Alone at first.
-    pub fn new(setup: Setup, now: Duration) -> Node {
-        let Setup { me, group, size, seed, seeds, remembered, agreed, facts } = setup;
+    pub fn new(setup: NodeConfig, now: Duration) -> Node {
+        let NodeConfig {
+            local: me,
+            group,
+            expected_members: size,
+            random_seed: seed,
+            seed_addresses: seeds,
+            remembered_addresses: remembered,
+            agreed_fleet: agreed,
+            attributes: facts,
+        } = setup;
         let mut rows = Rows::new(me.clone(), now);
         rows.write(now, &me, facts.clone(), 0);
         rows.shown(&me);
         let mut random = StdRng::seed_from_u64(seed);
         // Many that start at once do not greet at once for ever.
-        let greet_at = GREET.mul_f64(random.random_range(0.0..1.0));
+        let greet_at = GREETING_INTERVAL.mul_f64(random.random_range(0.0..1.0));
         let mut node = Node {
             tag: wire::tag(&group),
-            members: Members::new(me, size, random.random()),
+            members: Membership::new(me, size, random.random()),
             digest: rows.digest(),
             rows,
-            doubts: Doubts::default(),
-            sides: Sides::new(agreed),
+            doubts: SuspicionTracker::default(),
+            sides: PartitionDetector::new(agreed),
             facts,
             seeds,
             remembered,
@@ -151,7 +161,7 @@
             said: BTreeMap::new(),
             since: now,
             out: Vec::new(),
-            side: Side::Unknown,
+            side: PartitionSide::Unknown,
             looked: 0,
             withdrawn: false,
             suspicions: 0,
@@ -162,7 +172,7 @@
     }
 
     /// Takes in a datagram, whatever it holds.
-    pub fn datagram(&mut self, now: Duration, bytes: &[u8]) {
+    pub fn handle_datagram(&mut self, now: Duration, bytes: &[u8]) {
         self.begin(now);
         if let Some((head, say)) = wire::decode(self.tag, bytes) {
             if let Some(from) = self.hear(say) {
@@ -177,7 +187,7 @@
     }
 
     /// Does what is due.
-    pub fn wake(&mut self, now: Duration) {
+    pub fn handle_wakeup(&mut self, now: Duration) {
         self.begin(now);
         while let Some(entry) = self.timers.first_entry().filter(|e| e.key().0 <= self.own) {
             let timer = entry.remove();
@@ -202,7 +212,7 @@
             self.pass_on();
         }
         if self.greet_at <= self.own {
-            self.greet_at = self.own + GREET;
+            self.greet_at = self.own + GREETING_INTERVAL;
             self.greet();
         }
         if self.look_at <= self.own {
@@ -213,7 +223,7 @@
     }
 
     /// When `wake` is to be called, at the latest.
-    pub fn next(&self) -> Duration {
+    pub fn next_wakeup(&self) -> Duration {
         let timers = self.timers.keys().next().map(|k| k.0);
         let due = [timers, self.doubts.next(self.members.count()), self.pass_at];
         let first = due.into_iter().flatten().fold(self.greet_at.min(self.look_at), Duration::min);
@@ -221,22 +231,22 @@
     }
 
     /// What is to be sent now.
-    pub fn out(&mut self) -> Vec<Sent> {
+    pub fn take_outgoing(&mut self) -> Vec<Sent> {
         std::mem::take(&mut self.out)
     }
 
     /// What this forwarder says of itself.
-    pub fn write(&mut self, now: Duration, facts: Facts) {
+    pub fn publish_attributes(&mut self, now: Duration, facts: Attributes) {
         self.begin(now);
         let draining = self.facts.draining;
-        self.facts_are(Facts { draining, ..facts });
+        self.facts_are(Attributes { draining, ..facts });
         self.end();
     }
 
     /// It was told to end: the others hear at once that it takes nothing new.
     pub fn drain(&mut self, now: Duration) {
         self.begin(now);
-        self.facts_are(Facts { draining: true, ..self.facts.clone() });
+        self.facts_are(Attributes { draining: true, ..self.facts.clone() });
         self.tell_heard();
         self.end();
     }
@@ -249,45 +259,45 @@
         }
         let steps = self.members.leave();
         self.steps(steps);
-        self.out()
+        self.take_outgoing()
     }
 
     /// A member has shown its certificate on a connection, in the life named.
-    pub fn shown(&mut self, now: Duration, who: &Member) {
+    pub fn mark_authenticated(&mut self, now: Duration, who: &Member) {
         self.begin(now);
         self.rows.shown(who);
         self.end();
     }
 
     /// Those that have not shown a certificate yet.
-    pub fn unshown(&self) -> Vec<Member> {
+    pub fn unauthenticated_members(&self) -> Vec<Member> {
         self.rows.there().filter(|r| !r.shown && r.heard.is_some()).map(|r| r.of.clone()).collect()
     }
 
     /// This one as the others are to know it; its life may have risen.
-    pub fn me(&self) -> &Member {
+    pub fn local_member(&self) -> &Member {
         self.members.me()
     }
 
     /// Its name belongs to a later life elsewhere: it is to go from the fleet.
-    pub fn withdrawn(&self) -> bool {
+    pub fn has_withdrawn(&self) -> bool {
         self.withdrawn
     }
 
     /// Who is there, without this one and those that drain.
-    pub fn there(&self) -> Vec<Member> {
-        let me = self.me().address;
+    pub fn available_members(&self) -> Vec<Member> {
+        let me = self.local_member().address;
         let staying = |r: &&Row| r.of.address != me && !r.facts.as_ref().is_some_and(|f| f.draining);
         self.rows.there().filter(staying).map(|r| r.of.clone()).collect()
     }
 
     /// How often it has suspected anybody.
-    pub fn suspicions(&self) -> u64 {
+    pub fn suspicion_count(&self) -> u64 {
         self.suspicions
     }
 
     /// The fleet as it was last agreed.
-    pub fn agreed(&self) -> &BTreeSet<String> {
+    pub fn agreed_fleet(&self) -> &BTreeSet<String> {
         self.sides.agreed()
     }
 
@@ -297,7 +307,7 @@
     }
 
     /// Whether all views that were heard lately are the same as this one.
-    pub fn same(&self) -> bool {
+    pub fn views_agree(&self) -> bool {
         let others = self.members.count();
         // A view that changed a moment ago is not the same as what others said before.
         let fresh = |at: Duration| at >= self.since && self.now.saturating_sub(at) < SAID_FOR;
@@ -333,7 +343,7 @@
         if digest != self.digest {
             (self.digest, self.since) = (digest, self.now);
         }
-        self.expected = Some(self.next());
+        self.expected = Some(self.next_wakeup());
     }
 
     // ---- What comes.
@@ -351,8 +361,11 @@
                 // Only members are answered: an answer is longer than what it answers.
                 self.rows.get(from.address).filter(|r| !r.gone)?;
                 if !back && sums != self.rows.parts() {
-                    let say =
-                        Say::Parts { from: self.me().clone(), sums: self.rows.parts().to_vec(), back: true };
+                    let say = Say::Parts {
+                        from: self.local_member().clone(),
+                        sums: self.rows.parts().to_vec(),
+                        back: true,
+                    };
                     self.say(from.address, &say);
                 }
                 let place = self.random.random_range(0..wire::PARTS);
@@ -378,7 +391,7 @@
 
     fn take(&mut self, record: &Record) {
         let (of, now) = (&record.of, self.now);
-        if of.address == self.me().address {
+        if of.address == self.local_member().address {
             let own = self.rows.own();
             let other = record.count > own.count || record.count == own.count && record.facts != own.facts;
             let other = other && !broken("forged facts stand");
@@ -394,7 +407,7 @@
         let known = self.rows.get(of.address);
         let news = match known {
             Some(row) if row.of == *of => record.gone && !row.gone,
-            Some(row) => of.win(&row.of) && (!record.gone || !row.gone),
+            Some(row) => of.supersedes(&row.of) && (!record.gone || !row.gone),
             None => !record.gone && !self.members.full(),
         };
         if news {
@@ -409,7 +422,7 @@
         }
     }
 
-    fn steps(&mut self, steps: Steps) {
+    fn steps(&mut self, steps: Effects) {
         for (to, bytes) in steps.send {
             self.say(to, &Say::Members(bytes));
         }
@@ -418,7 +431,7 @@
             // Not where it has answered another one since the probe began: those told would suspect it by its new number
             // while foca here does not, and it would not hear of it. So one of twelve that lived ended, at 15% loss.
             let Some(number) = self.members.suspect(&failed) else { continue };
-            let say = Say::Doubt { from: self.me().clone(), of: failed.clone(), number };
+            let say = Say::Doubt { from: self.local_member().clone(), of: failed.clone(), number };
             for to in self.witnesses(&failed) {
                 self.say(to, &say);
             }
@@ -475,7 +488,7 @@
 
     /// Where those are that are there, without this one.
     fn others_there(&self) -> impl Iterator<Item = SocketAddr> + '_ {
-        let me = self.me().address;
+        let me = self.local_member().address;
         self.rows.there().map(|r| r.of.address).filter(move |a| *a != me)
     }
 
@@ -514,7 +527,7 @@
     }
 
     fn heat(&mut self, of: SocketAddr) {
-        if self.hot.len() < HOT_MOST || of == self.me().address {
+        if self.hot.len() < HOT_MOST || of == self.local_member().address {
             self.hot.insert(of, RECORD_PASSES);
             self.pass_soon(1);
         }
@@ -545,7 +558,7 @@
                     more => self.hot.insert(record.of.address, more - 1),
                 };
             }
-            let say = Say::Records { from: self.me().clone(), records: first };
+            let say = Say::Records { from: self.local_member().clone(), records: first };
             for to in self.some(PASSED_TO) {
                 self.say(to, &say);
             }
@@ -559,11 +572,11 @@
         let (mut parts, mut room): (Vec<Vec<Record>>, usize) = (Vec::new(), 0);
         for record in records {
             let facts = record.facts.as_ref().map_or(0, |f| f.zone.len() + f.version.len() + 64);
-            let size = (record.of.name.len() + facts + 48).min(RECORD_MOST);
+            let size = (record.of.name.len() + facts + 48).min(MAX_RECORD_BYTES);
             if size > room {
                 parts.push(Vec::new());
                 // The sender's name stands before them.
-                room = DATAGRAM - HEAD - 48 - self.me().name.len();
+                room = DATAGRAM - HEAD - 48 - self.local_member().name.len();
             }
             room = room.saturating_sub(size);
             if let Some(last) = parts.last_mut() {
@@ -581,7 +594,8 @@
             return;
         }
         self.compare_at = self.own + COMPARE;
-        let say = Say::Parts { from: self.me().clone(), sums: self.rows.parts().to_vec(), back: false };
+        let say =
+            Say::Parts { from: self.local_member().clone(), sums: self.rows.parts().to_vec(), back: false };
         self.say(with, &say);
     }
 
@@ -594,20 +608,23 @@
                 return;
             }
             self.answers -= 1.0;
-            let say = Say::Records { from: self.me().clone(), records };
+            let say = Say::Records { from: self.local_member().clone(), records };
             self.say(to, &say);
         }
     }
 
     /// Its own record, straight to those that have spoken for themselves.
     fn tell_heard(&mut self) {
-        let say = Say::Records { from: self.me().clone(), records: vec![self.rows.own().record(self.now)] };
+        let say = Say::Records {
+            from: self.local_member().clone(),
+            records: vec![self.rows.own().record(self.now)],
+        };
         for to in self.members.heard() {
             self.say(to.address, &say);
         }
     }
 
-    fn facts_are(&mut self, facts: Facts) {
+    fn facts_are(&mut self, facts: Attributes) {
         if facts == self.facts {
             return;
         }
@@ -617,7 +634,7 @@
 
     /// Its own row, in the life that it has now and above a count that others have seen.
     fn write_own(&mut self, above: u32) {
-        let me = self.me().clone();
+        let me = self.local_member().clone();
         self.rows.write(self.now, &me, self.facts.clone(), above);
         self.rows.shown(&me);
         self.heat(me.address);
@@ -638,20 +655,20 @@
             self.sides.forget(&gone.name);
             self.rows.forget(gone.address);
         }
-        let same = self.same();
+        let same = self.views_agree();
         if self.sides.look(self.now, self.others(), same) {
             log::info!(members = self.sides.agreed().len(), digest = format!("{:016x}", self.digest); "the fleet is agreed");
         }
         let side = self.sides.side();
         if side != self.side {
-            let Standing { counted, base, out_of_reach, agreed, .. } = self.sides.standing();
+            let PartitionStatus { counted, base, out_of_reach, agreed, .. } = self.sides.standing();
             log::info!(side = word(&side), counted, base, out_of_reach, last_agreed = agreed; "side of the fleet");
             self.side = side;
         }
     }
 
     /// What those that count say of their sides.
-    fn others(&self) -> Side {
+    fn others(&self) -> PartitionSide {
         let counts = |a: &SocketAddr| self.rows.get(*a).is_some_and(|r| r.shown && !r.gone);
         let fresh = |at: Duration| self.now.saturating_sub(at) < SAID_FOR;
         let said = self.said.iter().filter(|(a, s)| fresh(s.1) && counts(a));
@@ -667,9 +684,13 @@
             .map(|r| r.of.name.clone())
             .collect();
         self.sides.there(counted);
-        let me = self.me().clone();
+        let me = self.local_member().clone();
         for row in self.rows.there().filter(|r| r.shown && r.of.address != me.address) {
-            if row.of.name == me.name && row.of.win(&me) && !self.withdrawn && !broken("both keep a name") {
+            if row.of.name == me.name
+                && row.of.supersedes(&me)
+                && !self.withdrawn
+                && !broken("both keep a name")
+            {
                 log::error!(
                     name = me.name, other = row.of.address.to_string();
                     "another forwarder bears this one's name and started later: this one withdraws from the fleet"
@@ -680,52 +701,53 @@
     }
 
     /// The view of this moment.
-    pub fn view(&self, now: Duration) -> View {
+    pub fn view(&self, now: Duration) -> FleetView {
         let now = now.max(self.now);
         let suspected: BTreeSet<&Member> = self.members.suspects().map(|s| s.0).collect();
-        let me = self.me();
+        let me = self.local_member();
         let secs = |at: Duration| now.saturating_sub(at).as_secs_f64();
         let line = |row: &Row| {
             let facts = row.facts.clone().unwrap_or_default();
-            let bears = |other: &Row| other.shown && other.of.name == row.of.name && other.of.win(&row.of);
+            let bears =
+                |other: &Row| other.shown && other.of.name == row.of.name && other.of.supersedes(&row.of);
             let state = match () {
-                () if row.left() => State::Left,
-                () if row.gone => State::Dead,
-                () if self.rows.there().any(bears) => State::ShutOut,
-                () if suspected.contains(&row.of) => State::Suspect,
-                () if facts.draining => State::Draining,
-                () if row.of.address != me.address && row.heard.is_none() => State::Joining,
-                () => State::Alive,
+                () if row.left() => MemberState::Left,
+                () if row.gone => MemberState::Dead,
+                () if self.rows.there().any(bears) => MemberState::ShutOut,
+                () if suspected.contains(&row.of) => MemberState::Suspect,
+                () if facts.draining => MemberState::Draining,
+                () if row.of.address != me.address && row.heard.is_none() => MemberState::Joining,
+                () => MemberState::Alive,
             };
-            Line {
+            MemberView {
                 name: row.of.name.clone(),
                 address: row.of.address.to_string(),
-                life: row.of.incarnation,
+                incarnation: row.of.incarnation,
                 state,
-                for_secs: secs(row.since),
-                heard_secs_ago: row.heard.map(secs),
-                counts: row.shown && !row.gone && state != State::ShutOut,
-                facts_secs_old: row.facts.as_ref().map(|_| secs(row.written)),
+                state_age_secs: secs(row.since),
+                last_heard_secs_ago: row.heard.map(secs),
+                counted: row.shown && !row.gone && state != MemberState::ShutOut,
+                attributes_age_secs: row.facts.as_ref().map(|_| secs(row.written)),
                 zone: facts.zone,
                 version: facts.version,
-                config: format!("{:08x}", facts.config as u32),
-                epoch: facts.epoch,
-                list: facts.list,
+                settings_digest: format!("{:08x}", facts.settings_digest as u32),
+                settings_epoch: facts.settings_epoch,
+                list_version: facts.list_version,
                 started: facts.started,
                 side: if row.of == *me {
                     self.side
                 } else {
-                    self.said.get(&row.of.address).map_or(Side::Unknown, |s| s.0.side)
+                    self.said.get(&row.of.address).map_or(PartitionSide::Unknown, |s| s.0.side)
                 },
             }
         };
-        let mut members: Vec<Line> = self.rows.all().map(line).collect();
+        let mut members: Vec<MemberView> = self.rows.all().map(line).collect();
         members.sort_by(|a, b| (&a.name, &a.address).cmp(&(&b.name, &b.address)));
         let standing = self.sides.standing();
-        View {
-            of: me.name.clone(),
+        FleetView {
+            observer: me.name.clone(),
             digest: format!("{:016x}", self.digest),
-            agreed: self.same(),
+            agreed: self.views_agree(),
             side: self.sides.side(),
             counted: standing.counted,
             out_of_reach: standing.out_of_reach,
@@ -738,13 +760,13 @@
 /// A crash is known to all after so long, where datagrams arrive: some member probes it within a round of all (with n
 /// members about `n` probes go out in each period, and it is missed by all of them for `k` periods with the chance e^-k),
 /// the probe's end, the suspicion, and the way of the word.
-pub fn crash_known_within(others: usize) -> Duration {
-    let found = if others < 3 { PROBE * others.max(1) as u32 } else { PROBE * 6 };
-    found + PROBE * 2 + super::doubts::SHORT + passed_within(others)
+pub fn crash_detection_bound(others: usize) -> Duration {
+    let found = if others < 3 { PROBE_PERIOD * others.max(1) as u32 } else { PROBE_PERIOD * 6 };
+    found + PROBE_PERIOD * 2 + super::suspicion::SHORT + dissemination_bound(others)
 }
 
 /// A word is with all others after so long: each passes it on to three at a time, ten times a second.
-pub fn passed_within(others: usize) -> Duration {
+pub fn dissemination_bound(others: usize) -> Duration {
     let rounds = (others.max(2) as f64).log(4.0).ceil() as u32 + 2;
     PASS_ON * rounds
 }
--- a/src/fleet/sides.rs
+++ b/src/fleet/partition.rs
@@ -4,22 +4,22 @@
 //! out of it: whether a member has ended or is cut off cannot be told from here. A side may call itself the majority if
 //! more than half of the base are there, and more than half of the fleet as it was last *agreed*: so a joiner that only
 //! one side has met gives it no majority over those who have not. `docs/design/fleet-view.md` has the proof and its limit.
-use super::seeded::broken;
+use super::fault_injection::broken;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 /// A view that all share for so long is agreed.
-pub const AGREED_AFTER: Duration = Duration::from_secs(1);
+pub const AGREEMENT_DELAY: Duration = Duration::from_secs(1);
 /// A majority gives up whom it has not heard for so long; others give up nobody.
 pub const FORGET: Duration = Duration::from_secs(86_400);
 /// Names in the base.
-const BASE_MOST: usize = 2 * super::members::MEMBERS_MOST;
+const BASE_MOST: usize = 2 * super::member::MAX_MEMBERS;
 
 /// What a member says of the side that it is on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Side {
+pub enum PartitionSide {
     /// It has never agreed with anybody on a fleet.
     #[default]
     Unknown,
@@ -30,22 +30,22 @@
 }
 
 /// Names, as this member counts them. Times are of one clock.
-pub struct Sides {
+pub struct PartitionDetector {
     agreed: BTreeSet<String>,
     base: BTreeSet<String>,
     /// Who is there now.
     there: BTreeSet<String>,
     /// Since when all views heard are the same.
     same: Option<Duration>,
-    standing: Standing,
+    standing: PartitionStatus,
 }
 
 /// How things stand.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Standing {
-    /// Members there that count, this one included.
+pub struct PartitionStatus {
+    /// Membership there that count, this one included.
     pub counted: usize,
-    /// Members counted in all: this one, those there, and those out of reach.
+    /// Membership counted in all: this one, those there, and those out of reach.
     pub base: usize,
     /// Of these, those that have gone without a word: ended or cut off.
     pub out_of_reach: usize,
@@ -55,11 +55,17 @@
     pub majority: bool,
 }
 
-impl Sides {
+impl PartitionDetector {
     /// `last` is the fleet as an earlier life of this member has agreed to it.
-    pub fn new(last: BTreeSet<String>) -> Sides {
+    pub fn new(last: BTreeSet<String>) -> PartitionDetector {
         let there = BTreeSet::new();
-        Sides { base: last.clone(), agreed: last, there, same: None, standing: Standing::default() }
+        PartitionDetector {
+            base: last.clone(),
+            agreed: last,
+            there,
+            same: None,
+            standing: PartitionStatus::default(),
+        }
     }
 
     /// Takes in who is there now, this one included.
@@ -78,18 +84,18 @@
 
     /// Takes in what the others say of their sides, and whether all views that were heard are the same; says whether the
     /// agreed fleet has changed.
-    pub fn look(&mut self, now: Duration, others: Side, same: bool) -> bool {
+    pub fn look(&mut self, now: Duration, others: PartitionSide, same: bool) -> bool {
         if !same {
             self.same = None;
             return false;
         }
         let since = *self.same.get_or_insert(now);
-        if now - since < AGREED_AFTER || self.agreed == self.base {
+        if now - since < AGREEMENT_DELAY || self.agreed == self.base {
             return false;
         }
         let may = match self.agreed.is_empty() {
             // Who has just come knows no fleet: it takes the word of one that does. Where nobody does, it is a new one.
-            true => others != Side::Minority || broken("joiner founds a fleet"),
+            true => others != PartitionSide::Minority || broken("joiner founds a fleet"),
             false => self.standing().majority,
         };
         if !may {
@@ -115,14 +121,14 @@
     }
 
     /// How things stand.
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> PartitionStatus {
         self.standing
     }
 
     fn reckon(&mut self) {
         let most =
             |of: &BTreeSet<String>| 2 * of.iter().filter(|n| self.there.contains(*n)).count() > of.len();
-        self.standing = Standing {
+        self.standing = PartitionStatus {
             base: self.base.len(),
             out_of_reach: self.base.iter().filter(|n| !self.there.contains(*n)).count(),
             counted: self.there.len(),
@@ -132,11 +138,11 @@
     }
 
     /// What is to be said of it to others.
-    pub fn side(&self) -> Side {
+    pub fn side(&self) -> PartitionSide {
         match (self.agreed.is_empty(), self.standing().majority) {
-            (true, _) => Side::Unknown,
-            (_, false) => Side::Minority,
-            (_, true) => Side::Majority,
+            (true, _) => PartitionSide::Unknown,
+            (_, false) => PartitionSide::Minority,
+            (_, true) => PartitionSide::Majority,
         }
     }
 
--- a/src/fleet/sides/tests.rs
+++ b/src/fleet/partition/tests.rs
@@ -7,17 +7,19 @@
 }
 
 /// Two looks, as far apart as it takes to agree.
-fn look(sides: &mut Sides, at: u64, there: &BTreeSet<String>, others: Side) -> Standing {
+fn look(
+    sides: &mut PartitionDetector, at: u64, there: &BTreeSet<String>, others: PartitionSide,
+) -> PartitionStatus {
     let now = Duration::from_secs(at);
     sides.there(there.clone());
     sides.look(now, others, true);
-    sides.look(now + AGREED_AFTER, others, true);
+    sides.look(now + AGREEMENT_DELAY, others, true);
     sides.standing()
 }
 
-fn settled(of: &[u8]) -> Sides {
-    let mut sides = Sides::new(BTreeSet::new());
-    look(&mut sides, 0, &names(of), Side::Unknown);
+fn settled(of: &[u8]) -> PartitionDetector {
+    let mut sides = PartitionDetector::new(BTreeSet::new());
+    look(&mut sides, 0, &names(of), PartitionSide::Unknown);
     assert_eq!(sides.agreed().len(), of.len());
     sides
 }
@@ -27,7 +29,7 @@
     for (of, here, majority) in [(5, 3, true), (5, 2, false), (4, 2, false), (2, 1, false), (1, 1, true)] {
         let mut sides = settled(&(0..of).collect::<Vec<_>>());
         let here_now = names(&(0..here).collect::<Vec<_>>());
-        let standing = look(&mut sides, 10, &here_now, Side::Unknown);
+        let standing = look(&mut sides, 10, &here_now, PartitionSide::Unknown);
         assert_eq!(standing.majority, majority, "{here} of {of}");
         assert_eq!(standing.out_of_reach, usize::from(of - here));
     }
@@ -35,17 +37,19 @@
 
 #[test]
 fn one_that_never_agreed_with_anybody_is_no_majority() {
-    let mut sides = Sides::new(BTreeSet::new());
+    let mut sides = PartitionDetector::new(BTreeSet::new());
     sides.there(names(&[0, 1, 2]));
     assert!(!sides.standing().majority);
-    assert_eq!(sides.side(), Side::Unknown);
+    assert_eq!(sides.side(), PartitionSide::Unknown);
 }
 
 /// One that left and came back, on the smaller side of a cut: it does not found a fleet of its own there.
 #[test]
 fn a_joiner_takes_the_word_of_those_who_know_the_fleet() {
-    for (others, agreed) in [(Side::Minority, 0), (Side::Majority, 3), (Side::Unknown, 3)] {
-        let mut joiner = Sides::new(BTreeSet::new());
+    for (others, agreed) in
+        [(PartitionSide::Minority, 0), (PartitionSide::Majority, 3), (PartitionSide::Unknown, 3)]
+    {
+        let mut joiner = PartitionDetector::new(BTreeSet::new());
         look(&mut joiner, 0, &names(&[0, 1, 2]), others);
         assert_eq!(joiner.agreed().len(), agreed, "{others:?}");
     }
@@ -56,7 +60,7 @@
     let mut sides = settled(&[0, 1, 2, 3]);
     let here = names(&[0, 1]);
     for n in 0..100 {
-        look(&mut sides, 10 + n, &here, Side::Unknown);
+        look(&mut sides, 10 + n, &here, PartitionSide::Unknown);
     }
     let standing = sides.standing();
     assert_eq!((standing.base, standing.out_of_reach, standing.majority), (4, 2, false));
@@ -73,7 +77,7 @@
 #[test]
 fn joiners_of_one_side_do_not_outvote_the_fleet() {
     let mut sides = settled(&[0, 1, 2, 3, 4]);
-    let standing = look(&mut sides, 10, &names(&[0, 1, 10, 11, 12, 13]), Side::Unknown);
+    let standing = look(&mut sides, 10, &names(&[0, 1, 10, 11, 12, 13]), PartitionSide::Unknown);
     assert!(!standing.majority);
     assert_eq!(sides.agreed().len(), 5, "no majority of the agreed five");
 }
@@ -86,7 +90,7 @@
         count in 1..12u8, steps in prop::collection::vec((any::<u16>(), any::<u16>()), 1..8),
     ) {
         let all: Vec<u8> = (0..count).collect();
-        let mut sides: Vec<Sides> = all.iter().map(|_| settled(&all)).collect();
+        let mut sides: Vec<PartitionDetector> = all.iter().map(|_| settled(&all)).collect();
         let mut here: BTreeSet<u8> = all.iter().copied().collect();
         for (step, (cut, leave)) in steps.into_iter().enumerate() {
             let side = |n: u8| cut >> n & 1;
@@ -99,7 +103,7 @@
                 // Only its own side hears a word.
                 gone.iter().filter(|g| side(**g) == side(*n)).for_each(|g| own.left(&format!("n{g}")));
                 let there: Vec<u8> = here.iter().copied().filter(|m| side(*m) == side(*n)).collect();
-                if look(own, 10 + 5 * step as u64, &names(&there), Side::Unknown).majority {
+                if look(own, 10 + 5 * step as u64, &names(&there), PartitionSide::Unknown).majority {
                     claims.insert(side(*n));
                 }
             }
--- a/src/fleet/memory.rs
+++ b/src/fleet/snapshot.rs
@@ -3,7 +3,7 @@
 //!
 //! One small file in the lasting folder, put in place in one step. It goes behind the journal: it keeps within the share
 //! that the journal never uses, and where it cannot be written, the view is forgotten and nothing else happens.
-use super::members::Member;
+use super::member::Member;
 use crate::journal::Disk;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -27,7 +27,7 @@
 
 /// A member that was there.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct KnownMember {
     /// Its name.
     pub name: String,
     /// Where it was told to be.
@@ -40,7 +40,7 @@
 struct Page {
     life: u64,
     /// The one that was there last stands first.
-    seen: Vec<Seen>,
+    seen: Vec<KnownMember>,
     /// Names of the fleet as this member last agreed on it; none after it has said goodbye.
     agreed: BTreeSet<String>,
 }
@@ -48,11 +48,11 @@
 #[derive(Deserialize)]
 struct PageBefore {
     life: u64,
-    seen: Vec<Seen>,
+    seen: Vec<KnownMember>,
 }
 
 /// The file, and what it holds.
-pub struct Memory {
+pub struct SnapshotStore {
     disk: Box<dyn Disk>,
     /// Bytes that it may take.
     most: u64,
@@ -61,9 +61,9 @@
     failing: bool,
 }
 
-impl Memory {
+impl SnapshotStore {
     /// Reads the file of a folder that may hold `most` bytes. One that is torn, altered or of another form is as none.
-    pub fn open(disk: Box<dyn Disk>, most: u64) -> Memory {
+    pub fn open(disk: Box<dyn Disk>, most: u64) -> SnapshotStore {
         // What a kill cut short; the old file still stands.
         let _ = disk.remove(FRESH);
         let held = disk.read(NAME).unwrap_or_else(|e| {
@@ -77,24 +77,24 @@
             })
         });
         let most = ((most as f64 * SHARE) as u64 / BLOCK * BLOCK).min(MOST);
-        Memory { disk, most, page: page.unwrap_or_default(), failing: false }
+        SnapshotStore { disk, most, page: page.unwrap_or_default(), failing: false }
     }
 
     /// Begins a new life: one more than the last, and on disk before anybody hears of it. Without a last one it is
     /// `first`, which is to be above what an earlier life may have had whose folder was lost.
-    pub fn begin(&mut self, first: u64) -> u64 {
+    pub fn begin_incarnation(&mut self, first: u64) -> u64 {
         self.page.life = if self.page.life == 0 { first.max(1) } else { self.page.life + 1 };
         self.write();
         self.page.life
     }
 
     /// Those that were there, the last one first.
-    pub fn seen(&self) -> &[Seen] {
+    pub fn known_members(&self) -> &[KnownMember] {
         &self.page.seen
     }
 
     /// Its life has risen while it runs: others knew a later one. Later starts go on from there.
-    pub fn live(&mut self, life: u64) {
+    pub fn raise_incarnation(&mut self, life: u64) {
         if life > self.page.life {
             self.page.life = life;
             self.write();
@@ -102,19 +102,19 @@
     }
 
     /// The fleet as it was last agreed.
-    pub fn agreed(&self) -> &BTreeSet<String> {
+    pub fn agreed_fleet(&self) -> &BTreeSet<String> {
         &self.page.agreed
     }
 
     /// Takes down who is there now, and the fleet last agreed. Whoever was there before stays known for a while: it may
     /// come back.
-    pub fn note(&mut self, there: &[Member], agreed: &BTreeSet<String>, now: u64) {
-        let fresh = there.iter().map(|m| Seen { name: m.name.clone(), address: m.address, at: now });
-        let mut seen: Vec<Seen> = fresh.collect();
-        let gone = |s: &Seen| !there.iter().any(|m| m.address == s.address);
+    pub fn record(&mut self, there: &[Member], agreed: &BTreeSet<String>, now: u64) {
+        let fresh = there.iter().map(|m| KnownMember { name: m.name.clone(), address: m.address, at: now });
+        let mut seen: Vec<KnownMember> = fresh.collect();
+        let gone = |s: &KnownMember| !there.iter().any(|m| m.address == s.address);
         // One that is ahead of the clock was written before the clock was set back: it counts as of now.
         let kept = self.page.seen.iter().filter(|s| gone(s) && now.saturating_sub(s.at) < AGE_MOST);
-        seen.extend(kept.map(|s| Seen { at: s.at.min(now), ..s.clone() }));
+        seen.extend(kept.map(|s| KnownMember { at: s.at.min(now), ..s.clone() }));
         (self.page.seen, self.page.agreed) = (seen, agreed.clone());
         self.write();
     }
--- a/src/fleet/doubts.rs
+++ b/src/fleet/suspicion.rs
@@ -4,8 +4,8 @@
 //! A suspicion ends a member after `LONG`, and sooner the more others say of their own that it has not answered them:
 //! with `ENOUGH` of them after `SHORT`. Who suspects also tells the member itself, which can say otherwise at once. A
 //! member whose own probes fail often slows its probing down: more likely it is slow itself.
-use super::members::Member;
-use super::seeded::broken;
+use super::fault_injection::broken;
+use super::member::Member;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -60,13 +60,13 @@
 
 /// Who is suspected by this one, and how far it trusts itself. Times are this one's own.
 #[derive(Default)]
-pub struct Doubts {
+pub struct SuspicionTracker {
     suspects: BTreeMap<SocketAddr, Suspect>,
     slow: u32,
     failed: bool,
 }
 
-impl Doubts {
+impl SuspicionTracker {
     fn entry(&mut self, now: Duration, of: &Member, number: u16) -> &mut Suspect {
         let fresh = || Suspect { of: of.clone(), number, since: now, by: BTreeSet::new(), timer: None };
         let suspect = self.suspects.entry(of.address).or_insert_with(fresh);
--- a/src/fleet/doubts/tests.rs
+++ b/src/fleet/suspicion/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of `doubts`.
 use super::*;
-use crate::fleet::members::tests::{address, member};
+use crate::fleet::member::tests::{address, member};
 
 fn timer(n: u16) -> foca::Timer<Member> {
     foca::Timer::RemoveDown(member(n, 1))
@@ -15,7 +15,7 @@
 
 #[test]
 fn each_of_the_others_counts_once_and_for_one_suspicion() {
-    let mut doubts = Doubts::default();
+    let mut doubts = SuspicionTracker::default();
     doubts.suspect(Duration::ZERO, &member(1, 1), 0, timer(1));
     for _ in 0..9 {
         doubts.shared(Duration::ZERO, &member(1, 1), 0, address(9));
@@ -38,14 +38,14 @@
 /// Of those that have not probed it, one that is told by three takes the member for dead as soon as one that has.
 #[test]
 fn who_has_not_probed_it_goes_by_what_others_say() {
-    let mut doubts = Doubts::default();
+    let mut doubts = SuspicionTracker::default();
     (5..8).for_each(|n| doubts.shared(Duration::ZERO, &member(1, 1), 0, address(n)));
     assert_eq!(doubts.due(SHORT, 9), [(member(1, 1), 0, None)]);
 }
 
 #[test]
 fn who_is_not_answered_trusts_itself_less_until_it_is() {
-    let mut doubts = Doubts::default();
+    let mut doubts = SuspicionTracker::default();
     for _ in 0..9 {
         doubts.failed(&member(1, 1));
         doubts.round();
--- a/src/fleet/view.rs
+++ b/src/fleet/view.rs
@@ -1,12 +1,12 @@
 //! The view as it is shown: a table for people, JSON for programs.
-use super::sides::Side;
+use super::partition::PartitionSide;
 use serde::{Deserialize, Serialize};
 use std::fmt::Write;
 
 /// What is known of a member's being there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum State {
+pub enum MemberState {
     /// Known by hearsay; it has not spoken itself yet.
     Joining,
     /// It speaks.
@@ -25,49 +25,58 @@
 
 /// One member. Spans are in seconds, and as of the moment of the view.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct MemberView {
     pub name: String,
     pub address: String,
     /// The number of its life.
-    pub life: u64,
-    pub state: State,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
+    pub state: MemberState,
     /// Since when it is there, or is there no more.
-    pub for_secs: f64,
+    #[serde(rename = "for_secs")]
+    pub state_age_secs: f64,
     /// Since it last spoke to the one asked; none for that one itself, and where it never did.
-    pub heard_secs_ago: Option<f64>,
+    #[serde(rename = "heard_secs_ago")]
+    pub last_heard_secs_ago: Option<f64>,
     /// It has shown a certificate to the one asked: it counts.
-    pub counts: bool,
+    #[serde(rename = "counts")]
+    pub counted: bool,
     /// What it wrote of itself, and how old that is at least.
-    pub facts_secs_old: Option<f64>,
+    #[serde(rename = "facts_secs_old")]
+    pub attributes_age_secs: Option<f64>,
     pub zone: String,
     pub version: String,
     /// Digest of its settings, and which of its life they are.
-    pub config: String,
-    pub epoch: u64,
-    pub list: u64,
+    #[serde(rename = "config")]
+    pub settings_digest: String,
+    #[serde(rename = "epoch")]
+    pub settings_epoch: u64,
+    #[serde(rename = "list")]
+    pub list_version: u64,
     /// Seconds since 1970 by its own clock.
     pub started: u64,
-    pub side: Side,
+    pub side: PartitionSide,
 }
 
 /// The view of one member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct View {
+pub struct FleetView {
     /// Who was asked.
-    pub of: String,
+    #[serde(rename = "of")]
+    pub observer: String,
     /// One number for who is there, in which life, with which facts.
     pub digest: String,
     /// All views that the one asked has heard lately are the same as its own.
     pub agreed: bool,
     /// The side that it is on.
-    pub side: Side,
-    /// Members there that count, it included.
+    pub side: PartitionSide,
+    /// Membership there that count, it included.
     pub counted: usize,
-    /// Members that went without a word.
+    /// Membership that went without a word.
     pub out_of_reach: usize,
     /// How many the fleet had when it was last agreed; 0 if it never was.
     pub last_agreed: usize,
-    pub members: Vec<Line>,
+    pub members: Vec<MemberView>,
 }
 
 /// A span for people.
@@ -86,7 +95,7 @@
     serde_json::to_value(of).ok().and_then(|v| v.as_str().map(String::from)).unwrap_or_default()
 }
 
-impl View {
+impl FleetView {
     /// The table: a line of heads, one a member, and one on the whole.
     pub fn table(&self) -> String {
         let heads = [
@@ -96,21 +105,21 @@
         let mut rows = vec![heads.map(String::from)];
         for m in &self.members {
             let dash = |text: &str| if text.is_empty() { "-".into() } else { text.to_string() };
-            let known = m.facts_secs_old.is_some();
+            let known = m.attributes_age_secs.is_some();
             let fact = |text: String| if known { text } else { "-".into() };
             rows.push([
                 dash(&m.name),
                 m.address.clone(),
                 word(&m.state),
-                span(m.for_secs),
-                m.heard_secs_ago.map_or("-".into(), span),
-                if m.counts { "yes" } else { "no" }.into(),
+                span(m.state_age_secs),
+                m.last_heard_secs_ago.map_or("-".into(), span),
+                if m.counted { "yes" } else { "no" }.into(),
                 dash(&m.zone),
                 dash(&m.version),
-                fact(format!("{}/{}", m.config, m.epoch)),
-                fact(m.list.to_string()),
-                m.life.to_string(),
-                m.facts_secs_old.map_or("-".into(), span),
+                fact(format!("{}/{}", m.settings_digest, m.settings_epoch)),
+                fact(m.list_version.to_string()),
+                m.incarnation.to_string(),
+                m.attributes_age_secs.map_or("-".into(), span),
             ]);
         }
         let wide = |n: usize| rows.iter().map(|r| r[n].chars().count()).max().unwrap_or(0);
@@ -125,7 +134,7 @@
         let _ = writeln!(
             out,
             "seen by {}: {agreed}, digest {}, {} counted, {} out of reach, last agreed on {}, side: {}",
-            self.of,
+            self.observer,
             self.digest,
             self.counted,
             self.out_of_reach,
--- a/src/fleet/wire.rs
+++ b/src/fleet/wire.rs
@@ -3,9 +3,9 @@
 //! The head is a form (1 byte), a tag of the group (4, so that two fleets which meet by mistake stay two), the digest of
 //! the sender's view (8, so that views are compared with each datagram), the side of a cut that it takes itself to be on
 //! (1) and a kind (1); all numbers big-endian. Behind it comes what foca wrote, or a record as `postcard`. What cannot be read is none of ours.
-use super::members::{Member, NAME_MOST};
-use super::seeded::broken;
-use super::sides::Side;
+use super::fault_injection::broken;
+use super::member::{Member, MAX_NAME_BYTES};
+use super::partition::PartitionSide;
 use serde::{Deserialize, Serialize};
 
 /// Datagrams stay under what most networks carry in one piece.
@@ -17,23 +17,23 @@
 /// A view is compared in so many parts.
 pub const PARTS: usize = 64;
 /// Bytes that a record may add to a datagram: name, facts and numbers.
-pub const RECORD_MOST: usize = 512;
+pub const MAX_RECORD_BYTES: usize = 512;
 /// Longer texts of facts are cut by the one who writes them, in bytes.
-pub const TEXT_MOST: usize = 64;
+pub const MAX_TEXT_BYTES: usize = 64;
 
 /// What a member says of itself. Nobody else speaks for it; a newer one carries a higher count.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Facts {
+pub struct Attributes {
     /// Its zone, empty where it has none.
     pub zone: String,
     /// Its program's version.
     pub version: String,
     /// Digest of its settings, and how often this life has taken up new ones.
-    pub config: u64,
+    pub settings_digest: u64,
     /// Counts the settings that this life has used, from 1 on.
-    pub epoch: u64,
+    pub settings_epoch: u64,
     /// Version of discovery's list that it uses.
-    pub list: u64,
+    pub list_version: u64,
     /// When it started, in seconds since 1970 by its own clock.
     pub started: u64,
     /// It was told to end, and finishes what it holds.
@@ -52,7 +52,7 @@
     /// This life of it is over.
     pub gone: bool,
     /// What it wrote, where that is known.
-    pub facts: Option<Facts>,
+    pub facts: Option<Attributes>,
 }
 
 /// What may come.
@@ -80,10 +80,10 @@
     /// Its digest.
     pub digest: u64,
     /// Its side.
-    pub side: Side,
+    pub side: PartitionSide,
 }
 
-const SIDES: [Side; 3] = [Side::Unknown, Side::Minority, Side::Majority];
+const SIDES: [PartitionSide; 3] = [PartitionSide::Unknown, PartitionSide::Minority, PartitionSide::Majority];
 
 /// The tag of a group.
 pub fn tag(group: &str) -> u32 {
@@ -142,8 +142,8 @@
 
 /// Guards the table against texts without end.
 fn fits(record: &Record) -> bool {
-    let short = |f: &Facts| f.zone.len() <= TEXT_MOST && f.version.len() <= TEXT_MOST;
-    record.of.name.len() <= NAME_MOST && record.facts.as_ref().is_none_or(short)
+    let short = |f: &Attributes| f.zone.len() <= MAX_TEXT_BYTES && f.version.len() <= MAX_TEXT_BYTES;
+    record.of.name.len() <= MAX_NAME_BYTES && record.facts.as_ref().is_none_or(short)
 }
 
 #[cfg(test)]
--- a/src/fleet/wire/tests.rs
+++ b/src/fleet/wire/tests.rs
@@ -1,12 +1,13 @@
 //! Tests of `wire`.
 use super::*;
-use crate::fleet::members::tests::member;
+use crate::fleet::member::tests::member;
 use proptest::prelude::*;
 
-const HEADED: Head = Head { digest: 77, side: Side::Majority };
+const HEADED: Head = Head { digest: 77, side: PartitionSide::Majority };
 
 fn says() -> Vec<Say> {
-    let facts = Facts { zone: "z1".into(), version: "0.2.0".into(), epoch: 1, ..Facts::default() };
+    let facts =
+        Attributes { zone: "z1".into(), version: "0.2.0".into(), settings_epoch: 1, ..Attributes::default() };
     let record = Record { of: member(2, 7), count: 3, age: 250, gone: false, facts: Some(facts) };
     vec![
         Say::Members(vec![1, 2, 3]),
@@ -36,20 +37,20 @@
     let text = |n| "x".repeat(n);
     let of = Member {
         address: "[ffff::1]:65535".parse().expect("one"),
-        name: text(NAME_MOST),
+        name: text(MAX_NAME_BYTES),
         incarnation: u64::MAX,
     };
-    let facts = Facts {
-        zone: text(TEXT_MOST),
-        version: text(TEXT_MOST),
-        config: u64::MAX,
-        epoch: u64::MAX,
-        list: u64::MAX,
+    let facts = Attributes {
+        zone: text(MAX_TEXT_BYTES),
+        version: text(MAX_TEXT_BYTES),
+        settings_digest: u64::MAX,
+        settings_epoch: u64::MAX,
+        list_version: u64::MAX,
         started: u64::MAX,
         draining: true,
     };
     let record = Record { of: of.clone(), count: u32::MAX, age: u32::MAX, gone: true, facts: Some(facts) };
-    assert!(postcard::to_stdvec(&record).expect("bytes").len() <= RECORD_MOST);
+    assert!(postcard::to_stdvec(&record).expect("bytes").len() <= MAX_RECORD_BYTES);
     let two = Say::Records { from: of, records: vec![record.clone(), record] };
     assert!(encode(1, HEADED, &two).len() <= DATAGRAM);
 }
--- a/src/neighbours/link.rs
+++ b/src/neighbours/link.rs
@@ -5,9 +5,9 @@
 use super::own::Own;
 use super::tell::Telling;
 use crate::clock;
-use crate::fleet::gossip::Fleet;
-use crate::fleet::members::Member;
-use crate::fleet::view::View;
+use crate::fleet::gossip::FleetHandle;
+use crate::fleet::member::Member;
+use crate::fleet::view::FleetView;
 use crate::interface::Nanos;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -51,12 +51,12 @@
     /// Its group.
     pub group: String,
     /// Its part in the fleet; none for one that only looks.
-    pub fleet: Option<Fleet>,
+    pub fleet: Option<FleetHandle>,
 }
 
 impl Me {
     fn hello(&self) -> Vec<u8> {
-        let me = self.fleet.as_ref().and_then(|f| f.known.borrow().me.clone());
+        let me = self.fleet.as_ref().and_then(|f| f.known_members.borrow().local.clone());
         let member = me.map(|m| (m.address, m.incarnation));
         frame::encode(&Message::Hello { name: self.name.clone(), group: self.group.clone(), member })
     }
@@ -64,7 +64,7 @@
     /// The other side stands behind its certificate: it counts in the fleet.
     async fn met(&self, peer: &Peer) {
         if let (Some(fleet), Some((address, incarnation))) = (&self.fleet, peer.member) {
-            fleet.shown(Member { address, name: peer.name.clone(), incarnation }).await;
+            fleet.mark_authenticated(Member { address, name: peer.name.clone(), incarnation }).await;
         }
     }
 }
@@ -170,7 +170,7 @@
                         Message::Ping(n) => (ping, heard) = ((n, clock::now()), Instant::now()),
                         Message::Look => {
                             let view = match &me.fleet {
-                                Some(fleet) => fleet.view().await,
+                                Some(fleet) => fleet.view().await.ok(),
                                 None => None,
                             };
                             let view = view.ok_or_else(|| End::Over("this forwarder has left".into()))?;
@@ -259,7 +259,7 @@
 
 /// Asks for the other side's view of the fleet, with a pause between, for as long as `take` wants more.
 pub async fn look<S: AsyncRead + AsyncWrite>(
-    stream: S, me: &Me, mut take: impl FnMut(View) -> bool, pause: Duration,
+    stream: S, me: &Me, mut take: impl FnMut(FleetView) -> bool, pause: Duration,
 ) -> Result<(), End> {
     let (read, mut write_to) = tokio::io::split(stream);
     let mut hearing = Hearing::new(read);
--- a/src/neighbours/look.rs
+++ b/src/neighbours/look.rs
@@ -4,7 +4,7 @@
 use super::link::{self, End, Me};
 use super::trust::{Files, Trust};
 use crate::flags;
-use crate::fleet::view::View;
+use crate::fleet::view::FleetView;
 use std::io::Write;
 use std::net::{IpAddr, Ipv4Addr};
 use std::process::ExitCode;
@@ -16,14 +16,23 @@
 const NOBODY: u8 = 3;
 
 /// What of a view is news to one who watches: not its ages.
-fn gist(view: &View) -> impl PartialEq {
+fn gist(view: &FleetView) -> impl PartialEq {
     let lines = view.members.iter().map(|m| {
-        (m.name.clone(), m.address.clone(), m.life, m.state, m.counts, m.config.clone(), m.list, m.epoch)
+        (
+            m.name.clone(),
+            m.address.clone(),
+            m.incarnation,
+            m.state,
+            m.counted,
+            m.settings_digest.clone(),
+            m.list_version,
+            m.settings_epoch,
+        )
     });
-    (view.of.clone(), view.digest.clone(), view.agreed, view.side, lines.collect::<Vec<_>>())
+    (view.observer.clone(), view.digest.clone(), view.agreed, view.side, lines.collect::<Vec<_>>())
 }
 
-fn text(view: &View, json: bool) -> String {
+fn text(view: &FleetView, json: bool) -> String {
     match json {
         // Writing it to memory fails for no view.
         true => serde_json::to_string(view).unwrap_or_default() + "\n",
@@ -48,7 +57,7 @@
     loop {
         let mut why = Vec::new();
         for at in &flags.ask {
-            let take = |view: View| {
+            let take = |view: FleetView| {
                 let fresh = gist(&view);
                 if last.as_ref() != Some(&fresh) {
                     // A pipe that is closed wants no more.
--- a/src/neighbours/meet.rs
+++ b/src/neighbours/meet.rs
@@ -3,8 +3,8 @@
 use super::dial::Dial;
 use super::link::{self, End};
 use super::turns::{Turns, AGAIN, SHUNNED};
-use crate::fleet::gossip::Known;
-use crate::fleet::members::Member;
+use crate::fleet::gossip::KnownMembers;
+use crate::fleet::member::Member;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -40,7 +40,7 @@
 }
 
 /// Visits for as long as the process runs.
-pub async fn all(dial: Dial, known: watch::Receiver<Arc<Known>>, seed: u64) {
+pub async fn all(dial: Dial, known: watch::Receiver<Arc<KnownMembers>>, seed: u64) {
     let began = Instant::now();
     let mut visits = Visits::new(seed);
     let (ended_in, mut ended) = mpsc::unbounded_channel();
@@ -55,7 +55,7 @@
                 continue;
             },
         }
-        let unshown = known.borrow().unshown.clone();
+        let unshown = known.borrow().unauthenticated.clone();
         for who in visits.choose(now(), &unshown) {
             let (dial, ended) = (dial.clone(), ended_in.clone());
             tokio::spawn(async move {
--- a/src/neighbours/meet/tests.rs
+++ b/src/neighbours/meet/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of `meet`.
 use super::*;
-use crate::fleet::members::tests::member;
+use crate::fleet::member::tests::member;
 
 #[test]
 fn all_are_met_some_at_a_time_and_none_twice_at_once() {
--- a/src/neighbours/mod.rs
+++ b/src/neighbours/mod.rs
@@ -17,11 +17,11 @@
 use crate::clock;
 use crate::exchange::Exchange;
 use crate::flags;
-use crate::fleet::gossip::{self, Fleet};
-use crate::fleet::members::{Member, NAME_MOST};
-use crate::fleet::memory::Memory;
-use crate::fleet::node::{Node, Setup};
-use crate::fleet::wire::{Facts, TEXT_MOST};
+use crate::fleet::gossip::{self, FleetHandle};
+use crate::fleet::member::{Member, MAX_NAME_BYTES};
+use crate::fleet::node::{Node, NodeConfig};
+use crate::fleet::snapshot::SnapshotStore;
+use crate::fleet::wire::{Attributes, MAX_TEXT_BYTES};
 use crate::interface::Nanos;
 use crate::journal;
 use crate::settings::Config;
@@ -60,7 +60,7 @@
 /// goes on without.
 pub fn start(
     flags: &flags::Neighbours, config: &Config, exchange: &Exchange, changes: Changes,
-) -> Option<Fleet> {
+) -> Option<FleetHandle> {
     let listen = flags.listen?;
     let off = |why: &dyn std::fmt::Display| log::error!("neighbours are off: {why}");
     let Some(files) = trust::Files::of(&flags.papers) else {
@@ -70,40 +70,40 @@
     let trust = Arc::new(Trust::new(files).inspect_err(|e| off(e)).ok()?);
     let disk = journal::on(&config.state).inspect_err(|e| off(e)).ok()?;
     let (name, seed) = (config.name.clone(), config.seed);
-    if name.len() > NAME_MOST {
-        off(&format_args!("a name of {} bytes, of {NAME_MOST} at the most", name.len()));
+    if name.len() > MAX_NAME_BYTES {
+        off(&format_args!("a name of {} bytes, of {MAX_NAME_BYTES} at the most", name.len()));
         return None;
     }
     // What stands on disk is raised; the clock is asked only where there is nothing, and above all that was there.
-    let mut memory = Memory::open(disk, config.disk);
+    let mut memory = SnapshotStore::open(disk, config.disk);
     let started = clock::now();
-    let incarnation = memory.begin(started.0 / 1_000_000);
-    let (fleet, wishes) = Fleet::new();
+    let incarnation = memory.begin_incarnation(started.0 / 1_000_000);
+    let (fleet, wishes) = FleetHandle::new();
     let me = Me { name: name.clone(), group: flags.papers.group.clone(), fleet: Some(fleet.clone()) };
     let address = flags.advertise.unwrap_or(listen);
-    let mut facts = Facts {
+    let mut facts = Attributes {
         zone: config.site.zones.get(config.site.module.zone).cloned().unwrap_or_default(),
         version: env!("CARGO_PKG_VERSION").into(),
-        config: config.digest() ^ discovery_at(&config.discovery),
-        epoch: 1,
-        list: *changes.list.borrow(),
+        settings_digest: config.digest() ^ discovery_at(&config.discovery),
+        settings_epoch: 1,
+        list_version: *changes.list.borrow(),
         started: started.0 / 1_000_000_000,
-        ..Facts::default()
+        ..Attributes::default()
     };
-    let cut = (0..=TEXT_MOST.min(facts.zone.len())).rfind(|n| facts.zone.is_char_boundary(*n));
+    let cut = (0..=MAX_TEXT_BYTES.min(facts.zone.len())).rfind(|n| facts.zone.is_char_boundary(*n));
     facts.zone.truncate(cut.unwrap_or(0));
-    let setup = Setup {
-        me: Member { address, name, incarnation },
+    let setup = NodeConfig {
+        local: Member { address, name, incarnation },
         group: flags.papers.group.clone(),
-        size: flags.size,
-        seed,
-        seeds: flags.seeds.clone(),
-        remembered: memory.seen().iter().map(|s| s.address).collect(),
-        agreed: memory.agreed().clone(),
-        facts: facts.clone(),
+        expected_members: flags.size,
+        random_seed: seed,
+        seed_addresses: flags.seeds.clone(),
+        remembered_addresses: memory.known_members().iter().map(|s| s.address).collect(),
+        agreed_fleet: memory.agreed_fleet().clone(),
+        attributes: facts.clone(),
     };
     let (seeds, exchange, known, way) =
-        (flags.seeds.clone(), exchange.clone(), fleet.known.clone(), fleet.clone());
+        (flags.seeds.clone(), exchange.clone(), fleet.known_members.clone(), fleet.clone());
     tokio::spawn(async move {
         let sockets = async { Ok((UdpSocket::bind(listen).await?, TcpListener::bind(listen).await?)) };
         let (datagrams, listener): (UdpSocket, TcpListener) = match sockets.await {
@@ -134,17 +134,17 @@
 }
 
 /// Tells the fleet what changes here.
-async fn write_all(fleet: Fleet, mut facts: Facts, mut changes: Changes) {
-    let settings = facts.config ^ discovery_at(&changes.discovery.borrow_and_update());
+async fn write_all(fleet: FleetHandle, mut facts: Attributes, mut changes: Changes) {
+    let settings = facts.settings_digest ^ discovery_at(&changes.discovery.borrow_and_update());
     loop {
-        facts.list = *changes.list.borrow_and_update();
-        fleet.write(facts.clone()).await;
+        facts.list_version = *changes.list.borrow_and_update();
+        fleet.publish_attributes(facts.clone()).await;
         tokio::select! {
             Ok(()) = changes.list.changed() => {}
             Ok(()) = changes.discovery.changed() => {
                 // All else of the settings stands until a restart.
-                facts.config = settings ^ discovery_at(&changes.discovery.borrow_and_update());
-                facts.epoch += 1;
+                facts.settings_digest = settings ^ discovery_at(&changes.discovery.borrow_and_update());
+                facts.settings_epoch += 1;
             }
             else => return,
         }
@@ -250,8 +250,8 @@
                 teachers.ended(now(), who, pause);
             },
         }
-        let there = dial.me.fleet.as_ref().map(|f| f.known.borrow().clone()).unwrap_or_default();
-        let chosen = teachers.choose(now(), &there.there);
+        let there = dial.me.fleet.as_ref().map(|f| f.known_members.borrow().clone()).unwrap_or_default();
+        let chosen = teachers.choose(now(), &there.available);
         for who in chosen {
             next += 1;
             let (dial, learned, ended) = (dial.clone(), learned.clone(), ended_in.clone());
--- a/src/neighbours/teachers.rs
+++ b/src/neighbours/teachers.rs
@@ -1,6 +1,6 @@
 //! From whom to learn.
 use super::turns::Turns;
-use crate::fleet::members::Member;
+use crate::fleet::member::Member;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
--- a/src/neighbours/teachers/tests.rs
+++ b/src/neighbours/teachers/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of `teachers`.
 use super::*;
-use crate::fleet::members::tests::{address, member};
+use crate::fleet::member::tests::{address, member};
 use crate::neighbours::turns::SHUNNED;
 
 #[test]
--- a/src/neighbours/turns.rs
+++ b/src/neighbours/turns.rs
@@ -1,5 +1,5 @@
 //! With whom to connect: some at a time, by luck, and one that has just ended not again at once. Without I/O.
-use crate::fleet::members::MEMBERS_MOST;
+use crate::fleet::member::MAX_MEMBERS;
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::SeedableRng;
@@ -40,7 +40,7 @@
     /// A connection has ended; the next to the same one is made after `pause` seconds.
     pub fn ended(&mut self, now: f64, who: SocketAddr, pause: f64) {
         self.with.remove(&who);
-        if self.not_before.len() < MEMBERS_MOST {
+        if self.not_before.len() < MAX_MEMBERS {
             self.not_before.insert(who, now + pause);
         }
     }
