--- a/src/fleet/view.rs
+++ b/src/fleet/view.rs
@@ -1,86 +1,106 @@
-//! The view as it is shown: a table for people, JSON for programs.
+//! The view as it is shown: a table for people, JSON for programs. The names in JSON are those of `docs/operate/fleet.md`
+//! and stay, whatever the fields are called here.
 use super::partition::PartitionSide;
 use serde::{Deserialize, Serialize};
 use std::fmt::Write;
 
-/// What is known of a member's being there.
+/// Whether a member is present, as far as the observer knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MemberState {
-    /// Known by hearsay; it has not spoken itself yet.
+    /// Known from gossip; it has not sent a datagram to the observer yet.
     Joining,
-    /// It speaks.
+    /// It sends datagrams.
     Alive,
-    /// It does not answer, and has not been given up.
+    /// It does not answer probes, and has not been declared dead.
     Suspect,
-    /// It was told to end and finishes what it holds.
+    /// It is shutting down, and completes what is in flight.
     Draining,
-    /// It said that it goes, and went.
+    /// It announced that it leaves, and departed.
     Left,
-    /// Silent: ended or cut off, which cannot be told from here.
+    /// Silent: it has ended or is cut off, which the observer cannot tell apart.
     Dead,
-    /// Its name is borne by a later life elsewhere.
-    ShutOut,
+    /// Another member with its name has a later incarnation.
+    #[serde(rename = "shut-out")]
+    Superseded,
 }
 
-/// One member. Spans are in seconds, and as of the moment of the view.
+/// One member. Times are in seconds, as of the moment of the view.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberView {
+    /// Its name.
     pub name: String,
+    /// Where it receives datagrams and accepts connections.
     pub address: String,
-    /// The number of its life.
+    /// Its incarnation.
     #[serde(rename = "life")]
     pub incarnation: u64,
+    /// Whether it is present.
     pub state: MemberState,
-    /// Since when it is there, or is there no more.
+    /// How long ago it became present or departed.
     #[serde(rename = "for_secs")]
     pub state_age_secs: f64,
-    /// Since it last spoke to the one asked; none for that one itself, and where it never did.
+    /// How long ago the observer last received a datagram of its own; none for the observer itself, and where it never
+    /// did.
     #[serde(rename = "heard_secs_ago")]
     pub last_heard_secs_ago: Option<f64>,
-    /// It has shown a certificate to the one asked: it counts.
+    /// It has presented a valid certificate to the observer and counts for a majority.
     #[serde(rename = "counts")]
     pub counted: bool,
-    /// What it wrote of itself, and how old that is at least.
+    /// How long ago it published its attributes, at least; none where they are not known.
     #[serde(rename = "facts_secs_old")]
     pub attributes_age_secs: Option<f64>,
+    /// Its zone, empty where it has none.
     pub zone: String,
+    /// Its program's version.
     pub version: String,
-    /// Digest of its settings, and which of its life they are.
+    /// Digest of its settings, in hexadecimal.
     #[serde(rename = "config")]
     pub settings_digest: String,
+    /// Counts the settings that this incarnation has used, from 1 on.
     #[serde(rename = "epoch")]
     pub settings_epoch: u64,
+    /// Version of the endpoint list that it uses.
     #[serde(rename = "list")]
     pub list_version: u64,
-    /// Seconds since 1970 by its own clock.
+    /// When it started, in seconds since 1970 by its own clock.
     pub started: u64,
+    /// The side of a partition that it reports.
     pub side: PartitionSide,
 }
 
-/// The view of one member.
+/// The view of one member, the observer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FleetView {
-    /// Who was asked.
+    /// Name of the observer.
     #[serde(rename = "of")]
     pub observer: String,
-    /// One number for who is there, in which life, with which facts.
+    /// One number, in hexadecimal, for who is present, in which incarnation, with which attributes.
     pub digest: String,
-    /// All views that the one asked has heard lately are the same as its own.
+    /// All views that were reported to the observer lately are the same as its own.
     pub agreed: bool,
-    /// The side that it is on.
+    /// The side of a partition that the observer is on.
     pub side: PartitionSide,
-    /// Membership there that count, it included.
+    /// Members that are present and count, the observer included.
     pub counted: usize,
-    /// Membership that went without a word.
+    /// Members that fell silent without announcing that they leave.
     pub out_of_reach: usize,
-    /// How many the fleet had when it was last agreed; 0 if it never was.
+    /// Size of the fleet when it was last agreed; 0 if it never was.
     pub last_agreed: usize,
+    /// All members, by name.
     pub members: Vec<MemberView>,
 }
 
-/// A span for people.
-fn span(secs: f64) -> String {
+const COLUMNS: usize = 12;
+const HEADINGS: [&str; COLUMNS] = [
+    "name", "address", "state", "for", "heard", "counts", "zone", "version", "config", "list", "life",
+    "facts",
+];
+/// Stands for what is not known.
+const UNKNOWN: &str = "-";
+
+/// A time span for people, in the largest unit that still says something.
+fn format_span(secs: f64) -> String {
     match secs {
         s if s < 10.0 => format!("{s:.1}s"),
         s if s < 120.0 => format!("{s:.0}s"),
@@ -90,58 +110,86 @@
     }
 }
 
-/// The word that stands for a value in JSON, for tables and log lines.
-pub(super) fn word<T: Serialize>(of: &T) -> String {
-    serde_json::to_value(of).ok().and_then(|v| v.as_str().map(String::from)).unwrap_or_default()
+fn format_optional_span(secs: Option<f64>) -> String {
+    match secs {
+        Some(secs) => format_span(secs),
+        None => UNKNOWN.into(),
+    }
+}
+
+fn or_unknown(text: &str) -> String {
+    match text {
+        "" => UNKNOWN.into(),
+        text => text.into(),
+    }
+}
+
+/// The name of an enum's variant in JSON, for tables and log lines.
+pub(super) fn serialized_name<T: Serialize>(variant: &T) -> String {
+    match serde_json::to_value(variant) {
+        Ok(serde_json::Value::String(name)) => name,
+        _ => String::new(),
+    }
+}
+
+impl MemberView {
+    fn cells(&self) -> [String; COLUMNS] {
+        let (settings, list) = match self.attributes_age_secs {
+            Some(_) => {
+                (format!("{}/{}", self.settings_digest, self.settings_epoch), self.list_version.to_string())
+            }
+            None => (UNKNOWN.into(), UNKNOWN.into()),
+        };
+        [
+            or_unknown(&self.name),
+            self.address.clone(),
+            serialized_name(&self.state),
+            format_span(self.state_age_secs),
+            format_optional_span(self.last_heard_secs_ago),
+            if self.counted { "yes" } else { "no" }.into(),
+            or_unknown(&self.zone),
+            or_unknown(&self.version),
+            settings,
+            list,
+            self.incarnation.to_string(),
+            format_optional_span(self.attributes_age_secs),
+        ]
+    }
 }
 
 impl FleetView {
-    /// The table: a line of heads, one a member, and one on the whole.
+    /// The table: a line of headings, one a member, and a summary.
     pub fn table(&self) -> String {
-        let heads = [
-            "name", "address", "state", "for", "heard", "counts", "zone", "version", "config", "list",
-            "life", "facts",
-        ];
-        let mut rows = vec![heads.map(String::from)];
-        for m in &self.members {
-            let dash = |text: &str| if text.is_empty() { "-".into() } else { text.to_string() };
-            let known = m.attributes_age_secs.is_some();
-            let fact = |text: String| if known { text } else { "-".into() };
-            rows.push([
-                dash(&m.name),
-                m.address.clone(),
-                word(&m.state),
-                span(m.state_age_secs),
-                m.last_heard_secs_ago.map_or("-".into(), span),
-                if m.counted { "yes" } else { "no" }.into(),
-                dash(&m.zone),
-                dash(&m.version),
-                fact(format!("{}/{}", m.settings_digest, m.settings_epoch)),
-                fact(m.list_version.to_string()),
-                m.incarnation.to_string(),
-                m.attributes_age_secs.map_or("-".into(), span),
-            ]);
+        let mut rows = vec![HEADINGS.map(String::from)];
+        rows.extend(self.members.iter().map(MemberView::cells));
+        let mut widths = [0; COLUMNS];
+        for row in &rows {
+            for (width, cell) in widths.iter_mut().zip(row) {
+                *width = cell.chars().count().max(*width);
+            }
         }
-        let wide = |n: usize| rows.iter().map(|r| r[n].chars().count()).max().unwrap_or(0);
-        let wide: Vec<usize> = (0..heads.len()).map(wide).collect();
-        let mut out = String::new();
+        let mut text = String::new();
         for row in &rows {
-            let cells: Vec<String> = row.iter().zip(&wide).map(|(c, w)| format!("{c:<w$}")).collect();
-            // Writing to memory does not fail.
-            let _ = writeln!(out, "{}", cells.join("  ").trim_end());
+            let cells: Vec<String> =
+                row.iter().zip(widths).map(|(cell, width)| format!("{cell:<width$}")).collect();
+            // Writing to memory cannot fail.
+            let _ = writeln!(text, "{}", cells.join("  ").trim_end());
         }
-        let agreed = if self.agreed { "agreed" } else { "not agreed" };
-        let _ = writeln!(
-            out,
-            "seen by {}: {agreed}, digest {}, {} counted, {} out of reach, last agreed on {}, side: {}",
+        let _ = writeln!(text, "{}", self.summary());
+        text
+    }
+
+    fn summary(&self) -> String {
+        format!(
+            "seen by {}: {}, digest {}, {} counted, {} out of reach, last agreed on {}, side: {}",
             self.observer,
+            if self.agreed { "agreed" } else { "not agreed" },
             self.digest,
             self.counted,
             self.out_of_reach,
             self.last_agreed,
-            word(&self.side)
-        );
-        out
+            serialized_name(&self.side)
+        )
     }
 }
 
--- a/src/fleet/view/tests.rs
+++ b/src/fleet/view/tests.rs
@@ -2,12 +2,12 @@
 use super::*;
 
 #[test]
-fn the_table_has_a_line_a_member_and_the_json_reads_back() {
+fn the_table_has_a_line_per_member_and_the_json_reads_back() {
     let line = MemberView {
         name: "n1".into(),
         address: "127.0.0.1:1".into(),
         incarnation: 7,
-        state: MemberState::ShutOut,
+        state: MemberState::Superseded,
         state_age_secs: 300.0,
         last_heard_secs_ago: Some(0.25),
         counted: true,
--- a/src/fleet/wire/tests.rs
+++ b/src/fleet/wire/tests.rs
@@ -3,44 +3,53 @@
 use crate::fleet::member::tests::member;
 use proptest::prelude::*;
 
-const HEADED: Head = Head { digest: 77, side: PartitionSide::Majority };
+const HEADER: Header = Header { digest: 77, side: PartitionSide::Majority };
 
-fn says() -> Vec<Say> {
-    let facts =
+/// One message of each kind.
+fn messages() -> Vec<Message> {
+    let attributes =
         Attributes { zone: "z1".into(), version: "0.2.0".into(), settings_epoch: 1, ..Attributes::default() };
-    let record = Record { of: member(2, 7), count: 3, age: 250, gone: false, facts: Some(facts) };
+    let record = Record {
+        member: member(2, 7),
+        revision: 3,
+        age_millis: 250,
+        departed: false,
+        attributes: Some(attributes),
+    };
     vec![
-        Say::Members(vec![1, 2, 3]),
-        Say::Parts { from: member(1, 1), sums: vec![u64::MAX; PARTS], back: true },
-        Say::Records { from: member(1, 1), records: vec![record] },
-        Say::Doubt { from: member(1, 1), of: member(2, 7), number: 3 },
+        Message::Swim(vec![1, 2, 3]),
+        Message::Digests { from: member(1, 1), digests: vec![u64::MAX; DIGEST_BUCKETS], is_reply: true },
+        Message::Records { from: member(1, 1), records: vec![record] },
+        Message::Suspicion { from: member(1, 1), suspect: member(2, 7), swim_incarnation: 3 },
     ]
 }
 
 #[test]
-fn what_is_said_is_read_by_its_own_group_alone() {
-    for say in says() {
-        let bytes = encode(tag("a"), HEADED, &say);
-        assert!(bytes.len() <= DATAGRAM);
-        assert_eq!(decode(tag("a"), &bytes), Some((HEADED, say)));
-        assert_eq!(decode(tag("b"), &bytes), None);
+fn a_datagram_is_read_by_its_own_group_alone() {
+    for message in messages() {
+        let bytes = encode(group_tag("a"), HEADER, &message);
+        assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
+        assert_eq!(decode(group_tag("a"), &bytes).expect("its own"), (HEADER, message));
+        assert!(matches!(decode(group_tag("b"), &bytes), Err(FleetError::ForeignGroup)));
     }
-    let mut long = encode(tag("a"), HEADED, &Say::Members(vec![0; DATAGRAM]));
-    assert_eq!(decode(tag("a"), &long), None, "too long");
-    long.truncate(DATAGRAM);
-    long[0] = FORM + 1;
-    assert_eq!(decode(tag("a"), &long), None, "of another version");
+    let mut long = encode(group_tag("a"), HEADER, &Message::Swim(vec![0; MAX_DATAGRAM_BYTES]));
+    let too_long = decode(group_tag("a"), &long);
+    assert!(matches!(too_long, Err(FleetError::DatagramSize { .. })), "{too_long:?}");
+    long.truncate(MAX_DATAGRAM_BYTES);
+    long[0] = FORMAT_VERSION + 1;
+    let newer = decode(group_tag("a"), &long);
+    assert!(matches!(newer, Err(FleetError::DatagramVersion { found: 3, expected: 2 })), "{newer:?}");
 }
 
 #[test]
-fn the_longest_record_is_as_long_as_is_reckoned() {
-    let text = |n| "x".repeat(n);
-    let of = Member {
-        address: "[ffff::1]:65535".parse().expect("one"),
+fn the_longest_record_is_within_its_bound() {
+    let text = |length| "x".repeat(length);
+    let longest = Member {
+        address: "[ffff::1]:65535".parse().expect("an address"),
         name: text(MAX_NAME_BYTES),
         incarnation: u64::MAX,
     };
-    let facts = Attributes {
+    let attributes = Attributes {
         zone: text(MAX_TEXT_BYTES),
         version: text(MAX_TEXT_BYTES),
         settings_digest: u64::MAX,
@@ -49,21 +58,28 @@
         started: u64::MAX,
         draining: true,
     };
-    let record = Record { of: of.clone(), count: u32::MAX, age: u32::MAX, gone: true, facts: Some(facts) };
+    let record = Record {
+        member: longest.clone(),
+        revision: u32::MAX,
+        age_millis: u32::MAX,
+        departed: true,
+        attributes: Some(attributes),
+    };
     assert!(postcard::to_stdvec(&record).expect("bytes").len() <= MAX_RECORD_BYTES);
-    let two = Say::Records { from: of, records: vec![record.clone(), record] };
-    assert!(encode(1, HEADED, &two).len() <= DATAGRAM);
+    let two = Message::Records { from: longest, records: vec![record.clone(), record] };
+    assert!(encode(1, HEADER, &two).len() <= MAX_DATAGRAM_BYTES);
 }
 
 proptest! {
     #[test]
-    fn noise_is_read_as_nothing_and_breaks_nothing(
+    fn noise_is_rejected_without_harm(
         which in 0..4usize, cut in any::<prop::sample::Index>(), noise in prop::collection::vec(any::<u8>(), 0..600),
     ) {
-        let mut bytes = encode(tag("a"), HEADED, &says()[which]);
-        bytes.truncate(HEAD + cut.index(bytes.len() - HEAD + 1));
+        let mut bytes = encode(group_tag("a"), HEADER, &messages()[which]);
+        bytes.truncate(HEADER_BYTES + cut.index(bytes.len() - HEADER_BYTES + 1));
         bytes.extend(&noise);
-        let _ = decode(tag("a"), &bytes);
-        prop_assert_eq!(decode(tag("a"), &noise).filter(|_| noise.first() != Some(&FORM)), None);
+        let _ = decode(group_tag("a"), &bytes);
+        let is_other_format = noise.first() != Some(&FORMAT_VERSION);
+        prop_assert!(!is_other_format || decode(group_tag("a"), &noise).is_err());
     }
 }
