--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -17,11 +17,11 @@
 use crate::clock;
 use crate::exchange::Exchange;
 use crate::flags;
-use crate::fleet::gossip::{self, Fleet};
-use crate::fleet::members::{Member, NAME_MOST};
-use crate::fleet::memory::Memory;
-use crate::fleet::node::{Node, Setup};
-use crate::fleet::wire::{Facts, TEXT_MOST};
+use crate::fleet::gossip::{self, FleetHandle};
+use crate::fleet::member::{Member, MAX_NAME_BYTES};
+use crate::fleet::node::{Node, NodeConfig};
+use crate::fleet::snapshot::SnapshotStore;
+use crate::fleet::wire::{Attributes, MAX_TEXT_BYTES};
 use crate::interface::Nanos;
 use crate::journal;
 use crate::settings::Config;
@@ -60,7 +60,7 @@
 /// goes on without.
 pub fn start(
     flags: &flags::PeerFlags, config: &Config, exchange: &Exchange, changes: LocalChanges,
-) -> Option<Fleet> {
+) -> Option<FleetHandle> {
     let listen = flags.listen?;
     let off = |why: &dyn std::fmt::Display| log::error!("neighbours are off: {why}");
     let Some(files) = credentials::CredentialFiles::from_flags(&flags.identity) else {
@@ -70,41 +70,41 @@
     let trust = Arc::new(Credentials::new(files).inspect_err(|e| off(e)).ok()?);
     let disk = journal::open_disk(&config.state_dir).inspect_err(|e| off(e)).ok()?;
     let (name, seed) = (config.name.clone(), config.seed);
-    if name.len() > NAME_MOST {
-        off(&format_args!("a name of {} bytes, of {NAME_MOST} at the most", name.len()));
+    if name.len() > MAX_NAME_BYTES {
+        off(&format_args!("a name of {} bytes, of {MAX_NAME_BYTES} at the most", name.len()));
         return None;
     }
     // What stands on disk is raised; the clock is asked only where there is nothing, and above all that was there.
-    let mut memory = Memory::open(disk, config.disk_limit);
+    let mut memory = SnapshotStore::open(disk, config.disk_limit);
     let started = clock::now();
-    let incarnation = memory.begin(started.0 / 1_000_000);
-    let (fleet, wishes) = Fleet::new();
+    let incarnation = memory.begin_incarnation(started.0 / 1_000_000);
+    let (fleet, wishes) = FleetHandle::new();
     let me =
         LocalIdentity { name: name.clone(), group: flags.identity.group.clone(), fleet: Some(fleet.clone()) };
     let address = flags.advertise.unwrap_or(listen);
-    let mut facts = Facts {
+    let mut facts = Attributes {
         zone: config.deployment.zones.get(config.deployment.module.zone).cloned().unwrap_or_default(),
         version: env!("CARGO_PKG_VERSION").into(),
-        config: config.digest() ^ discovery_at(&config.discovery),
-        epoch: 1,
-        list: *changes.list_version.borrow(),
+        settings_digest: config.digest() ^ discovery_at(&config.discovery),
+        settings_epoch: 1,
+        list_version: *changes.list_version.borrow(),
         started: started.0 / 1_000_000_000,
-        ..Facts::default()
+        ..Attributes::default()
     };
-    let cut = (0..=TEXT_MOST.min(facts.zone.len())).rfind(|n| facts.zone.is_char_boundary(*n));
+    let cut = (0..=MAX_TEXT_BYTES.min(facts.zone.len())).rfind(|n| facts.zone.is_char_boundary(*n));
     facts.zone.truncate(cut.unwrap_or(0));
-    let setup = Setup {
-        me: Member { address, name, incarnation },
+    let setup = NodeConfig {
+        local: Member { address, name, incarnation },
         group: flags.identity.group.clone(),
-        size: flags.size,
-        seed,
-        seeds: flags.seeds.clone(),
-        remembered: memory.seen().iter().map(|s| s.address).collect(),
-        agreed: memory.agreed().clone(),
-        facts: facts.clone(),
+        expected_members: flags.size,
+        random_seed: seed,
+        seed_addresses: flags.seeds.clone(),
+        remembered_addresses: memory.known_members().iter().map(|s| s.address).collect(),
+        agreed_fleet: memory.agreed_fleet().clone(),
+        attributes: facts.clone(),
     };
     let (seeds, exchange, known, way) =
-        (flags.seeds.clone(), exchange.clone(), fleet.known.clone(), fleet.clone());
+        (flags.seeds.clone(), exchange.clone(), fleet.known_members.clone(), fleet.clone());
     tokio::spawn(async move {
         let sockets = async { Ok((UdpSocket::bind(listen).await?, TcpListener::bind(listen).await?)) };
         let (datagrams, listener): (UdpSocket, TcpListener) = match sockets.await {
@@ -135,17 +135,17 @@
 }
 
 /// Tells the fleet what changes here.
-async fn write_all(fleet: Fleet, mut facts: Facts, mut changes: LocalChanges) {
-    let settings = facts.config ^ discovery_at(&changes.discovery_address.borrow_and_update());
+async fn write_all(fleet: FleetHandle, mut facts: Attributes, mut changes: LocalChanges) {
+    let settings = facts.settings_digest ^ discovery_at(&changes.discovery_address.borrow_and_update());
     loop {
-        facts.list = *changes.list_version.borrow_and_update();
-        fleet.write(facts.clone()).await;
+        facts.list_version = *changes.list_version.borrow_and_update();
+        fleet.publish_attributes(facts.clone()).await;
         tokio::select! {
             Ok(()) = changes.list_version.changed() => {}
             Ok(()) = changes.discovery_address.changed() => {
                 // All else of the settings stands until a restart.
-                facts.config = settings ^ discovery_at(&changes.discovery_address.borrow_and_update());
-                facts.epoch += 1;
+                facts.settings_digest = settings ^ discovery_at(&changes.discovery_address.borrow_and_update());
+                facts.settings_epoch += 1;
             }
             else => return,
         }
@@ -254,8 +254,8 @@
                 teachers.ended(now(), who, pause);
             },
         }
-        let there = dial.me.fleet.as_ref().map(|f| f.known.borrow().clone()).unwrap_or_default();
-        let chosen = teachers.choose(now(), &there.there);
+        let there = dial.me.fleet.as_ref().map(|f| f.known_members.borrow().clone()).unwrap_or_default();
+        let chosen = teachers.choose(now(), &there.available);
         for who in chosen {
             next += 1;
             let (dial, learned, ended) = (dial.clone(), learned.clone(), ended_in.clone());
