--- /dev/null
+++ b/src/bin/micaladder-benchlink/actions.rs
@@ -0,0 +1,33 @@
+//! Actions: from the module's words to the wire's.
+use micaladder::{Action, EndpointId, MessageId};
+use serde_json::{json, Value};
+
+/// An action of an instance as a line of the reply. `endpoints` holds the names of the endpoints by their
+/// ids.
+pub(crate) fn write(instance: &str, action: &Action, endpoints: &[String]) -> Value {
+    let name = |id: &EndpointId| endpoints.get(id.0 as usize);
+    match action {
+        Action::Send { id, host, timeout } => json!({"what": "issue", "relayId": instance,
+            "req": hex(id), "patienceNs": timeout.0, "host": name(host)}),
+        Action::Cancel { id, attempt } => json!({"what": "dropAttempt", "relayId": instance,
+            "req": hex(id), "sendNo": attempt}),
+        Action::Reject { id, after } => json!({"what": "decline", "relayId": instance,
+            "req": hex(id), "coolDownNs": after.map(|wait| wait.0)}),
+        Action::Fail(id) => json!({"what": "dropRequest", "relayId": instance, "req": hex(id)}),
+        Action::WakeAt(time) => json!({"what": "notifyMe", "relayId": instance,
+            "timeNs": time.0, "label": "wake"}),
+        Action::CloseIdle(host) => json!({"what": "release", "relayId": instance, "host": name(host)}),
+        Action::WatchEndpointList => json!({"what": "tail", "relayId": instance, "enable": true}),
+        Action::Log { text, host } => {
+            let text = match host.as_ref().and_then(name) {
+                Some(endpoint) => format!("{text} ({endpoint})"),
+                None => text.to_string(),
+            };
+            json!({"what": "debug", "relayId": instance, "text": text})
+        }
+    }
+}
+
+fn hex(id: &MessageId) -> String {
+    format!("{:016x}", id.0)
+}
