--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,12 +1,12 @@
-//! A relay's side of the interface for tests: feeds events, collects actions. It models no server.
+//! The forwarder's side of the interface for tests: feeds events, collects actions. It models no server.
 #![allow(dead_code)]
 use micaladder::*;
 
 pub const MS: u64 = 1_000_000;
-pub const SAFE: usize = 0;
+pub const IDEMPOTENT: usize = 0;
 pub const KEYED: usize = 1;
-pub const KEYED_ZONE: usize = 2;
-pub const ONCE: usize = 3;
+pub const KEYED_IN_ZONE: usize = 2;
+pub const AT_MOST_ONCE: usize = 3;
 pub const ORDERED: usize = 4;
 
 pub fn ms(t: u64) -> Nanos {
@@ -24,6 +24,7 @@
     }
 }
 
+/// Settings of a small deployment with one class of each effect.
 pub fn settings() -> Settings {
     let keyed = |group| Effect::IdempotentByKey { scope: group, window: ms(8000) };
     Settings {
@@ -56,13 +57,15 @@
     }
 }
 
-pub struct Relay {
+/// A decision module, its settings and its clock.
+pub struct Forwarder {
     pub module: Balancer,
     pub now: Nanos,
     pub set: Settings,
 }
 
-pub fn host(id: u32, dest: u64, kind: usize, zone: usize) -> EndpointEntry {
+/// A running endpoint's entry in the list, without a rate.
+pub fn list_entry(id: u32, dest: u64, kind: usize, zone: usize) -> EndpointEntry {
     EndpointEntry {
         host: EndpointId(id),
         zone,
@@ -73,22 +76,23 @@
     }
 }
 
-impl Relay {
+impl Forwarder {
     pub fn new(set: Settings, entries: Vec<EndpointEntry>) -> Self {
         Self::seeded(set, entries, 7)
     }
     pub fn seeded(set: Settings, entries: Vec<EndpointEntry>, seed: u64) -> Self {
-        let mut r = Relay { module: Balancer::new(set.clone(), seed), now: ms(1_000_000), set };
+        let mut r = Forwarder { module: Balancer::new(set.clone(), seed), now: ms(1_000_000), set };
         r.step(0, &[Event::EndpointList { complete: true, entries }]);
         r
     }
-    /// Lets time pass, then hands in events.
+    /// Lets time pass, then feeds events.
     pub fn step(&mut self, later_ms: u64, events: &[Event]) -> Vec<Action> {
         self.now = self.now + ms(later_ms);
         let mut out = Vec::new();
         self.module.handle(self.now, events, &mut out);
         out
     }
+    /// A new message without a key, with the deadline of its class.
     pub fn message(&self, id: u64, class: usize, dest: u64) -> Event {
         let deadline = self.now + self.set.classes[class].deadline;
         Event::Message(Message {
@@ -100,12 +104,14 @@
             deadline,
         })
     }
+    /// A new message of the ordered class with this key.
     pub fn keyed(&self, id: u64, key: u64, dest: u64) -> Event {
         let Event::Message(m) = self.message(id, ORDERED, dest) else { unreachable!() };
         Event::Message(Message { key: Some(key), ..m })
     }
 }
 
+/// The outcome of an attempt.
 pub fn ended(id: u64, attempt: u32, outcome: Outcome, took_ms: u64) -> Event {
     let over = outcome == Outcome::Ok;
     Event::AttemptEnded(AttemptEnded {
@@ -118,7 +124,7 @@
     })
 }
 
-/// Messages and hosts of the sends among actions.
+/// Messages and endpoints of the sends among actions.
 pub fn sends(actions: &[Action]) -> Vec<(u64, u32)> {
     let send = |a: &Action| match a {
         Action::Send { id, host, .. } => Some((id.0, host.0)),
@@ -127,10 +133,12 @@
     actions.iter().filter_map(send).collect()
 }
 
-pub fn refused(actions: &[Action], id: u64) -> bool {
+/// Whether a message is rejected.
+pub fn rejected(actions: &[Action], id: u64) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { id: i, .. } if i.0 == id))
 }
 
+/// Whether a message is given up without a promise.
 pub fn failed(actions: &[Action], id: u64) -> bool {
     actions.contains(&Action::Fail(MessageId(id)))
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,5 +1,6 @@
-//! Generated events against an oracle written apart from the module: every message ends exactly once and in
-//! time, and effects, waits, drains, order, attempt and slot limits hold. It makes event sequences, no servers.
+//! Generated events against an oracle that is independent of the module: every message ends exactly once and
+//! in time, and the rules on effects, Retry-After, draining, order, attempts and slots hold. It makes event
+//! sequences, no servers.
 mod common;
 use common::*;
 use micaladder::*;
@@ -8,13 +9,13 @@
 use std::collections::BTreeMap;
 
 /// What the oracle knows of one message.
-struct Seen {
+struct KnownMessage {
     class: usize,
     key: Option<u64>,
     deadline: Nanos,
     attempts: u32,
-    out: Option<(u32, Nanos)>,
-    first_maybe: Option<(Nanos, usize)>,
+    in_flight: Option<(u32, Nanos)>,
+    first_possible_run: Option<(Nanos, usize)>,
     ended: bool,
 }
 
@@ -22,9 +23,9 @@
 struct Oracle {
     zones: usize,
     separate_routes: bool,
-    seen: BTreeMap<u64, Seen>,
+    seen: BTreeMap<u64, KnownMessage>,
     waits: BTreeMap<u64, Nanos>,
-    rests: BTreeMap<u64, Nanos>,
+    paused_until: BTreeMap<u64, Nanos>,
     draining: Option<u32>,
 }
 
@@ -32,7 +33,7 @@
     u64::from(host % 3)
 }
 
-/// Whose wait a host's word is.
+/// The route that a Retry-After of an endpoint binds.
 fn route(separate_routes: bool, host: u32) -> u64 {
     if separate_routes {
         u64::from(host)
@@ -48,7 +49,7 @@
                 Action::Send { id, host, .. } => self.sent(now, id.0, host.0, set),
                 Action::Reject { id, .. } => {
                     let m = &self.seen[&id.0];
-                    let may_have_run = m.first_maybe.is_some() || m.out.is_some();
+                    let may_have_run = m.first_possible_run.is_some() || m.in_flight.is_some();
                     assert!(
                         !may_have_run
                             || match set.classes[m.class].effect {
@@ -57,7 +58,7 @@
                                     scope == IdempotencyScope::AllEndpoints,
                                 Effect::AtMostOnce => false,
                             },
-                        "refused, may have run"
+                        "rejected, though it may have run"
                     );
                     self.end(now, id.0);
                 }
@@ -65,9 +66,9 @@
                 _ => {}
             }
         }
-        let out = self.seen.values().filter(|m| m.out.is_some()).count();
+        let out = self.seen.values().filter(|m| m.in_flight.is_some()).count();
         let max_batch = set.kinds.iter().map(|k| k.max_batch).max().unwrap_or(1);
-        assert!(out <= set.slots * max_batch, "{out} out");
+        assert!(out <= set.slots * max_batch, "{out} in flight");
     }
 
     fn end(&mut self, now: Nanos, id: u64) {
@@ -78,24 +79,25 @@
     }
 
     fn sent(&mut self, now: Nanos, id: u64, host: u32, set: &Settings) {
-        assert!(self.draining != Some(host), "sent to a draining host");
+        assert!(self.draining != Some(host), "sent to a draining endpoint");
         assert!(
             self.waits.get(&route(self.separate_routes, host)).is_none_or(|w| now >= *w),
-            "sent before a wait was over"
+            "sent before a Retry-After was over"
         );
         if let Some(key) = self.seen[&id].key {
-            let earlier =
-                |(i, m): (&u64, &Seen)| m.key == Some(key) && (*i < id && !m.ended || m.out.is_some());
-            assert!(!self.seen.iter().any(earlier), "out of turn");
-            let rest = self.rests.get(&key).is_some_and(|r| now < *r);
-            assert!(!rest || self.seen[&id].attempts > 0, "the key rests");
+            let earlier = |(i, m): (&u64, &KnownMessage)| {
+                m.key == Some(key) && (*i < id && !m.ended || m.in_flight.is_some())
+            };
+            assert!(!self.seen.iter().any(earlier), "out of order");
+            let paused = self.paused_until.get(&key).is_some_and(|r| now < *r);
+            assert!(!paused || self.seen[&id].attempts > 0, "the key paused_until");
         }
         let m = self.seen.get_mut(&id).expect("a known message");
-        assert!(!m.ended && m.out.is_none() && m.attempts < set.max_attempts && now < m.deadline);
-        if let Some((first, zone)) = m.first_maybe {
+        assert!(!m.ended && m.in_flight.is_none() && m.attempts < set.max_attempts && now < m.deadline);
+        if let Some((first, zone)) = m.first_possible_run {
             match set.classes[m.class].effect {
                 Effect::Idempotent => {}
-                Effect::AtMostOnce => panic!("an unsafe message goes again"),
+                Effect::AtMostOnce => panic!("an at-most-once message is retried"),
                 Effect::IdempotentByKey { scope, window } => {
                     assert!(now - first < window, "past the window");
                     let zone_ok =
@@ -105,12 +107,12 @@
             }
         }
         m.attempts += 1;
-        m.out = Some((host, now));
+        m.in_flight = Some((host, now));
     }
 
     fn outcome(&mut self, now: Nanos, id: u64, outcome: Outcome, set: &Settings) {
         let m = self.seen.get_mut(&id).expect("a known message");
-        let (host, at) = m.out.take().expect("out");
+        let (host, at) = m.in_flight.take().expect("in flight");
         let route = route(self.separate_routes, host);
         match outcome {
             Outcome::Rejected(Some(wait)) => {
@@ -119,17 +121,18 @@
             }
             Outcome::Rejected(None) | Outcome::ConnectFailed | Outcome::Skipped => {}
             _ => {
-                m.first_maybe.get_or_insert((at, host as usize % self.zones));
+                m.first_possible_run.get_or_insert((at, host as usize % self.zones));
             }
         }
         m.ended |= outcome == Outcome::Ok;
         if matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
-            m.key.map(|k| self.rests.insert(k, now + set.ordering_pause));
+            m.key.map(|k| self.paused_until.insert(k, now + set.ordering_pause));
         }
     }
 }
 
-/// One step: time that passes, a new message (class, destination, key), how the oldest attempt out ends.
+/// One step: time that passes, a new message (class, destination, key), how the oldest attempt in flight
+/// ends.
 type Step = (u64, usize, u64, u64, u8);
 
 fn outcome(code: u8) -> Option<Outcome> {
@@ -147,12 +150,12 @@
 }
 
 fn play(steps: &[Step], set: Settings, zones: usize, kind: usize) {
-    let listed = |h: u32| EndpointEntry { rate: 12.0, ..host(h, dest_of(h), kind, h as usize % zones) };
-    let mut r = Relay::new(set, (0..6).map(listed).collect());
-    let apart = r.set.kinds[kind].separate_routes;
-    let (set, mut oracle) = (r.set.clone(), Oracle { zones, separate_routes: apart, ..Oracle::default() });
+    let listed = |h: u32| EndpointEntry { rate: 12.0, ..list_entry(h, dest_of(h), kind, h as usize % zones) };
+    let mut r = Forwarder::new(set, (0..6).map(listed).collect());
+    let separate_routes = r.set.kinds[kind].separate_routes;
+    let (set, mut oracle) = (r.set.clone(), Oracle { zones, separate_routes, ..Oracle::default() });
     for (n, (later, class, dest, key, code)) in steps.iter().enumerate() {
-        // Time passes as the timer has it, or a short deadline could not be met.
+        // Time passes in short steps, or a short deadline could not be met.
         for _ in 0..later / 10 {
             let actions = r.step(10, &[Event::Due]);
             oracle.check(r.now, &actions, &set);
@@ -162,10 +165,10 @@
         let mut events = vec![Event::Due];
         if n == steps.len() / 2 {
             oracle.draining = Some(1);
-            let gone = EndpointEntry { state: EndpointState::Draining, ..listed(1) };
-            events.push(Event::EndpointList { complete: false, entries: vec![gone] });
+            let draining = EndpointEntry { state: EndpointState::Draining, ..listed(1) };
+            events.push(Event::EndpointList { complete: false, entries: vec![draining] });
         }
-        let oldest = oracle.seen.iter().filter_map(|(id, m)| m.out.map(|o| (o.1, *id))).min();
+        let oldest = oracle.seen.iter().filter_map(|(id, m)| m.in_flight.map(|o| (o.1, *id))).min();
         if let (Some((at, id)), Some(o)) = (oldest, outcome(*code)) {
             let attempt = oracle.seen[&id].attempts - 1;
             let over = oracle.seen[&id].ended || o == Outcome::Ok;
@@ -193,8 +196,15 @@
             deadline,
         };
         events.push(Event::Message(message));
-        let m =
-            Seen { class: *class, key, deadline, attempts: 0, out: None, first_maybe: None, ended: false };
+        let m = KnownMessage {
+            class: *class,
+            key,
+            deadline,
+            attempts: 0,
+            in_flight: None,
+            first_possible_run: None,
+            ended: false,
+        };
         oracle.seen.insert(id, m);
         let actions = r.step(*later, &events);
         oracle.check(r.now, &actions, &set);
@@ -230,7 +240,7 @@
     )
 }
 
-/// Settings within what the pages allow, zones and a kind.
+/// Settings within what the documents allow, a number of zones and a kind.
 fn any_settings() -> impl Strategy<Value = (Settings, usize, usize)> {
     let counts = (1..16usize, 1..200usize, 1..12u32, 1..300usize, 1..=10usize);
     let flags = prop::collection::vec(any::<bool>(), 6);
@@ -270,7 +280,7 @@
 
 /// Nothing in the module is fitted to one deployment: whatever its settings, it keeps the rules.
 #[test]
-fn generated_settings_break_no_rule_either() {
+fn generated_settings_break_no_rule() {
     let config = Config { cases: 32, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[9; 32]);
     let step = (0u64..120, 0usize..6, 0u64..3, 0u64..3, 0u8..16);
