--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -294,3 +294,6 @@
         let _ = socket.send_to(&datagram.bytes, datagram.to).await;
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/fleet/membership.rs
+++ b/src/fleet/membership.rs
@@ -1,7 +1,9 @@
 //! Who is present: the SWIM protocol (Das, Gupta and Motivala, 2002) by `foca`. It says where a member can be reached and no
 //! more; whom to trust is decided by certificates, on the connections. This module drives foca and holds no socket.
+mod admission;
+
 use super::fault_injection::{is_injected, Defect};
-use super::member::{Member, MAX_MEMBERS, MAX_NAME_BYTES};
+use super::member::{Member, MAX_MEMBERS};
 use super::wire::{HEADER_BYTES, MAX_DATAGRAM_BYTES};
 use bytes::BufMut;
 use foca::{
@@ -9,7 +11,6 @@
 };
 use rand::rngs::StdRng;
 use rand::SeedableRng;
-use std::borrow::Cow;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::num::{NonZeroU32, NonZeroU8, NonZeroUsize};
@@ -30,8 +31,6 @@
 /// 1,000 members. With foca's default (4 at 8 members) one of eight missed a goodbye in one run of six, and noticed it 4 s
 /// later by its own suspicion.
 const MAX_TRANSMISSIONS: NonZeroU8 = NonZeroU8::new(26).unwrap();
-/// Size of the count of updates behind foca's header, in bytes.
-const UPDATE_COUNT_BYTES: usize = 2;
 
 impl Identity for Member {
     type Addr = SocketAddr;
@@ -99,29 +98,6 @@
     Departed,
 }
 
-/// Which members a datagram may bring into the table.
-enum Admission {
-    /// There is room for all.
-    Anyone,
-    /// There is no room: only members at these addresses.
-    Only(BTreeSet<SocketAddr>),
-}
-
-impl Admission {
-    fn admits(&self, address: SocketAddr) -> bool {
-        match self {
-            Admission::Anyone => true,
-            Admission::Only(known) => known.contains(&address),
-        }
-    }
-}
-
-/// A datagram with the updates that are taken in.
-struct Admitted<'a> {
-    sender: SocketAddr,
-    bytes: Cow<'a, [u8]>,
-}
-
 /// Membership as seen by one forwarder.
 pub struct Membership {
     foca: Foca<Member, PostcardCodec, StdRng, foca::NoCustomBroadcast>,
@@ -177,87 +153,6 @@
         effects
     }
 
-    /// Filters a datagram. Guards against forged members: they may fill the table, but must neither keep updates of real
-    /// members out nor shut out those that join. The sender is what the datagram states; whom to trust is decided
-    /// elsewhere.
-    fn admit<'a>(&mut self, bytes: &'a [u8]) -> Option<Admitted<'a>> {
-        let mut rest = bytes;
-        let header: foca::Header<Member> = PostcardCodec.decode_header(&mut rest).ok()?;
-        let sender = header.src.address;
-        // No other process has this member's address.
-        if sender == self.local_address || header.src.name.len() > MAX_NAME_BYTES {
-            return None;
-        }
-        self.mark_heard(sender);
-        let admission = self.admission_for(sender)?;
-        if rest.len() < UPDATE_COUNT_BYTES || header.message == Message::Broadcast {
-            return Some(Admitted { sender, bytes: bytes.into() });
-        }
-        let (count, mut rest) = rest.split_at(UPDATE_COUNT_BYTES);
-        let count = u16::from_be_bytes([count[0], count[1]]);
-        let admitted = self.admitted_updates(count, &mut rest, &admission)?;
-        if admitted.len() == usize::from(count) {
-            return Some(Admitted { sender, bytes: bytes.into() });
-        }
-        let mut filtered = encode(&header, &admitted)?;
-        filtered.extend(rest);
-        Some(Admitted { sender, bytes: filtered.into() })
-    }
-
-    fn mark_heard(&mut self, sender: SocketAddr) {
-        if self.heard_from.len() >= 2 * MAX_MEMBERS {
-            let active = self.active_addresses();
-            self.heard_from.retain(|address| active.contains(address));
-        }
-        self.heard_from.insert(sender);
-    }
-
-    /// Whom a datagram of this sender may bring into the table; none if not even the sender. In a full table the sender
-    /// takes the place of a member that never sent a datagram.
-    fn admission_for(&mut self, sender: SocketAddr) -> Option<Admission> {
-        let is_full = self.is_full();
-        // foca keeps departed members for a while: these are bounded as well.
-        let is_state_full = self.foca.iter_membership_state().len() >= 2 * MAX_MEMBERS;
-        if !is_full && !is_state_full {
-            return Some(Admission::Anyone);
-        }
-        let mut known = self.active_addresses();
-        if is_full && !known.contains(&sender) {
-            let replaced = self.first_never_heard()?;
-            if is_state_full {
-                return None;
-            }
-            known.remove(&replaced.address);
-            known.insert(sender);
-            let update = foca::Member::new(replaced, 0, foca::State::Down);
-            self.foca.apply_many(std::iter::once(update), false, &mut self.runtime).ok()?;
-        }
-        Some(Admission::Only(known))
-    }
-
-    fn first_never_heard(&self) -> Option<Member> {
-        let never_heard = self.foca.iter_members().find(|m| !self.heard_from.contains(&m.id().address))?;
-        Some(never_heard.id().clone())
-    }
-
-    /// Reads the updates of a datagram and gives those that are admitted; none if they are malformed. What they say of
-    /// this member's address is noted here.
-    fn admitted_updates(
-        &mut self, count: u16, bytes: &mut &[u8], admission: &Admission,
-    ) -> Option<Vec<foca::Member<Member>>> {
-        let mut admitted = Vec::new();
-        for _ in 0..count {
-            let update: foca::Member<Member> = PostcardCodec.decode_member(&mut *bytes).ok()?;
-            let member = update.id();
-            if member.address == self.local_address && member != self.foca.identity() {
-                self.note_incarnation_here(member.incarnation);
-            } else if member.name.len() <= MAX_NAME_BYTES && admission.admits(member.address) {
-                admitted.push(update);
-            }
-        }
-        Some(admitted)
-    }
-
     /// Whether the table takes in no further member that is known from gossip only.
     pub fn is_full(&self) -> bool {
         self.foca.num_members() >= MAX_MEMBERS
@@ -333,7 +228,7 @@
             // Nobody gets into the table by being suspected.
             _ => Ok(()),
         };
-        self.collect_effects("a doubt", result)
+        self.collect_effects("a suspicion", result)
     }
 
     /// Number of updates that are still to be passed on.
--- a/src/fleet/membership/tests.rs
+++ b/src/fleet/membership/tests.rs
@@ -106,7 +106,7 @@
     assert!(network.seen_by(0).iter().all(|m| m.address.port() < 1003), "{:?}", network.seen_by(0));
     network.partitioned_at = None;
     // As the daemon does: members seen before are greeted again from time to time.
-    let effects = network.nodes.get_mut(&address(5)).expect("it is there").announce(address(0));
+    let effects = network.nodes.get_mut(&address(5)).expect("it runs").announce(address(0));
     network.apply(address(5), effects);
     network.run(40);
     for n in 0..6 {
@@ -121,7 +121,7 @@
     network.run(20);
     for third in 0..3 {
         for n in (0..9).filter(|n| n % 3 == third) {
-            let effects = network.nodes.get_mut(&address(n)).expect("it is there").leave();
+            let effects = network.nodes.get_mut(&address(n)).expect("it runs").leave();
             network.apply(address(n), effects);
         }
         network.run(1);
@@ -157,7 +157,7 @@
         let bytes = forged(9000, &me, 10_000 + part * 20, 20);
         assert!(bytes.len() <= MAX_PACKET_BYTES);
         // Its answers would be sent to nobody.
-        network.nodes.get_mut(&address(0)).expect("it is there").handle_datagram(&bytes);
+        network.nodes.get_mut(&address(0)).expect("it runs").handle_datagram(&bytes);
     }
     let full = network.seen_by(0).len();
     assert!((MAX_MEMBERS..MAX_MEMBERS + 20).contains(&full), "{full}");
@@ -165,7 +165,7 @@
     network.run(1);
     assert!(network.seen_by(0).contains(&member(3, 1)), "a joining member is admitted");
     assert!(network.seen_by(0).contains(&member(1, 1)) && network.seen_by(0).contains(&member(2, 1)));
-    let goodbye = network.nodes.get_mut(&address(1)).expect("it is there").leave();
+    let goodbye = network.nodes.get_mut(&address(1)).expect("it runs").leave();
     network.apply(address(1), goodbye);
     network.run(1);
     assert!(!network.seen_by(0).contains(&member(1, 1)), "a leaving member is removed");
--- a/src/fleet/node/anti_entropy.rs
+++ b/src/fleet/node/anti_entropy.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// A view is compared with one that differs from it no more often than this.
-pub const COMPARISON_INTERVAL: Duration = Duration::from_millis(250);
+const COMPARISON_INTERVAL: Duration = Duration::from_millis(250);
 /// Most datagrams in answer to one comparison.
 const MAX_DATAGRAMS_PER_ANSWER: usize = 8;
 /// Most datagrams a second in answer to all comparisons, and the burst that is allowed.
--- a/src/fleet/node/bounds.rs
+++ b/src/fleet/node/bounds.rs
@@ -1,5 +1,5 @@
 //! How fast the fleet learns of a change where datagrams arrive, as formulas. The lab checks them.
-use super::GOSSIP_INTERVAL;
+use super::dissemination::GOSSIP_INTERVAL;
 use crate::fleet::membership::PROBE_PERIOD;
 use crate::fleet::suspicion::MIN_TIMEOUT;
 use std::time::Duration;
--- a/src/fleet/node/dissemination.rs
+++ b/src/fleet/node/dissemination.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// Changes are passed on at once, but not more often than this.
-pub const GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
+pub(super) const GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
 /// How often foca's updates are passed on after a member became present or departed.
 const MEMBERSHIP_ROUNDS: u32 = 3;
 /// While more updates than these wait in foca, they are passed on in every interval: once a partition has healed there is
@@ -20,7 +20,7 @@
 const GOSSIP_FANOUT: usize = 3;
 /// Most records that wait to be passed on; further ones are found by anti-entropy.
 const MAX_PENDING_RECORDS: usize = 64;
-/// How many members are told of a failed probe.
+/// How many members are notified of a failed probe.
 const SUSPICION_WITNESSES: usize = 8;
 
 /// What is still to be passed on.
@@ -124,9 +124,9 @@
         others.choose_multiple(&mut self.random, count).copied().collect()
     }
 
-    /// Members that are told of failed probes of a suspect. They are the same whoever asks, as far as views agree, so that
-    /// each of them is told of all failures. With random ones none of 300 members was told of two others in time, and a
-    /// crash was known after 7 s.
+    /// Members that are notified of failed probes of a suspect. They are the same for all probers whose views agree, so that
+    /// each of them is notified of all failures. With random ones none of 300 members was notified by two others in time,
+    /// and a crash was detected after 7 s.
     pub(super) fn witnesses(&self, suspect: &Member) -> Vec<SocketAddr> {
         let rank =
             |address: &SocketAddr| crc32fast::hash(format!("{address} {}", suspect.address).as_bytes());
--- a/src/fleet/node/greeting.rs
+++ b/src/fleet/node/greeting.rs
@@ -10,7 +10,7 @@
 /// How often absent members are greeted.
 pub const GREETING_INTERVAL: Duration = Duration::from_secs(2);
 /// Most remembered members that are greeted at a time, in rotation, so that not all members greet all of a large fleet.
-pub const MAX_GREETED: usize = 4;
+const MAX_GREETED: usize = 4;
 /// Most addresses that are remembered while the process runs.
 const MAX_REMEMBERED: usize = MAX_MEMBERS;
 
--- a/src/fleet/node/inbound.rs
+++ b/src/fleet/node/inbound.rs
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Whether a record tells membership anything: that an incarnation departed, or that there is a later one.
+    /// Whether a record is news to membership: that an incarnation departed, or that there is a later one.
     fn is_news(&self, record: &Record) -> bool {
         match self.table.get(record.member.address) {
             Some(entry) if entry.member == record.member => record.departed && !entry.departed,
--- a/src/fleet/node/mod.rs
+++ b/src/fleet/node/mod.rs
@@ -38,10 +38,8 @@
 use std::time::Duration;
 use timers::TimerQueue;
 
-pub use anti_entropy::COMPARISON_INTERVAL;
 pub use bounds::{crash_detection_bound, dissemination_bound};
-pub use dissemination::GOSSIP_INTERVAL;
-pub use greeting::{GREETING_INTERVAL, MAX_GREETED};
+pub use greeting::GREETING_INTERVAL;
 
 /// How often the side of a partition, conflicts of names and ages are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
@@ -75,7 +73,7 @@
     pub bytes: Vec<u8>,
 }
 
-/// What a peer last said of its view.
+/// What the header of a peer's last datagram reported of its view.
 struct PeerReport {
     header: Header,
     received_at: Duration,
@@ -153,7 +151,7 @@
     /// Takes in a datagram, whatever it holds.
     pub fn handle_datagram(&mut self, now: Duration, bytes: &[u8]) {
         self.begin_call(now);
-        // Anybody can send what cannot be decoded: it is dropped without a word.
+        // Anybody can send what cannot be decoded: it is dropped silently.
         if let Ok((header, message)) = wire::decode(self.group_tag, bytes) {
             self.handle_message(header, message);
         }
@@ -289,7 +287,7 @@
 
     /// And ends with this.
     fn end_call(&mut self) {
-        // Membership may have raised the incarnation, which publishes the attributes anew.
+        // Membership may have raised the incarnation, which publishes the attributes again.
         if *self.membership.local_member() != self.table.local_entry().member {
             self.publish_local_entry(0);
         }
--- a/src/fleet/partition.rs
+++ b/src/fleet/partition.rs
@@ -18,7 +18,7 @@
 /// Bound of the quorum base.
 const MAX_QUORUM_BASE: usize = 2 * MAX_MEMBERS;
 
-/// The side of a partition that a member takes itself to be on. Ordered by how much it says.
+/// The side of a partition that a member takes itself to be on. Ordered by how much it knows of the fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PartitionSide {
--- a/src/fleet/snapshot/tests.rs
+++ b/src/fleet/snapshot/tests.rs
@@ -70,7 +70,7 @@
     store.begin_incarnation(7);
     store.record(&members(3), &agreed_names(), 1);
     let file = folder.path().join(FILE_NAME);
-    let mut bytes = std::fs::read(&file).expect("it is there");
+    let mut bytes = std::fs::read(&file).expect("it was written");
     corrupt(&mut bytes);
     std::fs::write(&file, bytes).expect("written");
     let mut store = open(folder.path(), 3_000_000);
