--- a/src/as2/mod.rs
+++ b/src/as2/mod.rs
@@ -3,6 +3,7 @@
 pub mod mdn;
 pub mod smime;
 
+use crate::config_error::explain_parse_failure;
 use crate::core::Endpoint;
 use crate::EndpointState;
 use der::DecodePem;
@@ -105,8 +106,7 @@
     /// A file, a key or a certificate that cannot be read, named.
     pub fn load(path: &Path) -> Result<Option<As2Settings>, Box<dyn Error>> {
         let Ok(text) = std::fs::read_to_string(path) else { return Ok(None) };
-        let file: File = json::from_str(&text)
-            .map_err(|_| crate::config_error::explain_parse_failure::<File>(path, &text))?;
+        let file: File = json::from_str(&text).map_err(|_| explain_parse_failure::<File>(path, &text))?;
         if !file.enabled {
             return Ok(None);
         }
--- a/src/check.rs
+++ b/src/check.rs
@@ -1,13 +1,15 @@
-//! Every file that a start would read, and all that is wrong in them: each package checks its own, here they are called.
+//! `micaladder check`: reports all errors in all files that a start would read. Each package checks its own files.
+#![warn(missing_docs)]
 use crate::config_error::ConfigError;
 use crate::peers::trust::Files;
 use crate::{as2, flags, plugins, settings};
 
-/// Reads every file that a start would read, and gives all that is wrong in them.
+/// Checks the configuration, the AS2 settings, the scripts and the peers' certificates, in this order, and returns all
+/// errors. Starts nothing and writes nothing.
 pub fn check_files(files: &flags::Files) -> Vec<ConfigError> {
-    let (mut found, site) = settings::check::check_file(&files.config);
-    found.extend(as2::check::check_file(&files.as2, site.as_ref()));
-    found.extend(plugins::check(&files.plugins));
-    found.extend(Files::of(&files.neighbours.papers).and_then(|f| f.read().err()));
-    found
+    let (mut errors, deployment) = settings::check::check_file(&files.config);
+    errors.extend(as2::check::check_file(&files.as2, deployment.as_ref()));
+    errors.extend(plugins::check(&files.plugins));
+    errors.extend(Files::of(&files.neighbours.papers).and_then(|f| f.read().err()));
+    errors
 }
--- a/src/config_error.rs
+++ b/src/config_error.rs
@@ -1,19 +1,26 @@
-//! What is wrong in a file, by file and key. Reads JSON the strict way: each key must be known, and a fault names its
-//! place. The daemon's start reads the same files leniently; this says why it could not, and `check` says the rest.
-//! Knows no file: each package checks its own.
+//! Errors in configuration files, located by file and key.
+//!
+//! The daemon parses its files leniently at start; [`explain_parse_failure`] says why that failed. `micaladder check`
+//! parses them strictly: every key must be known, and every error names its place. This module knows no file format;
+//! each package checks its own file with [`ConfigErrors`].
+#![warn(missing_docs)]
 use serde::de::DeserializeOwned;
+use std::collections::BTreeSet;
 use std::fmt;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// One thing that is wrong.
-#[derive(Clone, Debug, PartialEq)]
+#[cfg(test)]
+mod tests;
+
+/// One error in a configuration file. Its text reads `FILE: KEY: MESSAGE`.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub struct ConfigError {
-    /// The file in which it stands.
+    /// The file that contains the error.
     pub file: PathBuf,
-    /// The key, as `settings.classes[0].effect`; empty for the file as a whole.
+    /// The key, as `settings.classes[0].effect`; empty if the error concerns the whole file.
     pub key: String,
-    /// What is wrong with it, and what it may be.
+    /// What is wrong and which values are allowed.
     pub message: String,
 }
 
@@ -27,124 +34,134 @@
     }
 }
 
-/// The errors of one file.
+/// Collects the errors of one file.
 pub struct ConfigErrors<'a> {
     file: &'a Path,
-    /// All that were found, in the order of the file.
+    /// The errors found so far, in the order of the checks.
     pub errors: Vec<ConfigError>,
 }
 
 impl<'a> ConfigErrors<'a> {
-    /// None yet.
+    /// An empty collection for `file`.
     pub fn new(file: &'a Path) -> ConfigErrors<'a> {
         ConfigErrors { file, errors: Vec::new() }
     }
 
-    /// Adds one.
+    /// Adds an error at `key`; an empty key stands for the whole file.
     pub fn add(&mut self, key: impl Into<String>, message: impl fmt::Display) {
-        self.errors.push(ConfigError {
-            file: self.file.into(),
-            key: key.into(),
-            message: message.to_string(),
-        });
+        let (file, key, message) = (self.file.into(), key.into(), message.to_string());
+        self.errors.push(ConfigError { file, key, message });
     }
 
-    /// Adds one unless it holds.
-    pub fn require(&mut self, holds: bool, key: impl Into<String>, message: impl fmt::Display) {
-        if !holds {
+    /// Adds an error unless `condition` holds.
+    pub fn require(&mut self, condition: bool, key: impl Into<String>, message: impl fmt::Display) {
+        if !condition {
             self.add(key, message);
         }
     }
 
-    /// Adds one if the word is none of these.
-    pub fn require_one_of(&mut self, word: Option<&str>, of: &[&str], key: impl Into<String>) {
-        if let Some(word) = word.filter(|w| !of.contains(w)) {
-            self.add(key, format!("{word:?} is none of {}", of.join(", ")));
+    /// Adds an error if there is a value and it is not one of `allowed`.
+    pub fn require_one_of(&mut self, value: Option<&str>, allowed: &[&str], key: impl Into<String>) {
+        if let Some(value) = value.filter(|v| !allowed.contains(v)) {
+            self.add(key, format!("{value:?} is none of {}", allowed.join(", ")));
         }
     }
 
-    /// Adds one unless it is a socket address.
+    /// Adds an error unless `text` is an IP address with a port.
     pub fn require_socket_address(&mut self, text: &str, key: impl Into<String>) {
-        let good = text.parse::<SocketAddr>().is_ok();
-        self.require(good, key, format!("not a socket address: {text:?}"));
+        let valid = text.parse::<SocketAddr>().is_ok();
+        self.require(valid, key, format!("not a socket address: {text:?}"));
     }
 
-    /// Adds one if there is a name that is not among these.
+    /// Adds an error if there is a name and it is not one of `names`.
     pub fn require_known(
         &mut self, name: &Option<String>, names: &[String], key: impl Into<String>, message: &str,
     ) {
-        self.require(name.as_ref().is_none_or(|n| names.contains(n)), key, message);
+        let known = name.as_ref().is_none_or(|n| names.contains(n));
+        self.require(known, key, message);
     }
 
-    /// Adds one for each name that stands twice.
+    /// Adds an error for each name that has occurred before; `key` gives the key of the name at an index.
     pub fn reject_duplicates<'n>(
         &mut self, names: impl Iterator<Item = &'n str>, key: impl Fn(usize) -> String,
     ) {
-        let mut seen = std::collections::BTreeSet::new();
-        for (i, name) in names.enumerate() {
-            self.require(seen.insert(name), key(i), format!("{name:?} is there twice"));
+        let mut seen = BTreeSet::new();
+        for (index, name) in names.enumerate() {
+            let is_new = seen.insert(name);
+            self.require(is_new, key(index), format!("{name:?} is there twice"));
         }
     }
 
-    /// Reads a text as JSON: what it holds, if it can be read, and the keys that nobody knows. `unused` are those
-    /// that may stand in the file though this program has no use for them, with `[]` for any place in a list.
+    /// Parses JSON strictly: adds the parse error, if any, and an error for each unknown key. `unused` lists the keys
+    /// that may be present although this program ignores them, with `[]` for any index.
+    ///
+    /// Returns the parsed value, also if unknown keys were found.
     pub fn parse_json<T: DeserializeOwned>(&mut self, text: &str, unused: &[&str]) -> Option<T> {
-        let mut unknown = Vec::new();
+        let mut ignored = Vec::new();
         let mut json = serde_json::Deserializer::from_str(text);
         let mut track = serde_path_to_error::Track::new();
         let tracked = serde_path_to_error::Deserializer::new(&mut json, &mut track);
-        let read = serde_ignored::deserialize(tracked, |path| unknown.push(brackets(&path.to_string())));
-        let read = read.and_then(|value| json.end().map(|()| value));
-        let value = match read {
+        let parsed =
+            serde_ignored::deserialize(tracked, |path| ignored.push(with_brackets(&path.to_string())));
+        // Text behind the value is an error too.
+        let parsed = parsed.and_then(|value| json.end().map(|()| value));
+        let value = match parsed {
             Ok(value) => Some(value),
-            Err(fault) => {
-                // A place that is not known yet, or the file itself, adds nothing.
+            Err(error) => {
+                // A position that is not known yet and the document itself contribute no key.
                 let path = track.path().to_string();
-                self.add(path.trim_end_matches(['.', '?']), fault);
+                self.add(path.trim_end_matches(['.', '?']), error);
                 None
             }
         };
-        for key in unknown {
-            let any = any_place(&key);
-            self.require(unused.contains(&any.as_str()), key, "no such key");
+        for key in ignored {
+            let allowed = unused.contains(&without_indices(&key).as_str());
+            self.require(allowed, key, "no such key");
         }
         value
     }
 }
 
-/// `a.?.0.b` as `a[0].b`: a value that may be missing adds nothing to its path.
-fn brackets(path: &str) -> String {
-    let mut out = String::new();
+/// Rewrites `a.?.0.b` as `a[0].b`; an optional value (`?`) contributes nothing to its path.
+fn with_brackets(path: &str) -> String {
+    let mut key = String::new();
     for part in path.split('.').filter(|p| *p != "?") {
         if part.bytes().all(|b| b.is_ascii_digit()) {
-            out.push_str(&format!("[{part}]"));
-        } else {
-            out.push_str(if out.is_empty() { "" } else { "." });
-            out.push_str(part);
+            key.push_str(&format!("[{part}]"));
+            continue;
         }
+        if !key.is_empty() {
+            key.push('.');
+        }
+        key.push_str(part);
     }
-    out
+    key
 }
 
-/// `a[0].b` as `a[].b`.
-fn any_place(key: &str) -> String {
-    let mut inside = false;
-    key.chars()
-        .filter(|c| {
-            inside = *c == '[' || inside && *c != ']';
-            !inside || *c == '['
-        })
-        .collect()
+/// Rewrites `a[0].b` as `a[].b`.
+fn without_indices(key: &str) -> String {
+    let mut out = String::with_capacity(key.len());
+    let mut in_brackets = false;
+    for c in key.chars() {
+        match c {
+            '[' => in_brackets = true,
+            ']' => in_brackets = false,
+            _ if in_brackets => continue,
+            _ => {}
+        }
+        out.push(c);
+    }
+    out
 }
 
-/// Why a file that must be read could not be, in one line.
-pub fn explain_parse_failure<T: DeserializeOwned>(file: &Path, text: &str) -> String {
+/// Explains why the text of `file` could not be parsed as `T`.
+pub fn explain_parse_failure<T: DeserializeOwned>(file: &Path, text: &str) -> ConfigError {
     let mut errors = ConfigErrors::new(file);
-    let read: Option<T> = errors.parse_json(text, &[]);
-    let missing = ConfigError { file: file.into(), key: String::new(), message: "cannot be read".into() };
-    let first = errors.errors.into_iter().next().filter(|_| read.is_none()).unwrap_or(missing);
-    first.to_string()
+    let parsed: Option<T> = errors.parse_json(text, &[]);
+    let first = errors.errors.into_iter().next();
+    match (parsed, first) {
+        (None, Some(error)) => error,
+        // The strict parser accepts the text, so it cannot name a place.
+        _ => ConfigError { file: file.into(), key: String::new(), message: "cannot be read".into() },
+    }
 }
-
-#[cfg(test)]
-mod tests;
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -1,10 +1,16 @@
-//! What is wrong in a configuration: keys that nobody knows, words that mean nothing, figures that cannot be.
-use super::{is_address, Conf, DeploymentSettings, EndpointListUpdate, File};
+//! Reports all errors in the configuration file: unknown keys, unknown values and figures out of range.
+use super::file::{ClassEntry, ConfigFile, DeploymentFile, EndpointListUpdate, FamilyInfo, TenantEntry};
+use super::{is_host_and_port, DeploymentSettings};
 use crate::config_error::{ConfigError, ConfigErrors};
 use std::path::Path;
 
-/// What the platform's file holds beside what this program uses.
-const UNUSED: [&str; 35] = [
+/// Less holds not even one message of 64 KiB beside the journal's reserve.
+const MIN_DISK_MB: f64 = 0.2;
+/// A third of the descriptors is for clients; fewer leave hardly any beside discovery, the endpoints and the files.
+const MIN_SOCKETS: u32 = 16;
+
+/// Keys of the platform's file that this program does not use, with `[]` for any index.
+const UNUSED_KEYS: [&str; 35] = [
     "known.targets[].boot_ms",
     "limits.cores",
     "limits.memory_mb",
@@ -42,87 +48,122 @@
     "settings.valueBy",
 ];
 
-/// All that is wrong in the file, and the settings where they can be read.
+/// Checks the file. Returns all errors, and the deployment's settings where the file can be parsed.
 pub fn check_file(path: &Path) -> (Vec<ConfigError>, Option<DeploymentSettings>) {
     let mut errors = ConfigErrors::new(path);
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
-        Err(e) => {
-            errors.add("", e);
+        Err(error) => {
+            errors.add("", error);
             return (errors.errors, None);
         }
     };
-    let Some(file) = errors.parse_json::<File>(&text, &UNUSED) else { return (errors.errors, None) };
-    whole(&file, &mut errors);
-    settings(&file.settings, &mut errors);
-    group(&file.known, &file.settings, &mut errors);
-    (errors.errors, Some(super::site(file.settings)))
+    let Some(file) = errors.parse_json::<ConfigFile>(&text, &UNUSED_KEYS) else {
+        return (errors.errors, None);
+    };
+    check_process(&file, &mut errors);
+    check_deployment(&file.settings, &mut errors);
+    check_endpoints(&file.known, &file.settings, &mut errors);
+    (errors.errors, Some(file.settings.into()))
 }
 
-fn whole(f: &File, errors: &mut ConfigErrors) {
-    errors.require(!f.name.is_empty(), "name", "is empty");
-    errors.require_socket_address(&f.listen, "listen");
-    f.mgmt.iter().for_each(|m| errors.require_socket_address(m, "mgmt"));
-    errors.require(is_address(&f.discovery), "discovery", format!("no address: {:?}", f.discovery));
-    if u64::from_str_radix(&f.seed, 16).is_err() {
-        errors.add("seed", format!("not up to 16 hexadecimal digits: {:?}", f.seed));
+/// Checks the keys of this one forwarder.
+fn check_process(file: &ConfigFile, errors: &mut ConfigErrors) {
+    errors.require(!file.name.is_empty(), "name", "is empty");
+    errors.require_socket_address(&file.listen, "listen");
+    if let Some(mgmt) = &file.mgmt {
+        errors.require_socket_address(mgmt, "mgmt");
     }
-    // Less holds not even one message of 64 KiB beside its reserve.
-    errors.require(f.limits.disk_mb >= 0.2, "limits.disk_mb", "holds no message; 0.2 or more");
-    errors.require(f.limits.sockets >= 16, "limits.sockets", "leaves none for clients; 16 or more");
+    let discovery = &file.discovery;
+    errors.require(is_host_and_port(discovery), "discovery", format!("no address: {discovery:?}"));
+    if u64::from_str_radix(&file.seed, 16).is_err() {
+        errors.add("seed", format!("not up to 16 hexadecimal digits: {:?}", file.seed));
+    }
+    let limits = &file.limits;
+    errors.require(limits.disk_mb >= MIN_DISK_MB, "limits.disk_mb", "holds no message; 0.2 or more");
+    errors.require(limits.sockets >= MIN_SOCKETS, "limits.sockets", "leaves none for clients; 16 or more");
+}
+
+/// Checks the keys that all forwarders of the deployment share.
+fn check_deployment(settings: &DeploymentFile, errors: &mut ConfigErrors) {
+    check_classes(&settings.classes, errors);
+    check_tenants(&settings.tenants, errors);
+    check_family_info(&settings.family_info, errors);
+    check_limits(settings, errors);
+    check_modes(settings, errors);
+    let zone = settings.my_zone.unwrap_or(0) as usize;
+    let zone_count = settings.localities.len().max(1);
+    errors.require(zone < zone_count, "settings.myZone", "is no place in localities");
+    let rules = &settings.rules;
+    errors.require(rules.cold_capacity_share > 0.0, "settings.rules.coldFrom", "is not above 0");
+    errors.require(rules.overload_multiple > 0.0, "settings.rules.fallMultiple", "is not above 0");
 }
 
-fn settings(c: &Conf, errors: &mut ConfigErrors) {
-    errors.require(!c.classes.is_empty(), "settings.classes", "is empty");
-    errors.reject_duplicates(c.classes.iter().map(|c| c.name.as_str()), |i| {
-        format!("settings.classes[{i}].name")
-    });
-    for (i, class) in c.classes.iter().enumerate() {
+fn check_classes(classes: &[ClassEntry], errors: &mut ConfigErrors) {
+    errors.require(!classes.is_empty(), "settings.classes", "is empty");
+    let names = classes.iter().map(|c| c.name.as_str());
+    errors.reject_duplicates(names, |i| format!("settings.classes[{i}].name"));
+    for (i, class) in classes.iter().enumerate() {
         let key = |k: &str| format!("settings.classes[{i}].{k}");
         errors.require_one_of(Some(&class.effect), &["repeatable", "by_key", "once"], key("effect"));
         errors.require_one_of(class.group.as_deref(), &["all", "zone", "cell"], key("group"));
         errors.require(class.deadline_ns > 0, key("deadlineNs"), "is 0");
-        errors.require(class.aim_ns <= class.deadline_ns, key("aimNs"), "is beyond deadlineNs");
-        errors.require(
-            (0.0..=1.0).contains(&class.late_weight_share),
-            key("lateShare"),
-            "is not from 0 to 1",
-        );
+        let objective_in_time = class.latency_objective_ns <= class.deadline_ns;
+        errors.require(objective_in_time, key("aimNs"), "is beyond deadlineNs");
+        let is_share = (0.0..=1.0).contains(&class.late_weight_share);
+        errors.require(is_share, key("lateShare"), "is not from 0 to 1");
         errors.require(class.points >= 0.0, key("points"), "is below 0");
-        let window = class.effect != "by_key" || class.window_ns.is_some();
-        errors.require(window, key("windowNs"), "is missing; a class by_key has one");
+        let has_window = class.effect != "by_key" || class.window_ns.is_some();
+        errors.require(has_window, key("windowNs"), "is missing; a class by_key has one");
     }
-    errors.reject_duplicates(c.tenants.iter().map(|t| t.name.as_str()), |i| {
-        format!("settings.tenants[{i}].name")
-    });
-    for (i, tenant) in c.tenants.iter().enumerate() {
+}
+
+fn check_tenants(tenants: &[TenantEntry], errors: &mut ConfigErrors) {
+    let names = tenants.iter().map(|t| t.name.as_str());
+    errors.reject_duplicates(names, |i| format!("settings.tenants[{i}].name"));
+    for (i, tenant) in tenants.iter().enumerate() {
         errors.require(tenant.quota_rps >= 0.0, format!("settings.tenants[{i}].quotaRps"), "is below 0");
     }
-    errors.require_one_of(c.family_info.fades.as_deref(), &["line", "halves"], "settings.familyInfo.fades");
-    errors.require(c.family_info.workers > 0, "settings.familyInfo.workers", "is 0; nothing would be sent");
-    errors.require(c.limits.max_pending > 0, "settings.limits.openCap", "is 0; nothing would be taken on");
-    errors.require(c.limits.max_attempts > 0, "settings.limits.mostTries", "is 0; nothing would be sent");
-    errors.require(c.n_instances > 0, "settings.nInstances", "is 0");
-    errors.require_one_of(c.registry_mode.as_deref(), &["pushed", "on_request"], "settings.registryMode");
-    let source = c.reporting.as_ref().map(|r| r.source.as_str());
+}
+
+fn check_family_info(info: &FamilyInfo, errors: &mut ConfigErrors) {
+    errors.require_one_of(info.fades.as_deref(), &["line", "halves"], "settings.familyInfo.fades");
+    errors.require(info.workers > 0, "settings.familyInfo.workers", "is 0; nothing would be sent");
+}
+
+fn check_limits(settings: &DeploymentFile, errors: &mut ConfigErrors) {
+    let limits = &settings.limits;
+    errors.require(limits.max_pending > 0, "settings.limits.openCap", "is 0; nothing would be taken on");
+    errors.require(limits.max_attempts > 0, "settings.limits.mostTries", "is 0; nothing would be sent");
+    errors.require(settings.forwarders > 0, "settings.nInstances", "is 0");
+}
+
+fn check_modes(settings: &DeploymentFile, errors: &mut ConfigErrors) {
+    let mode = settings.registry_mode.as_deref();
+    errors.require_one_of(mode, &["pushed", "on_request"], "settings.registryMode");
+    let source = settings.reporting.as_ref().map(|r| r.source.as_str());
     errors.require_one_of(source, &["inline", "on_probe", "off"], "settings.reporting.source");
-    errors.require_one_of(c.weight_kind.as_deref(), &["nominal", "rough", "off"], "settings.weightKind");
-    let zone = c.my_zone.unwrap_or(0) as usize;
-    errors.require(zone < c.localities.len().max(1), "settings.myZone", "is no place in localities");
-    errors.require(c.rules.cold_capacity_share > 0.0, "settings.rules.coldFrom", "is not above 0");
-    errors.require(c.rules.overload_multiple > 0.0, "settings.rules.fallMultiple", "is not above 0");
+    let weight_kind = settings.weight_kind.as_deref();
+    errors.require_one_of(weight_kind, &["nominal", "rough", "off"], "settings.weightKind");
 }
 
-fn group(known: &EndpointListUpdate, c: &Conf, errors: &mut ConfigErrors) {
-    errors.reject_duplicates(known.endpoints.iter().map(|t| t.uid.as_str()), |i| {
-        format!("known.targets[{i}].uid")
-    });
-    for (i, t) in known.endpoints.iter().enumerate() {
+/// Checks the endpoint list at the start, against the zones and kinds that the settings name.
+fn check_endpoints(known: &EndpointListUpdate, settings: &DeploymentFile, errors: &mut ConfigErrors) {
+    let uids = known.endpoints.iter().map(|e| e.uid.as_str());
+    errors.reject_duplicates(uids, |i| format!("known.targets[{i}].uid"));
+    for (i, endpoint) in known.endpoints.iter().enumerate() {
         let key = |k: &str| format!("known.targets[{i}].{k}");
-        errors.require(is_address(&t.address), key("endpoint"), format!("no address: {:?}", t.address));
-        errors.require_known(&t.zone, &c.localities, key("az"), "is not in settings.localities");
-        errors.require_known(&t.kind, &c.flavors, key("model"), "is not in settings.flavors");
-        errors.require_one_of(Some(&t.state), &["Ready", "Terminating", "Gone"], key("state"));
-        errors.require(t.rate.is_none_or(|c| c >= 0.0), key("capacity_hint"), "is below 0");
+        let address = &endpoint.address;
+        errors.require(is_host_and_port(address), key("endpoint"), format!("no address: {address:?}"));
+        errors.require_known(
+            &endpoint.zone,
+            &settings.localities,
+            key("az"),
+            "is not in settings.localities",
+        );
+        errors.require_known(&endpoint.kind, &settings.flavors, key("model"), "is not in settings.flavors");
+        errors.require_one_of(Some(&endpoint.state), &["Ready", "Terminating", "Gone"], key("state"));
+        let valid_rate = endpoint.rate.is_none_or(|rate| rate >= 0.0);
+        errors.require(valid_rate, key("capacity_hint"), "is below 0");
     }
 }
--- /dev/null
+++ b/src/settings/overrides.rs
@@ -0,0 +1,27 @@
+//! Values from the command line and the environment that take precedence over keys of the configuration file.
+use super::file::ConfigFile;
+use crate::flags::Run;
+
+/// What takes precedence over the file's keys. It is settled once, at the start, and stays in force over reloads.
+#[derive(Clone)]
+pub(super) struct CommandLineOverrides {
+    pub(super) name: Option<String>,
+    pub(super) listen: Option<String>,
+    pub(super) discovery: Option<String>,
+    pub(super) mgmt: Option<String>,
+}
+
+impl CommandLineOverrides {
+    /// The flags, and those variables that differ from the file's keys (see `Run::before`).
+    pub(super) fn new(run: &Run, file: &ConfigFile) -> CommandLineOverrides {
+        let listen = run.listen.map(|address| address.to_string());
+        let mgmt = run.mgmt.map(|address| address.to_string());
+        let mgmt_key = file.mgmt.as_deref().unwrap_or_default();
+        CommandLineOverrides {
+            name: run.before("name", run.name.clone(), &file.name),
+            listen: run.before("listen", listen, &file.listen),
+            discovery: run.before("discovery", run.discovery.clone(), &file.discovery),
+            mgmt: run.before("mgmt", mgmt, mgmt_key),
+        }
+    }
+}
