--- a/src/acme.rs
+++ b/src/acme.rs
@@ -1,4 +1,6 @@
-//! The certificate of the AS2 listener: ordered from an authority (RFC 8555), renewed, and swapped in place.
+//! The TLS certificate of the AS2 listener: ordered from an ACME authority (RFC 8555), renewed, and replaced while the
+//! listener runs.
+#![warn(missing_docs)]
 use crate::as2::AcmeSettings;
 use axum::extract::{Path, State};
 use axum::http::StatusCode;
@@ -8,39 +10,70 @@
 use hyper_util::client::legacy::Client;
 use hyper_util::rt::TokioExecutor;
 use instant_acme::{
-    Account, AuthorizationStatus, ChallengeType, Identifier, NewAccount, NewOrder, OrderStatus, RetryPolicy,
+    Account, AuthorizationStatus, ChallengeType, Identifier, NewAccount, NewOrder, Order, OrderStatus,
+    RetryPolicy,
 };
 use std::collections::BTreeMap;
-use std::path::PathBuf;
+use std::path::{Path as FilePath, PathBuf};
 use std::sync::{Arc, RwLock};
 use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio_rustls::rustls;
 use tokio_rustls::rustls::crypto::ring::{default_provider, sign::any_supported_type};
-use tokio_rustls::rustls::pki_types::pem::PemObject;
+use tokio_rustls::rustls::pki_types::pem::{self, PemObject};
 use tokio_rustls::rustls::pki_types::{CertificateDer, PrivateKeyDer};
 use tokio_rustls::rustls::server::{ClientHello, ResolvesServerCert};
 use tokio_rustls::rustls::sign::CertifiedKey;
 
-type Fault = Box<dyn std::error::Error + Send + Sync>;
+/// The file in the state directory with the last certificate and its key (PEM).
+const CERTIFICATE_FILE: &str = "certificate.pem";
 
-/// How long an authority may take to look at the proof, and to write the certificate.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// How long the authority may take to validate the challenge, and to issue the certificate.
+const POLL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Holds the certificate in use. Each new connection gets the one that is held at that moment.
+/// The shortest pause between two orders. Guards the authority against a pause of 0 in the settings.
+const MIN_PAUSE: Duration = Duration::from_millis(100);
+
+/// Why there is no new certificate. The present one stays in use, and the order is repeated after `acme.retry_s`.
+#[derive(Debug, thiserror::Error)]
+pub enum AcmeError {
+    /// The authority cannot be reached or has rejected a request: check `acme.directory` and `acme.domain`.
+    #[error(transparent)]
+    Protocol(#[from] instant_acme::Error),
+    /// The certificate's key cannot be used, or is not the certificate's: if it comes back, ask the authority's operator.
+    #[error(transparent)]
+    Tls(#[from] rustls::Error),
+    /// The certificate or its key is not PEM: if it comes back, ask the authority's operator.
+    #[error(transparent)]
+    Pem(#[from] pem::Error),
+    /// The PEM text has no certificate: if it comes back, ask the authority's operator.
+    #[error("no certificate came")]
+    NoCertificate,
+    /// The authority does not validate by HTTP-01 (RFC 8555, section 8.3): choose another one in `acme.directory`.
+    #[error("the authority offers no HTTP-01")]
+    NoHttp01Challenge,
+    /// The authority did not validate the domain: check that it can reach `acme.challenge_listen` on port 80 of the domain.
+    #[error("the order is {0:?}")]
+    OrderNotReady(OrderStatus),
+}
+
+/// The certificate in use. Each new connection gets the one that is stored at that time.
 #[derive(Debug, Default)]
 pub struct CertificateStore(RwLock<Option<Arc<CertifiedKey>>>);
 
 impl CertificateStore {
-    fn swap(&self, pem: &str) -> Result<(), Fault> {
+    /// Replaces the certificate with the chain and the key in a PEM text.
+    fn replace(&self, pem: &str) -> Result<(), AcmeError> {
         let chain = CertificateDer::pem_slice_iter(pem.as_bytes()).collect::<Result<Vec<_>, _>>()?;
         if chain.is_empty() {
-            return Err("no certificate came".into());
+            return Err(AcmeError::NoCertificate);
         }
         let key = any_supported_type(&PrivateKeyDer::from_pem_slice(pem.as_bytes())?)?;
         let certified = CertifiedKey::new(chain, key);
-        // Guards against a certificate that is not for this key: it would end every handshake.
+        // Guards against a certificate for another key: every handshake would fail.
         certified.keys_match()?;
-        if let Ok(mut held) = self.0.write() {
-            *held = Some(Arc::new(certified));
+        if let Ok(mut current) = self.0.write() {
+            *current = Some(Arc::new(certified));
         }
         Ok(())
     }
@@ -52,78 +85,119 @@
     }
 }
 
-type Proofs = Arc<RwLock<BTreeMap<String, String>>>;
+/// Key authorizations of the pending challenges, by token (RFC 8555, section 8.1).
+type Challenges = Arc<RwLock<BTreeMap<String, String>>>;
 
-/// Orders a certificate, and again each time that it is to be renewed. What fails leaves the old one in use.
-pub async fn run(acme: AcmeSettings, folder: PathBuf, keeper: Arc<CertificateStore>) {
-    // The last one outlives the process, so that a restart needs no authority.
-    let kept = folder.join("certificate.pem");
-    if let Some(Ok(())) = std::fs::read_to_string(&kept).ok().map(|pem| keeper.swap(&pem)) {
-        log::info!("ACME: the certificate kept from before is in use");
+/// Orders a certificate, and renews it for as long as the process runs. The last one is saved in `state_dir`, so that a
+/// restart does not depend on the authority. If an order fails, the present certificate stays in use.
+pub async fn run(settings: AcmeSettings, state_dir: PathBuf, store: Arc<CertificateStore>) {
+    let saved = state_dir.join(CERTIFICATE_FILE);
+    if load_saved(&saved, &store) {
+        log::info!("ACME: the saved certificate is in use");
+    }
+    let challenges = Challenges::default();
+    if let Err(error) = serve_challenges(&settings.challenge_listen, challenges.clone()).await {
+        let address = &settings.challenge_listen;
+        return log::error!("ACME: cannot listen for challenges on {address}: {error}");
     }
-    let proofs = Proofs::default();
-    let listener = match tokio::net::TcpListener::bind(&acme.challenge_listen).await {
-        Ok(listener) => listener,
-        Err(e) => return log::error!("ACME: no proof can be shown on {}: {e}", acme.challenge_listen),
-    };
-    let route =
-        Router::new().route("/.well-known/acme-challenge/{token}", get(proof)).with_state(proofs.clone());
-    tokio::spawn(async move { axum::serve(listener, route).await });
     loop {
-        let pause = match order(&acme, &proofs).await.and_then(|pem| keeper.swap(&pem).map(|()| pem)) {
+        let pause = match renew(&settings, &challenges, &store).await {
             Ok(pem) => {
-                log::info!("ACME: a new certificate for {} is in use", acme.domain);
-                if let Err(e) = std::fs::write(&kept, pem) {
-                    log::warn!("ACME: the certificate is not kept: {e}");
+                log::info!("ACME: a new certificate for {} is in use", settings.domain);
+                if let Err(error) = std::fs::write(&saved, pem) {
+                    log::warn!("ACME: the certificate is not saved: {error}");
                 }
-                acme.renew_s
+                settings.renew_s
             }
-            Err(e) => {
-                log::warn!("ACME: no new certificate, what is in use stays: {e}");
-                acme.retry_s
+            Err(error) => {
+                log::warn!("ACME: no new certificate, the present one stays in use: {error}");
+                settings.retry_s
             }
         };
-        tokio::time::sleep(Duration::from_secs_f64(pause.max(0.1))).await;
+        tokio::time::sleep(Duration::from_secs_f64(pause.max(MIN_PAUSE.as_secs_f64()))).await;
     }
 }
 
-async fn proof(State(proofs): State<Proofs>, Path(token): Path<String>) -> Result<String, StatusCode> {
-    proofs.read().ok().and_then(|p| p.get(&token).cloned()).ok_or(StatusCode::NOT_FOUND)
+/// Takes the saved certificate into use. Returns false if there is none that can be used.
+fn load_saved(path: &FilePath, store: &CertificateStore) -> bool {
+    let Ok(pem) = std::fs::read_to_string(path) else { return false };
+    store.replace(&pem).is_ok()
+}
+
+/// Listens for the authority's validation requests (RFC 8555, section 8.3) and answers them in a task of their own.
+async fn serve_challenges(address: &str, challenges: Challenges) -> std::io::Result<()> {
+    let listener = TcpListener::bind(address).await?;
+    let routes = Router::new()
+        .route("/.well-known/acme-challenge/{token}", get(key_authorization))
+        .with_state(challenges);
+    tokio::spawn(async move { axum::serve(listener, routes).await });
+    Ok(())
+}
+
+async fn key_authorization(
+    State(challenges): State<Challenges>, Path(token): Path<String>,
+) -> Result<String, StatusCode> {
+    let challenges = challenges.read().map_err(|_| StatusCode::NOT_FOUND)?;
+    challenges.get(&token).cloned().ok_or(StatusCode::NOT_FOUND)
+}
+
+/// Orders a certificate and takes it into use. Returns its chain and key as PEM.
+async fn renew(
+    settings: &AcmeSettings, challenges: &Challenges, store: &CertificateStore,
+) -> Result<String, AcmeError> {
+    let pem = order_certificate(settings, challenges).await?;
+    store.replace(&pem)?;
+    Ok(pem)
+}
+
+/// Goes through one order (RFC 8555, section 7.4). Returns the certificate's chain and its key as PEM.
+async fn order_certificate(settings: &AcmeSettings, challenges: &Challenges) -> Result<String, AcmeError> {
+    let account = account(&settings.directory).await?;
+    let names = [Identifier::Dns(settings.domain.clone())];
+    let mut order = account.new_order(&NewOrder::new(&names)).await?;
+    accept_challenges(&mut order, challenges).await?;
+    let poll = RetryPolicy::default().timeout(POLL_TIMEOUT);
+    match order.poll_ready(&poll).await? {
+        OrderStatus::Ready => {}
+        other => return Err(AcmeError::OrderNotReady(other)),
+    }
+    let key = order.finalize().await?;
+    let chain = order.poll_certificate(&poll).await?;
+    Ok(format!("{chain}\n{key}"))
 }
 
-/// One order, from the account to the certificate and its key, as PEM.
-async fn order(acme: &AcmeSettings, proofs: &Proofs) -> Result<String, Fault> {
+/// Creates an account for one order (RFC 8555, section 7.3).
+async fn account(directory: &str) -> Result<Account, AcmeError> {
     let connector = HttpsConnectorBuilder::new()
         .with_provider_and_webpki_roots(default_provider())?
         .https_or_http()
         .enable_http1()
         .build();
     let http = Box::new(Client::builder(TokioExecutor::new()).build(connector));
-    let who = NewAccount { contact: &[], terms_of_service_agreed: true, only_return_existing: false };
-    let (account, _) = Account::builder_with_http(http).create(&who, acme.directory.clone(), None).await?;
-    let names = [Identifier::Dns(acme.domain.clone())];
-    let mut order = account.new_order(&NewOrder::new(&names)).await?;
+    let new_account = NewAccount { contact: &[], terms_of_service_agreed: true, only_return_existing: false };
+    let builder = Account::builder_with_http(http);
+    let (account, _credentials) = builder.create(&new_account, directory.to_string(), None).await?;
+    Ok(account)
+}
+
+/// Publishes the key authorization of each pending challenge and asks the authority to validate it (RFC 8555, section
+/// 7.5.1).
+async fn accept_challenges(order: &mut Order, challenges: &Challenges) -> Result<(), AcmeError> {
     let mut authorizations = order.authorizations();
     while let Some(authorization) = authorizations.next().await {
         let mut authorization = authorization?;
         if authorization.status == AuthorizationStatus::Valid {
             continue;
         }
-        let mut challenge =
-            authorization.challenge(ChallengeType::Http01).ok_or("the authority offers no HTTP-01")?;
-        let (token, text) = (challenge.token.clone(), challenge.key_authorization().as_str().to_string());
-        if let Ok(mut proofs) = proofs.write() {
-            proofs.clear();
-            proofs.insert(token, text);
+        let challenge = authorization.challenge(ChallengeType::Http01);
+        let mut challenge = challenge.ok_or(AcmeError::NoHttp01Challenge)?;
+        let key_authorization = challenge.key_authorization().as_str().to_string();
+        if let Ok(mut challenges) = challenges.write() {
+            // An order has one domain, so earlier tokens are no longer asked for.
+            challenges.clear();
+            challenges.insert(challenge.token.clone(), key_authorization);
         }
         challenge.set_ready().await?;
     }
-    let patience = RetryPolicy::default().timeout(PATIENCE);
-    match order.poll_ready(&patience).await? {
-        OrderStatus::Ready => {}
-        other => return Err(format!("the order is {other:?}").into()),
-    }
-    let key = order.finalize().await?;
-    let chain = order.poll_certificate(&patience).await?;
-    Ok(format!("{chain}\n{key}"))
+    Ok(())
 }
--- a/src/as2/check.rs
+++ b/src/as2/check.rs
@@ -1,86 +1,109 @@
-//! What is wrong in the file of AS2 partners: keys that nobody knows, partners that lead nowhere, certificates and
-//! keys that cannot be read or do not belong together.
-use super::File;
+//! Reports all errors in the AS2 settings file: unknown keys, malformed addresses, and certificates and keys that cannot be
+//! read or parsed.
+use super::file::{AcmeSettings, As2File, PartnerEntry};
+use super::key_dir;
+use super::smime::Identity;
 use crate::config_error::{ConfigError, ConfigErrors};
 use crate::settings::DeploymentSettings;
 use der::DecodePem;
 use hyper::Uri;
+use std::io::ErrorKind;
 use std::path::Path;
 use x509_cert::Certificate;
 
-/// All that is wrong in the file; nothing where there is none. `site` are the settings whose names it uses, where
-/// they can be read.
-pub fn check_file(path: &Path, site: Option<&DeploymentSettings>) -> Vec<ConfigError> {
+/// Checks the file and returns all errors; none if there is no file. `deployment` has the names of classes and tenants to
+/// which the file refers; `None` if the configuration cannot be parsed.
+pub fn check_file(path: &Path, deployment: Option<&DeploymentSettings>) -> Vec<ConfigError> {
     let mut errors = ConfigErrors::new(path);
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
-        Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Vec::new(),
-        Err(e) => {
-            errors.add("", e);
+        Err(error) if error.kind() == ErrorKind::NotFound => return Vec::new(),
+        Err(error) => {
+            errors.add("", error);
             return errors.errors;
         }
     };
-    let Some(file) = errors.parse_json::<File>(&text, &[]) else { return errors.errors };
+    let Some(file) = errors.parse_json::<As2File>(&text, &[]) else { return errors.errors };
     errors.require_socket_address(&file.listen, "listen");
-    url(Some(&file.receipt_url), "receipt_url", &mut errors);
-    let folder = path.parent().unwrap_or(Path::new("."));
+    check_url(Some(&file.receipt_url), "receipt_url", &mut errors);
+    let key_dir = key_dir(path);
     if file.enabled {
-        match std::fs::read_to_string(folder.join(&file.key)) {
-            Err(e) => errors.add("key", format!("{}: {e}", file.key)),
-            Ok(key) => {
-                if let Some(certificate) = certificate(folder, &file.certificate, "certificate", &mut errors)
-                {
-                    if let Err(e) = super::Identity::new(&key, certificate) {
-                        errors.add("key", format!("{}: {e}", file.key));
-                    }
-                }
-            }
-        }
+        check_identity(&file, key_dir, &mut errors);
     }
     if let Some(acme) = &file.acme {
-        url(Some(&acme.directory), "acme.directory", &mut errors);
-        errors.require_socket_address(&acme.challenge_listen, "acme.challenge_listen");
-        errors.require(acme.renew_s > 0.0, "acme.renew_s", "is not above 0");
-        errors.require(acme.retry_s > 0.0, "acme.retry_s", "is not above 0");
+        check_acme(acme, &mut errors);
     }
-    errors
-        .reject_duplicates(file.partners.iter().map(|p| p.name.as_str()), |i| format!("partners[{i}].name"));
-    for (i, p) in file.partners.iter().enumerate() {
-        let key = |k: &str| format!("partners[{i}].{k}");
-        certificate(folder, &p.certificate, &key("certificate"), &mut errors);
-        url(p.url.as_deref(), &key("url"), &mut errors);
-        url(p.receipts_to.as_deref(), &key("receipts_to"), &mut errors);
-        errors.require_one_of(p.receipt.as_deref(), &["sync", "async"], key("receipt"));
-        errors.require(
-            p.dest.is_none() || p.url.is_some(),
-            key("url"),
-            "is missing; a partner with a dest has one",
-        );
-        errors.require(p.rate.is_none_or(|r| r >= 0.0), key("rate"), "is below 0");
-        let in_full = [p.class.is_some(), p.tenant.is_some(), p.forward_to.is_some()];
-        let none = !in_full.contains(&true);
-        let complete = !in_full.contains(&false);
-        errors.require(none || complete, key("forward_to"), "class, tenant and forward_to go together");
-        let Some(site) = site else { continue };
-        errors.require_known(&p.class, &site.classes, key("class"), "is no class of the configuration");
-        errors.require_known(&p.tenant, &site.tenants, key("tenant"), "is no tenant of the configuration");
+    let names = file.partners.iter().map(|p| p.name.as_str());
+    errors.reject_duplicates(names, |i| format!("partners[{i}].name"));
+    for (index, partner) in file.partners.iter().enumerate() {
+        check_partner(index, partner, key_dir, deployment, &mut errors);
     }
     errors.errors
 }
 
-fn certificate(folder: &Path, name: &str, key: &str, errors: &mut ConfigErrors) -> Option<Certificate> {
-    let read = std::fs::read_to_string(folder.join(name)).map_err(|e| e.to_string());
-    match read.and_then(|pem| Certificate::from_pem(pem).map_err(|e| e.to_string())) {
+fn check_identity(file: &As2File, key_dir: &Path, errors: &mut ConfigErrors) {
+    let key = match std::fs::read_to_string(key_dir.join(&file.key)) {
+        Ok(key) => key,
+        Err(error) => return errors.add("key", format!("{}: {error}", file.key)),
+    };
+    let Some(certificate) = check_certificate(key_dir, &file.certificate, "certificate", errors) else {
+        return;
+    };
+    if let Err(error) = Identity::new(&key, certificate) {
+        errors.add("key", format!("{}: {error}", file.key));
+    }
+}
+
+fn check_acme(acme: &AcmeSettings, errors: &mut ConfigErrors) {
+    check_url(Some(&acme.directory), "acme.directory", errors);
+    errors.require_socket_address(&acme.challenge_listen, "acme.challenge_listen");
+    errors.require(acme.renew_s > 0.0, "acme.renew_s", "is not above 0");
+    errors.require(acme.retry_s > 0.0, "acme.retry_s", "is not above 0");
+}
+
+fn check_partner(
+    index: usize, partner: &PartnerEntry, key_dir: &Path, deployment: Option<&DeploymentSettings>,
+    errors: &mut ConfigErrors,
+) {
+    let key = |k: &str| format!("partners[{index}].{k}");
+    check_certificate(key_dir, &partner.certificate, &key("certificate"), errors);
+    check_url(partner.url.as_deref(), &key("url"), errors);
+    check_url(partner.receipts_to.as_deref(), &key("receipts_to"), errors);
+    errors.require_one_of(partner.receipt.as_deref(), &["sync", "async"], key("receipt"));
+    let has_url = partner.dest.is_none() || partner.url.is_some();
+    errors.require(has_url, key("url"), "is missing; a partner with a dest has one");
+    errors.require(partner.rate.is_none_or(|r| r >= 0.0), key("rate"), "is below 0");
+    let for_incoming = [partner.class.is_some(), partner.tenant.is_some(), partner.forward_to.is_some()];
+    let all_or_none = for_incoming.iter().all(|p| *p) || for_incoming.iter().all(|p| !p);
+    errors.require(all_or_none, key("forward_to"), "class, tenant and forward_to go together");
+    let Some(deployment) = deployment else { return };
+    let (classes, tenants) = (&deployment.classes, &deployment.tenants);
+    errors.require_known(&partner.class, classes, key("class"), "is no class of the configuration");
+    errors.require_known(&partner.tenant, tenants, key("tenant"), "is no tenant of the configuration");
+}
+
+fn check_certificate(
+    key_dir: &Path, name: &str, key: &str, errors: &mut ConfigErrors,
+) -> Option<Certificate> {
+    let pem = match std::fs::read_to_string(key_dir.join(name)) {
+        Ok(pem) => pem,
+        Err(error) => {
+            errors.add(key, format!("{name}: {error}"));
+            return None;
+        }
+    };
+    match Certificate::from_pem(pem) {
         Ok(certificate) => Some(certificate),
-        Err(e) => {
-            errors.add(key, format!("{name}: {e}"));
+        Err(error) => {
+            errors.add(key, format!("{name}: {error}"));
             None
         }
     }
 }
 
-fn url(text: Option<&str>, key: &str, errors: &mut ConfigErrors) {
+/// An absent or empty URL is valid.
+fn check_url(text: Option<&str>, key: &str, errors: &mut ConfigErrors) {
     let Some(text) = text.filter(|t| !t.is_empty()) else { return };
-    let good = text.parse::<Uri>().is_ok_and(|u| u.host().is_some() && u.scheme().is_some());
-    errors.require(good, key, format!("not a URL with scheme and host: {text:?}"));
+    let valid = text.parse::<Uri>().is_ok_and(|url| url.host().is_some() && url.scheme().is_some());
+    errors.require(valid, key, format!("not a URL with scheme and host: {text:?}"));
 }
--- /dev/null
+++ b/src/as2/file.rs
@@ -0,0 +1,62 @@
+//! The format of the AS2 settings file (JSON).
+use miniserde::Deserialize;
+
+/// The whole file. The AS2 front is off unless `enabled` is true.
+#[derive(Deserialize, serde::Deserialize)]
+pub(super) struct As2File {
+    pub(super) enabled: bool,
+    /// Where partners connect, `IP:PORT`.
+    pub(super) listen: String,
+    /// Our AS2 name (`AS2-From` and `AS2-To`; RFC 4130, section 6.2).
+    pub(super) name: String,
+    /// Our private key (PKCS #8 PEM); relative to the file's directory.
+    pub(super) key: String,
+    /// Our certificate (PEM); relative to the file's directory.
+    pub(super) certificate: String,
+    /// Where partners send their asynchronous receipts.
+    pub(super) receipt_url: String,
+    pub(super) partners: Vec<PartnerEntry>,
+    pub(super) acme: Option<AcmeSettings>,
+}
+
+/// `acme`: the authority that issues the listener's TLS certificate. Without it, the listener speaks plain HTTP.
+#[derive(Deserialize, serde::Deserialize, Clone)]
+pub struct AcmeSettings {
+    /// URL of the authority's directory (RFC 8555, section 7.1.1).
+    pub directory: String,
+    /// The domain name that the certificate is for.
+    pub domain: String,
+    /// Where the authority validates our HTTP-01 challenge, `IP:PORT` (RFC 8555, section 8.3).
+    pub challenge_listen: String,
+    /// Seconds from one renewal to the next.
+    pub renew_s: f64,
+    /// Seconds from a failed renewal to the next attempt.
+    pub retry_s: f64,
+}
+
+/// `partners[]`: a trading partner.
+#[derive(Deserialize, serde::Deserialize)]
+pub(super) struct PartnerEntry {
+    /// The partner's AS2 name.
+    pub(super) name: String,
+    /// The partner's certificate (PEM); relative to the file's directory.
+    pub(super) certificate: String,
+    /// Messages to the partner: its URL.
+    pub(super) url: Option<String>,
+    /// Messages to the partner: the destination that it serves.
+    pub(super) dest: Option<u64>,
+    /// Messages to the partner: its nominal capacity in messages per second.
+    pub(super) rate: Option<f64>,
+    /// Messages to the partner: whether they are encrypted.
+    pub(super) encrypt: Option<bool>,
+    /// Messages to the partner: how it returns its receipts, `sync` or `async`.
+    pub(super) receipt: Option<String>,
+    /// Messages from the partner: their class.
+    pub(super) class: Option<String>,
+    /// Messages from the partner: their tenant.
+    pub(super) tenant: Option<String>,
+    /// Messages from the partner: the destination to which they are forwarded.
+    pub(super) forward_to: Option<u64>,
+    /// Messages from the partner: the URL for asynchronous receipts.
+    pub(super) receipts_to: Option<String>,
+}
--- a/src/as2/mod.rs
+++ b/src/as2/mod.rs
@@ -1,74 +1,46 @@
-//! What both sides of the AS2 front share (RFC 4130): its partners, S/MIME and receipts.
+//! What both directions of AS2 (RFC 4130) share: our settings and partners, S/MIME (RFC 8551) and receipts, that is
+//! message disposition notifications or MDNs (RFC 8098).
+#![warn(missing_docs)]
 pub mod check;
+mod error;
+mod file;
 pub mod mdn;
+mod mime;
 pub mod smime;
 
+pub use error::As2Error;
+pub use file::AcmeSettings;
+
 use crate::config_error::explain_parse_failure;
 use crate::core::Endpoint;
 use crate::EndpointState;
 use der::DecodePem;
-use miniserde::{json, Deserialize};
+use file::{As2File, PartnerEntry};
+use miniserde::json;
 use smime::Identity;
-use std::error::Error;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use x509_cert::Certificate;
 
-const PREFIX: &str = "as2:";
-
-/// The AS2 front's file. It is off unless `enabled` says otherwise.
-#[derive(Deserialize, serde::Deserialize)]
-struct File {
-    enabled: bool,
-    listen: String,
-    name: String,
-    key: String,
-    certificate: String,
-    receipt_url: String,
-    partners: Vec<FilePartner>,
-    acme: Option<AcmeSettings>,
-}
-
-/// From whom the listener's TLS certificate comes. Without it, the listener speaks plain HTTP.
-#[derive(Deserialize, serde::Deserialize, Clone)]
-pub struct AcmeSettings {
-    pub directory: String,
-    pub domain: String,
-    /// Where the authority finds the proof (HTTP-01).
-    pub challenge_listen: String,
-    /// Seconds from one renewal to the next, and after a failed one.
-    pub renew_s: f64,
-    pub retry_s: f64,
-}
+/// Prefix of the uid and the address of an endpoint that is an AS2 partner.
+const ENDPOINT_PREFIX: &str = "as2:";
 
-#[derive(Deserialize, serde::Deserialize)]
-struct FilePartner {
-    name: String,
-    certificate: String,
-    /// Messages to this partner: where, to which of our dests, how many a second.
-    url: Option<String>,
-    dest: Option<u64>,
-    rate: Option<f64>,
-    encrypt: Option<bool>,
-    /// `sync` or `async`.
-    receipt: Option<String>,
-    /// Messages from this partner: what they are to us, and where their receipts go if they are asked for later.
-    class: Option<String>,
-    tenant: Option<String>,
-    forward_to: Option<u64>,
-    receipts_to: Option<String>,
-}
-
-/// The AS2 front's settings, read once.
+/// The settings of the AS2 front, with its keys and certificates loaded.
 pub struct As2Settings {
+    /// Where partners connect, `IP:PORT`.
     pub listen: String,
+    /// Our AS2 name.
     pub name: String,
+    /// Our private key and certificate.
     pub identity: Identity,
+    /// Where partners send their asynchronous receipts.
     pub mdn_url: String,
+    /// The trading partners.
     pub partners: Vec<Partner>,
+    /// The authority that issues the listener's TLS certificate; `None`: the listener speaks plain HTTP.
     pub acme: Option<AcmeSettings>,
 }
 
-/// How a partner returns the receipt (MDN) for a message sent to it (RFC 4130, section 7).
+/// How a partner returns the receipt (MDN) for a message that was sent to it (RFC 4130, section 7.1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MdnDelivery {
     /// In the response to the message's own HTTP request.
@@ -77,18 +49,30 @@
     Asynchronous,
 }
 
+/// A trading partner.
 pub struct Partner {
+    /// The partner's AS2 name.
     pub name: String,
+    /// The certificate that verifies the partner's signatures and encrypts messages to it.
     pub certificate: Certificate,
+    /// Where messages to the partner are posted; empty if it only sends.
     pub url: String,
-    pub dest: Option<u64>,
+    /// The destination that the partner serves; `None` if it only sends.
+    pub destination: Option<u64>,
+    /// The partner's nominal capacity in messages per second.
     pub rate: f64,
+    /// Whether messages to the partner are encrypted.
     pub encrypt: bool,
+    /// How the partner returns its receipts.
     pub mdn_delivery: MdnDelivery,
+    /// The class of messages from the partner.
     pub class: Option<String>,
+    /// The tenant of messages from the partner.
     pub tenant: Option<String>,
+    /// The destination to which messages from the partner are forwarded.
     pub forward_to: Option<u64>,
-    pub receipts_to: Option<String>,
+    /// Where asynchronous receipts for the partner's messages are posted.
+    pub mdn_url: Option<String>,
 }
 
 impl Partner {
@@ -96,74 +80,127 @@
     pub fn is_mdn_asynchronous(&self) -> bool {
         self.mdn_delivery == MdnDelivery::Asynchronous
     }
+
+    /// The partner as an endpoint; `None` if no messages go to it.
+    fn endpoint(&self) -> Option<Endpoint> {
+        let uid = format!("{ENDPOINT_PREFIX}{}", self.name);
+        Some(Endpoint {
+            address: uid.clone(),
+            uid,
+            zone: 0,
+            kind: 0,
+            dest: self.destination?,
+            state: EndpointState::Running,
+            rate: self.rate,
+        })
+    }
 }
 
 impl As2Settings {
-    /// Reads the file; none if there is none or it says that the front is off.
+    /// Loads the settings file and the keys and certificates that it names. Returns `None` if there is no readable file or
+    /// the front is not enabled.
     ///
     /// # Errors
     ///
-    /// A file, a key or a certificate that cannot be read, named.
-    pub fn load(path: &Path) -> Result<Option<As2Settings>, Box<dyn Error>> {
+    /// The file cannot be parsed, or a key or certificate cannot be read or parsed.
+    pub fn load(path: &Path) -> Result<Option<As2Settings>, As2Error> {
         let Ok(text) = std::fs::read_to_string(path) else { return Ok(None) };
-        let file: File = json::from_str(&text).map_err(|_| explain_parse_failure::<File>(path, &text))?;
+        let file: As2File = json::from_str(&text)
+            .map_err(|_| As2Error::Parse(explain_parse_failure::<As2File>(path, &text)))?;
         if !file.enabled {
             return Ok(None);
         }
-        // Keys lie beside the file unless they say where.
-        let folder = path.parent().unwrap_or(Path::new("."));
-        let read = |name: &str| {
-            std::fs::read_to_string(folder.join(name)).map_err(|e| format!("{}: {name}: {e}", path.display()))
-        };
-        let certificate = |name: &str| -> Result<Certificate, Box<dyn Error>> {
-            Certificate::from_pem(read(name)?).map_err(|e| format!("{}: {name}: {e}", path.display()).into())
-        };
-        let identity = Identity::new(&read(&file.key)?, certificate(&file.certificate)?)?;
-        let mut partners = Vec::new();
-        for p in file.partners {
-            partners.push(Partner {
-                certificate: certificate(&p.certificate)?,
-                name: p.name,
-                url: p.url.unwrap_or_default(),
-                dest: p.dest,
-                rate: p.rate.unwrap_or(0.0),
-                encrypt: p.encrypt.unwrap_or(false),
-                mdn_delivery: match p.receipt.as_deref() {
-                    Some("async") => MdnDelivery::Asynchronous,
-                    _ => MdnDelivery::Synchronous,
-                },
-                class: p.class,
-                tenant: p.tenant,
-                forward_to: p.forward_to,
-                receipts_to: p.receipts_to,
-            });
-        }
-        let File { listen, name, receipt_url, acme, .. } = file;
-        Ok(Some(As2Settings { listen, name, identity, mdn_url: receipt_url, partners, acme }))
+        let loader = KeyLoader { settings: path };
+        let identity = loader.identity(&file.key, &file.certificate)?;
+        let partners = file.partners.into_iter().map(|entry| loader.partner(entry));
+        Ok(Some(As2Settings {
+            listen: file.listen,
+            name: file.name,
+            identity,
+            mdn_url: file.receipt_url,
+            partners: partners.collect::<Result<_, _>>()?,
+            acme: file.acme,
+        }))
     }
 
+    /// The partner with this AS2 name.
     pub fn partner(&self, name: &str) -> Option<&Partner> {
         self.partners.iter().find(|p| p.name == name)
     }
 
-    /// Partners to which messages go, as members of the upstream group.
+    /// The partners to which messages go, as endpoints.
     pub fn endpoints(&self) -> Vec<Endpoint> {
-        let member = |p: &Partner| {
-            Some(Endpoint {
-                uid: format!("{PREFIX}{}", p.name),
-                address: format!("{PREFIX}{}", p.name),
-                zone: 0,
-                kind: 0,
-                dest: p.dest?,
-                state: EndpointState::Running,
-                rate: p.rate,
-            })
-        };
-        self.partners.iter().filter_map(member).collect()
+        self.partners.iter().filter_map(Partner::endpoint).collect()
     }
 
-    /// The partner that an address of the upstream group stands for.
+    /// The partner for which an endpoint's address stands; `None` for an address of the platform.
     pub fn partner_at(&self, address: &str) -> Option<&Partner> {
-        self.partner(address.strip_prefix(PREFIX)?)
+        let name = address.strip_prefix(ENDPOINT_PREFIX)?;
+        self.partner(name)
+    }
+}
+
+/// The directory to which file names in the settings are relative.
+fn key_dir(settings: &Path) -> &Path {
+    settings.parent().unwrap_or(Path::new("."))
+}
+
+/// Loads the keys and certificates that the settings file names.
+struct KeyLoader<'a> {
+    settings: &'a Path,
+}
+
+impl KeyLoader<'_> {
+    fn settings(&self) -> PathBuf {
+        self.settings.to_path_buf()
+    }
+
+    fn read(&self, name: &str) -> Result<String, As2Error> {
+        let path = key_dir(self.settings).join(name);
+        std::fs::read_to_string(path).map_err(|source| As2Error::Read {
+            settings: self.settings(),
+            name: name.to_string(),
+            source,
+        })
+    }
+
+    fn certificate(&self, name: &str) -> Result<Certificate, As2Error> {
+        let pem = self.read(name)?;
+        Certificate::from_pem(pem).map_err(|source| As2Error::Certificate {
+            settings: self.settings(),
+            name: name.to_string(),
+            source,
+        })
+    }
+
+    fn identity(&self, key: &str, certificate: &str) -> Result<Identity, As2Error> {
+        let pem = self.read(key)?;
+        let certificate = self.certificate(certificate)?;
+        Identity::new(&pem, certificate).map_err(|source| As2Error::PrivateKey {
+            settings: self.settings(),
+            name: key.to_string(),
+            source,
+        })
+    }
+
+    fn partner(&self, entry: PartnerEntry) -> Result<Partner, As2Error> {
+        let certificate = self.certificate(&entry.certificate)?;
+        let mdn_delivery = match entry.receipt.as_deref() {
+            Some("async") => MdnDelivery::Asynchronous,
+            _ => MdnDelivery::Synchronous,
+        };
+        Ok(Partner {
+            name: entry.name,
+            certificate,
+            url: entry.url.unwrap_or_default(),
+            destination: entry.dest,
+            rate: entry.rate.unwrap_or(0.0),
+            encrypt: entry.encrypt.unwrap_or(false),
+            mdn_delivery,
+            class: entry.class,
+            tenant: entry.tenant,
+            forward_to: entry.forward_to,
+            mdn_url: entry.receipts_to,
+        })
     }
 }
--- /dev/null
+++ b/src/client/as2/mdn.rs
@@ -0,0 +1,210 @@
+//! Our receipts (MDNs) for partners' messages: in the response to the message, or in an HTTP request of their own (RFC
+//! 4130, section 7.1).
+use super::As2Front;
+use crate::as2::mdn::{self, Mdn};
+use crate::as2::smime::{Entity, SmimeError};
+use crate::as2::{As2Error, As2Settings, MdnDelivery, Partner};
+use crate::core::Callback;
+use crate::exchange::Exchange;
+use crate::journal::Completion;
+use axum::body::Bytes;
+use axum::http::header::CONTENT_TYPE;
+use axum::http::StatusCode;
+use axum::response::{IntoResponse, Response};
+use http_body_util::Full;
+use hyper::Request;
+use hyper_util::client::legacy::connect::HttpConnector;
+use hyper_util::client::legacy::Client;
+use hyper_util::rt::TokioExecutor;
+use miniserde::{json, Deserialize, Serialize};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::mpsc::UnboundedReceiver;
+use tokio::time::{sleep, timeout};
+
+/// How often a receipt is sent to a partner that does not accept it: for a minute, and longer if the partner is slow.
+const MAX_ATTEMPTS: u32 = 60;
+/// Pause between two attempts.
+const ATTEMPT_PAUSE: Duration = Duration::from_secs(1);
+/// How long an attempt may take.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(2);
+
+type HttpClient = Client<HttpConnector, Full<Bytes>>;
+
+/// Why no asynchronous receipt is sent for a message. Its partner has to be told by other means.
+#[derive(Debug, thiserror::Error)]
+enum MdnError {
+    /// The journal's record of the message is damaged: keep the journal, and report it.
+    #[error("the stored origin cannot be parsed")]
+    InvalidOrigin,
+    /// The partner was removed from the AS2 settings since the message came.
+    #[error("its sender is no longer a partner")]
+    UnknownPartner,
+    /// `receipts_to` was removed from the partner's settings since the message came.
+    #[error("its sender no longer has a receipt URL")]
+    NoMdnUrl,
+    /// The receipt cannot be signed: check our key.
+    #[error(transparent)]
+    Compose(#[from] As2Error),
+}
+
+/// What is stored with a message whose receipt is sent once the message is complete. It is in the journal's format, so its
+/// keys stay.
+#[derive(Serialize, Deserialize)]
+pub(super) struct Origin {
+    /// The sender's AS2 name.
+    pub(super) partner: String,
+    /// The message's `Message-ID`.
+    pub(super) message: String,
+    /// The message integrity check.
+    pub(super) mic: String,
+    /// Whether a signed receipt was requested.
+    pub(super) signed: bool,
+}
+
+/// The receipt that a message requests.
+pub(super) struct MdnRequest<'a> {
+    /// The message's sender.
+    pub(super) partner: &'a Partner,
+    /// The message's `Message-ID`.
+    pub(super) message_id: &'a str,
+    /// Whether a receipt is requested at all.
+    pub(super) requested: bool,
+    /// Whether the receipt is signed.
+    pub(super) signed: bool,
+    /// In the response or in a request of its own.
+    pub(super) delivery: MdnDelivery,
+}
+
+impl MdnRequest<'_> {
+    pub(super) fn is_asynchronous(&self) -> bool {
+        self.delivery == MdnDelivery::Asynchronous
+    }
+}
+
+/// What became of a message.
+#[derive(Clone, Copy)]
+pub(super) enum MdnOutcome {
+    Processed,
+    /// Its signature or encryption is not valid.
+    Rejected(SmimeError),
+    /// It cannot be delivered.
+    Failed,
+}
+
+impl MdnOutcome {
+    /// The disposition type with its modifier (RFC 4130, section 7.4.3).
+    fn disposition(self) -> String {
+        match self {
+            MdnOutcome::Processed => "processed".to_string(),
+            MdnOutcome::Rejected(error) => format!("processed/error: {}", error.disposition_modifier()),
+            MdnOutcome::Failed => "processed/error: unexpected-processing-error".to_string(),
+        }
+    }
+
+    /// The response's status if no receipt is requested.
+    fn status(self) -> StatusCode {
+        match self {
+            MdnOutcome::Processed => StatusCode::OK,
+            MdnOutcome::Rejected(_) | MdnOutcome::Failed => StatusCode::BAD_REQUEST,
+        }
+    }
+}
+
+impl As2Front {
+    /// The response to a message, with the receipt if it is synchronous. An asynchronous one is sent by a task of its own.
+    pub(super) fn mdn_response(
+        &self, request: &MdnRequest, outcome: MdnOutcome, mic: Option<String>,
+    ) -> Response {
+        if !request.requested {
+            return outcome.status().into_response();
+        }
+        let message_id = request.message_id;
+        let entity = match compose(&self.settings, message_id, outcome, mic, request.signed) {
+            Ok(entity) => entity,
+            Err(error) => {
+                log::error!("AS2: no receipt for {message_id}: {error}");
+                return StatusCode::INTERNAL_SERVER_ERROR.into_response();
+            }
+        };
+        if !request.is_asynchronous() {
+            return ([(CONTENT_TYPE, entity.content_type)], entity.body).into_response();
+        }
+        if let Some(url) = request.partner.mdn_url.clone() {
+            let (message_id, settings) = (message_id.to_string(), self.settings.clone());
+            tokio::spawn(async move { deliver(&http_client(), &settings, &url, &message_id, entity).await });
+        }
+        StatusCode::OK.into_response()
+    }
+}
+
+/// Sends the asynchronous receipts of messages that are complete, for as long as the process runs. The exchange is told
+/// once a receipt needs no further attempt.
+pub async fn send_mdns(
+    settings: Arc<As2Settings>, exchange: Exchange, mut callbacks: UnboundedReceiver<Callback>,
+) {
+    let client = http_client();
+    while let Some(callback) = callbacks.recv().await {
+        let (settings, exchange, client) = (settings.clone(), exchange.clone(), client.clone());
+        // A partner that cannot be reached must not delay the others' receipts.
+        tokio::spawn(async move {
+            if let Err(error) = send_mdn(&client, &settings, &callback).await {
+                log::error!("AS2: no receipt for {}: {error}", callback.name);
+            }
+            exchange.callback_acknowledged(callback.id);
+        });
+    }
+}
+
+async fn send_mdn(client: &HttpClient, settings: &As2Settings, callback: &Callback) -> Result<(), MdnError> {
+    let origin: Origin = json::from_str(&callback.origin).map_err(|_| MdnError::InvalidOrigin)?;
+    let partner = settings.partner(&origin.partner).ok_or(MdnError::UnknownPartner)?;
+    let url = partner.mdn_url.as_deref().ok_or(MdnError::NoMdnUrl)?;
+    let outcome = match callback.end {
+        Completion::Delivered => MdnOutcome::Processed,
+        _ => MdnOutcome::Failed,
+    };
+    let entity = compose(settings, &origin.message, outcome, Some(origin.mic), origin.signed)?;
+    deliver(client, settings, url, &origin.message, entity).await;
+    Ok(())
+}
+
+fn compose(
+    settings: &As2Settings, message_id: &str, outcome: MdnOutcome, mic: Option<String>, signed: bool,
+) -> Result<Entity, As2Error> {
+    let mdn = Mdn {
+        original_message_id: message_id.to_string(),
+        disposition: outcome.disposition(),
+        received_content_mic: mic,
+    };
+    let signer = signed.then_some(&settings.identity);
+    mdn::compose(&mdn, &settings.name, signer)
+}
+
+fn http_client() -> HttpClient {
+    Client::builder(TokioExecutor::new()).build_http()
+}
+
+/// Sends a receipt until the partner accepts it, or [`MAX_ATTEMPTS`] have failed.
+async fn deliver(client: &HttpClient, settings: &As2Settings, url: &str, message_id: &str, entity: Entity) {
+    let body: Bytes = entity.body.into();
+    for _ in 0..MAX_ATTEMPTS {
+        let request = Request::post(url)
+            .header("as2-version", "1.2")
+            .header("as2-from", &settings.name)
+            .header("mime-version", "1.0")
+            .header(CONTENT_TYPE, &entity.content_type)
+            .body(Full::new(body.clone()));
+        let Ok(request) = request else { return log::error!("AS2: receipts cannot be sent to {url}") };
+        match timeout(ATTEMPT_TIMEOUT, client.request(request)).await {
+            Ok(Ok(response)) if response.status().is_success() => return,
+            Ok(Ok(response)) => {
+                log::warn!("AS2: receipt for {message_id} answered with {}", response.status());
+            }
+            Ok(Err(error)) => log::warn!("AS2: receipt for {message_id}: {error}"),
+            Err(_) => log::warn!("AS2: receipt for {message_id} timed out"),
+        }
+        sleep(ATTEMPT_PAUSE).await;
+    }
+    log::error!("AS2: receipt for {message_id} given up");
+}
--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -1,9 +1,11 @@
-//! Client connections: accepted, limited and served. What is said on them is each protocol's own.
+//! Client connections: accepted, limited, served and closed, over all listeners.
 //!
-//! `limiter` bounds how many there are, `connection` serves one, `socket` closes it in order, `head` scans what hyper
-//! does not show.
+//! `limiter` bounds their number, `connection` serves one, `socket` closes it without losing a response, `head` scans
+//! what hyper does not show. [`platform`] and [`as2`] are the protocols, `error` has the responses to invalid requests.
+#![warn(missing_docs)]
 pub mod as2;
 mod connection;
+mod error;
 mod head;
 mod limiter;
 pub mod platform;
@@ -12,6 +14,7 @@
 mod tests;
 
 pub use connection::Limits;
+pub use error::ClientError;
 pub use limiter::{ConnectionLimiter, ConnectionPermit};
 
 use axum::Router;
@@ -24,46 +27,55 @@
 use tokio::time::timeout;
 use tokio_rustls::rustls::crypto::ring::default_provider;
 use tokio_rustls::rustls::server::ResolvesServerCert;
-use tokio_rustls::rustls::ServerConfig;
+use tokio_rustls::rustls::{self, ServerConfig};
 use tokio_rustls::TlsAcceptor;
 
-/// How long answers may still go out once connections are being closed.
+/// How long responses may still be sent once connections are being closed.
 pub const FINAL_RESPONSES: Duration = Duration::from_millis(250);
-/// How long the process outlives its last client connection. Guards the last answers: one that is still on its way when the
-/// process goes may be lost with it, and what it took on counts as never heard.
+/// How long the process outlives its last client connection. Guards the last responses: one that is still in the socket's
+/// buffer when the process ends may be lost, and the client would count an accepted request as not received.
 pub const CLOSE_LINGER: Duration = Duration::from_millis(100);
-/// Connections that may stand before they are accepted, as the standard library has it.
+/// Connections that the kernel queues before they are accepted; the standard library's value.
 const BACKLOG: u32 = 1024;
+/// How long a TLS handshake may take.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause after a connection that could not be accepted for want of descriptors or memory.
+/// Pause after a failed `accept` for lack of descriptors or memory.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Listens for clients. `shared`: another process of this user may listen at the same address, which it does while it takes
-/// this one's place; the kernel gives each new connection to one of them.
+/// Listens for clients. If `shared`, another process of this user may listen at the same address (`SO_REUSEPORT`), as it
+/// does during a takeover; the kernel assigns each new connection to one of them.
 ///
 /// # Errors
 ///
-/// The address cannot be listened at: it is taken, or not of this machine.
-pub fn listen(at: SocketAddr, shared: bool) -> io::Result<TcpListener> {
-    let socket = if at.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+/// The address is in use or is not an address of this machine.
+pub fn listen(address: SocketAddr, shared: bool) -> io::Result<TcpListener> {
+    let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
     if shared {
         socket.set_reuseport(true)?;
     }
-    socket.bind(at)?;
+    socket.bind(address)?;
     socket.listen(BACKLOG)
 }
 
-/// One front: where its clients connect, what they find there and what they are allowed.
+/// One front: a listener with its routes and limits.
 pub struct Front {
+    /// Where its clients connect.
     pub listener: TcpListener,
+    /// The requests that it answers.
     pub routes: Router,
+    /// What a connection may use.
     pub limits: Limits,
+    /// TLS; `None`: plain HTTP.
     pub tls: Option<TlsAcceptor>,
 }
 
-/// TLS with the certificate that is held when a client connection begins.
-pub fn tls(certificate: Arc<dyn ResolvesServerCert>) -> Result<TlsAcceptor, tokio_rustls::rustls::Error> {
+/// TLS with the certificate that the resolver has when a connection begins.
+///
+/// # Errors
+///
+/// The crypto provider does not support the TLS versions; a build without such a version would be faulty.
+pub fn tls(certificate: Arc<dyn ResolvesServerCert>) -> Result<TlsAcceptor, rustls::Error> {
     let config = ServerConfig::builder_with_provider(Arc::new(default_provider()))
         .with_safe_default_protocol_versions()?
         .with_no_client_auth()
@@ -71,63 +83,86 @@
     Ok(Arc::new(config).into())
 }
 
-/// Serves a front until it is told to close; then every request that came whole still gets its answer.
-pub async fn serve(front: Front, limiter: Arc<ConnectionLimiter>, mut closing: watch::Receiver<bool>) {
+/// Serves a front until `closing` becomes true. Then every request that has arrived still gets its response; returns when
+/// no client connection of the process is left.
+pub async fn serve(front: Front, limiter: Arc<ConnectionLimiter>, closing: watch::Receiver<bool>) {
     let Front { listener, routes, limits, tls } = front;
-    let told = closing.clone();
-    let attend = |socket, permit| {
-        tokio::spawn(attend(socket, tls.clone(), routes.clone(), limits, permit, told.clone()));
-    };
-    loop {
-        let permit = tokio::select! {
-            permit = limiter.acquire() => permit,
-            _ = closing.wait_for(|c| *c) => break,
-        };
-        let accepted = tokio::select! {
-            accepted = listener.accept() => accepted,
-            _ = closing.wait_for(|c| *c) => break,
-        };
-        match accepted {
-            Ok((socket, _)) => attend(socket, permit),
-            Err(e) if concerns_one_connection(&e) => log::debug!("client connection not accepted: {e}"),
-            // Guards against descriptors that run out: others close soon, and then the next is accepted.
-            Err(e) => {
-                log::warn!("client connection not taken in: {e}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+    let acceptor = Acceptor { routes, limits, tls, closing };
+    acceptor.accept_until_closing(&listener, &limiter).await;
+    acceptor.accept_queued(listener, &limiter).await;
+    limiter.all_closed().await;
+}
+
+/// What each accepted connection of a front gets.
+#[derive(Clone)]
+struct Acceptor {
+    routes: Router,
+    limits: Limits,
+    tls: Option<TlsAcceptor>,
+    closing: watch::Receiver<bool>,
+}
+
+impl Acceptor {
+    async fn accept_until_closing(&self, listener: &TcpListener, limiter: &Arc<ConnectionLimiter>) {
+        let mut closing = self.closing.clone();
+        loop {
+            let permit = tokio::select! {
+                permit = limiter.acquire() => permit,
+                _ = closing.wait_for(|closing| *closing) => return,
+            };
+            let accepted = tokio::select! {
+                accepted = listener.accept() => accepted,
+                _ = closing.wait_for(|closing| *closing) => return,
+            };
+            match accepted {
+                Ok((socket, _)) => self.spawn(socket, permit),
+                Err(error) if concerns_one_connection(&error) => {
+                    log::debug!("client connection not accepted: {error}");
+                }
+                // Guards against a busy loop while descriptors run out: when others close, the next is accepted.
+                Err(error) => {
+                    log::warn!("cannot accept client connections: {error}");
+                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                }
             }
         }
     }
-    // Guards those that stand in its backlog already: closing the listener would reset them. What still comes after that
-    // goes to the process that shares the address, or is refused.
-    if let Ok(listener) = listener.into_std() {
+
+    /// Accepts what the kernel has queued: closing the listener would reset these connections. Later ones go to the
+    /// process that shares the address, or are refused.
+    async fn accept_queued(&self, listener: TcpListener, limiter: &Arc<ConnectionLimiter>) {
+        let Ok(listener) = listener.into_std() else { return };
         while let Ok((socket, _)) = listener.accept() {
             let socket = socket.set_nonblocking(true).and_then(|()| TcpStream::from_std(socket));
             match socket {
-                Ok(socket) => attend(socket, limiter.acquire().await),
-                Err(e) => log::warn!("client connection not taken in: {e}"),
+                Ok(socket) => self.spawn(socket, limiter.acquire().await),
+                Err(error) => log::warn!("cannot accept client connections: {error}"),
             }
         }
     }
-    limiter.all_closed().await;
-}
-
-/// Whether this error of `accept` says something of one connection only, so that the next may be accepted at once.
-fn concerns_one_connection(e: &io::Error) -> bool {
-    matches!(e.kind(), ErrorKind::ConnectionAborted | ErrorKind::ConnectionReset | ErrorKind::Interrupted)
-}
 
-/// Each connection has a task of its own, from its handshake on: one that is slow holds up no other.
-async fn attend(
-    socket: TcpStream, tls: Option<TlsAcceptor>, routes: Router, limits: Limits, permit: ConnectionPermit,
-    closing: watch::Receiver<bool>,
-) {
-    if let Err(e) = socket.set_nodelay(true) {
-        log::debug!("client connection: {e}");
+    /// Each connection has a task of its own from its handshake on, so that a slow one delays no other.
+    fn spawn(&self, socket: TcpStream, permit: ConnectionPermit) {
+        tokio::spawn(self.clone().serve_connection(socket, permit));
     }
-    let Some(tls) = tls else { return connection::serve(socket, routes, limits, permit, closing).await };
-    match timeout(HANDSHAKE_TIMEOUT, tls.accept(socket)).await {
-        Ok(Ok(stream)) => connection::serve(stream, routes, limits, permit, closing).await,
-        Ok(Err(e)) => log::warn!("client connection: no handshake: {e}"),
-        Err(_) => log::warn!("client connection: a handshake without end"),
+
+    async fn serve_connection(self, socket: TcpStream, permit: ConnectionPermit) {
+        let Acceptor { routes, limits, tls, closing } = self;
+        if let Err(error) = socket.set_nodelay(true) {
+            log::debug!("client connection: {error}");
+        }
+        let Some(tls) = tls else {
+            return connection::serve(socket, routes, limits, permit, closing).await;
+        };
+        match timeout(HANDSHAKE_TIMEOUT, tls.accept(socket)).await {
+            Ok(Ok(stream)) => connection::serve(stream, routes, limits, permit, closing).await,
+            Ok(Err(error)) => log::warn!("client connection: TLS handshake failed: {error}"),
+            Err(_) => log::warn!("client connection: TLS handshake timed out"),
+        }
     }
 }
+
+/// Whether an error of `accept` concerns one connection only, so that the next may be accepted at once.
+fn concerns_one_connection(error: &io::Error) -> bool {
+    matches!(error.kind(), ErrorKind::ConnectionAborted | ErrorKind::ConnectionReset | ErrorKind::Interrupted)
+}
--- a/src/client/platform.rs
+++ b/src/client/platform.rs
@@ -1,5 +1,5 @@
-//! The platform's front: its headers in, a request context out, and the answer back.
-use super::Limits;
+//! The platform's front: converts an HTTP request into a request context, and the exchange's answer into a response.
+use super::{ClientError, Limits};
 use crate::clock;
 use crate::core::Answer;
 use crate::exchange::Exchange;
@@ -17,93 +17,86 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Clients send at full speed and wait 400 ms for their answer; what cannot be read has its end within 3 s of
-/// connecting.
+/// Clients send at full speed and wait 400 ms for their response; a request that is not complete gets an error within 3 s
+/// of the connect.
 pub const LIMITS: Limits = Limits {
     head_timeout: Duration::from_millis(2200),
     body_timeout: Duration::from_millis(500),
     body_limit: 64 * 1024,
 };
-/// Longer names and keys than any client of the platform uses.
-const TEXT_LIMIT: usize = 256;
 
-struct Front {
-    site: Arc<DeploymentSettings>,
+/// The most bytes of a header's value. No client of the platform uses longer names or keys.
+const HEADER_VALUE_LIMIT: usize = 256;
+
+const SECONDS_PER_MILLISECOND: f64 = 1e-3;
+const SECONDS_PER_MICROSECOND: f64 = 1e-6;
+
+struct PlatformFront {
+    deployment: Arc<DeploymentSettings>,
     exchange: Exchange,
 }
 
-/// The routes of this front.
-pub fn routes(site: Arc<DeploymentSettings>, exchange: Exchange) -> Router {
+/// The routes of the platform's front.
+pub fn routes(deployment: Arc<DeploymentSettings>, exchange: Exchange) -> Router {
     Router::new()
         .route("/ready", get(|| async { StatusCode::OK }))
-        .route("/{class}", post(hand_in))
-        .with_state(Arc::new(Front { site, exchange }))
+        .route("/{class}", post(submit))
+        .with_state(Arc::new(PlatformFront { deployment, exchange }))
 }
 
-async fn hand_in(
-    State(front): State<Arc<Front>>, Path(path): Path<String>, headers: HeaderMap, body: Bytes,
+async fn submit(
+    State(front): State<Arc<PlatformFront>>, Path(class_in_path): Path<String>, headers: HeaderMap,
+    body: Bytes,
 ) -> Response {
-    match context(&front.site, &path, &headers, body) {
-        Ok(context) => answer(front.exchange.submit(context).await),
-        Err((status, why)) => (status, why).into_response(),
+    match request_context(&front.deployment, &class_in_path, &headers, body) {
+        Ok(context) => response(front.exchange.submit(context).await),
+        Err(error) => error.into_response(),
     }
 }
 
-fn answer(answer: Answer) -> Response {
+fn response(answer: Answer) -> Response {
     match answer {
         Answer::Accepted => StatusCode::ACCEPTED.into_response(),
         Answer::Delivered => StatusCode::OK.into_response(),
-        Answer::Reject(after) => rejection(after),
+        Answer::Reject(retry_after) => rejection(retry_after),
         Answer::UnknownDestination => StatusCode::NOT_FOUND.into_response(),
         Answer::Failed => StatusCode::INTERNAL_SERVER_ERROR.into_response(),
     }
 }
 
-/// Refused; coming again is harmless.
-pub fn rejection(after: Option<Nanos>) -> Response {
-    let mut answer = StatusCode::SERVICE_UNAVAILABLE.into_response();
-    if let Some(value) = after.and_then(|a| format!("{:.3}", a.secs()).parse().ok()) {
-        answer.headers_mut().insert(RETRY_AFTER, value);
+/// The response to a rejected request: 503, with a `Retry-After` in seconds with three decimals if there is one. The
+/// request has taken no effect, so it may be repeated.
+pub fn rejection(retry_after: Option<Nanos>) -> Response {
+    let mut response = StatusCode::SERVICE_UNAVAILABLE.into_response();
+    let Some(retry_after) = retry_after else { return response };
+    if let Ok(value) = format!("{:.3}", retry_after.secs()).parse() {
+        response.headers_mut().insert(RETRY_AFTER, value);
     }
-    answer
-}
-
-type Fault = (StatusCode, &'static str);
-
-fn bad(why: &'static str) -> Fault {
-    (StatusCode::BAD_REQUEST, why)
+    response
 }
 
-/// Guards against bad input: whatever is missing, malformed or unknown is a plain 4xx.
-fn context(
-    site: &DeploymentSettings, path: &str, headers: &HeaderMap, body: Bytes,
-) -> Result<RequestContext, Fault> {
-    let text = |name: &str| -> Result<Option<&str>, Fault> {
-        let Some(value) = headers.get(name) else { return Ok(None) };
-        let value = value.to_str().map_err(|_| bad("a header is no plain text"))?;
-        if value.is_empty() || value.len() > TEXT_LIMIT {
-            return Err(bad("a header is empty or too long"));
-        }
-        Ok(Some(value))
-    };
-    let name = text("x-request-id")?.ok_or(bad("X-Request-Id is missing"))?;
-    let class = text("x-class")?.ok_or(bad("X-Class is missing"))?;
-    if class != path {
-        return Err(bad("X-Class is not the class of the path"));
+/// Guards the exchange against malformed input: whatever is missing, malformed or unknown is a 4xx response.
+fn request_context(
+    deployment: &DeploymentSettings, class_in_path: &str, headers: &HeaderMap, body: Bytes,
+) -> Result<RequestContext, ClientError> {
+    let header = |name: &str| header_text(headers, name);
+    let name = header("x-request-id")?.ok_or(ClientError::MissingRequestId)?;
+    let class_name = header("x-class")?.ok_or(ClientError::MissingClass)?;
+    if class_name != class_in_path {
+        return Err(ClientError::ClassMismatch);
     }
-    let class = site.classes.iter().position(|c| c == class);
-    let class = class.ok_or((StatusCode::NOT_FOUND, "unknown class"))?;
-    let tenant = tenant(site, text("x-tenant")?)?;
-    let deadline = text("x-deadline")?.and_then(span).ok_or(bad("X-Deadline is missing or malformed"))?;
-    if deadline == Nanos(0) {
-        return Err((StatusCode::GONE, "the deadline has passed"));
+    let class = deployment.classes.iter().position(|c| c == class_name).ok_or(ClientError::UnknownClass)?;
+    let tenant = tenant(deployment, header("x-tenant")?)?;
+    let time_left = header("x-deadline")?.and_then(parse_duration).ok_or(ClientError::InvalidDeadline)?;
+    if time_left == Nanos(0) {
+        return Err(ClientError::DeadlinePassed);
     }
-    let dest = text("x-envelope")?.and_then(dest).ok_or(bad("X-Envelope names no dest"))?;
-    let rules = &site.module.classes[class];
-    let key = text("x-key")?.filter(|_| rules.fifo_by_key).map(number);
-    let repeat_key = text("idempotency-key")?.unwrap_or_default();
+    let dest = header("x-envelope")?.and_then(destination).ok_or(ClientError::NoDestination)?;
+    let rules = &deployment.module.classes[class];
+    let key = header("x-key")?.filter(|_| rules.fifo_by_key).map(ordering_key);
+    let repeat_key = header("idempotency-key")?.unwrap_or_default();
     if repeat_key.is_empty() && matches!(rules.effect, Effect::IdempotentByKey { .. }) {
-        return Err(bad("Idempotency-Key is missing"));
+        return Err(ClientError::MissingIdempotencyKey);
     }
     Ok(RequestContext {
         name: name.to_string(),
@@ -112,45 +105,60 @@
         tenant,
         key,
         dest,
-        deadline: clock::now() + deadline.min(rules.deadline),
+        deadline: clock::now() + time_left.min(rules.deadline),
         repeat_key: repeat_key.to_string(),
         body,
         tags: Vec::new(),
     })
 }
 
-/// The number of the tenant that a request names. A deployment without tenants has none to name: all its messages are
-/// counted under number 0.
-fn tenant(site: &DeploymentSettings, name: Option<&str>) -> Result<usize, Fault> {
-    if site.tenants.is_empty() {
+/// The value of a header; `None` if it is absent.
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, ClientError> {
+    let Some(value) = headers.get(name) else { return Ok(None) };
+    let value = value.to_str().map_err(|_| ClientError::HeaderNotText)?;
+    if value.is_empty() || value.len() > HEADER_VALUE_LIMIT {
+        return Err(ClientError::HeaderLength);
+    }
+    Ok(Some(value))
+}
+
+/// The index of the tenant that a request names. In a deployment without tenants, requests name none and all count as
+/// tenant 0.
+fn tenant(deployment: &DeploymentSettings, name: Option<&str>) -> Result<usize, ClientError> {
+    if deployment.tenants.is_empty() {
         return Ok(0);
     }
-    let name = name.ok_or(bad("X-Tenant is missing"))?;
-    site.tenants.iter().position(|t| t == name).ok_or(bad("unknown tenant"))
+    let name = name.ok_or(ClientError::MissingTenant)?;
+    deployment.tenants.iter().position(|t| t == name).ok_or(ClientError::UnknownTenant)
 }
 
-/// `480m` or `480000u`.
-fn span(text: &str) -> Option<Nanos> {
+/// Parses `480m` (milliseconds) or `480000u` (microseconds).
+fn parse_duration(text: &str) -> Option<Nanos> {
     let (value, unit) = text.split_at_checked(text.len() - 1)?;
-    let unit = match unit {
-        "m" => 1e-3,
-        "u" => 1e-6,
+    let seconds_per_unit = match unit {
+        "m" => SECONDS_PER_MILLISECOND,
+        "u" => SECONDS_PER_MICROSECOND,
         _ => return None,
     };
-    let secs = value.parse::<f64>().ok()? * unit;
-    (secs.is_finite() && secs >= 0.0).then(|| Nanos::from_secs(secs))
+    let seconds = value.parse::<f64>().ok()? * seconds_per_unit;
+    if !seconds.is_finite() || seconds < 0.0 {
+        return None;
+    }
+    Some(Nanos::from_secs(seconds))
 }
 
-fn dest(envelope: &str) -> Option<u64> {
-    let parts = envelope.split([',', ';', ' ']);
-    parts.filter_map(|p| p.trim().strip_prefix("dest=")).find_map(|d| d.parse().ok())
+/// The number behind `dest=` in an envelope, whose items are separated by commas, semicolons or spaces.
+fn destination(envelope: &str) -> Option<u64> {
+    let items = envelope.split([',', ';', ' ']);
+    items.filter_map(|item| item.trim().strip_prefix("dest=")).find_map(|number| number.parse().ok())
 }
 
-/// Keys are texts to clients and numbers to the module; the same text is the same number after a restart.
-fn number(key: &str) -> u64 {
-    u64::from_str_radix(key, 16).unwrap_or_else(|_| {
-        let mut hasher = DefaultHasher::new();
-        key.hash(&mut hasher);
-        hasher.finish()
-    })
+/// The decision module's number for a client's ordering key; the same key has the same number after a restart.
+fn ordering_key(key: &str) -> u64 {
+    if let Ok(number) = u64::from_str_radix(key, 16) {
+        return number;
+    }
+    let mut hasher = DefaultHasher::new();
+    key.hash(&mut hasher);
+    hasher.finish()
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -181,7 +181,11 @@
         tokio::spawn(client::as2::send_mdns(book.clone(), exchange.clone(), words));
         let authority = book.acme.clone();
         let (site, exchange) = (config.deployment.clone(), exchange.clone());
-        let routes = client::as2::routes(client::as2::As2Front { site, book, exchange: exchange.clone() });
+        let routes = client::as2::routes(client::as2::As2Front {
+            deployment: site,
+            settings: book,
+            exchange: exchange.clone(),
+        });
         let keeper = Arc::new(acme::CertificateStore::default());
         let tls = authority.as_ref().map(|_| client::tls(keeper.clone())).transpose()?;
         if let Some(authority) = authority {
--- a/tests/acme.rs
+++ b/tests/acme.rs
@@ -139,7 +139,7 @@
     assert!(first.starts_with("serial="), "the handshake is good: {first:?}");
     ca.wait("a renewal", |all| all.iter().filter(|h| h.first.contains("/cert")).count() >= 2);
     fails.store(true, Ordering::SeqCst);
-    daemon.wait_log("no new certificate, what is in use stays");
+    daemon.wait_log("no new certificate, the present one stays in use");
     let second = serial();
     assert!(
         second.starts_with("serial=") && second != first,
@@ -148,7 +148,7 @@
     // Kept across a kill, though the authority still fails.
     daemon.kill();
     daemon.start_again();
-    daemon.wait_log("the certificate kept from before is in use");
+    daemon.wait_log("the saved certificate is in use");
     assert_eq!(serial(), second);
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -125,7 +125,7 @@
     daemon.wait_log("upstream group: version 2");
     assert_eq!(daemon.hand_in("stats", "after"), 202);
     new.wait_id("after");
-    assert!(!daemon.log().contains("not taken in"), "no descriptor is wanting");
+    assert!(!daemon.log().contains("cannot accept client connections"), "descriptors are left");
     drop(open);
 }
 
@@ -157,11 +157,11 @@
     endpoint.wait_id("d1");
     daemon.descriptors(30);
     let open: Vec<_> = (0..60).map(|_| daemon.connect()).collect();
-    daemon.wait_log("client connection not taken in");
+    daemon.wait_log("cannot accept client connections");
     drop(open);
     assert_eq!(daemon.hand_in("stats", "d2"), 202);
     assert!(daemon.runs());
-    assert!(daemon.log().matches("not taken in").count() < 200);
+    assert!(daemon.log().matches("cannot accept client connections").count() < 200);
 }
 
 #[test]
