--- a/src/client/connection.rs
+++ b/src/client/connection.rs
@@ -1,4 +1,5 @@
-//! Serves one client connection: reads whole requests within their bounds, has them answered, and closes in order.
+//! Serves one client connection: reads complete requests within their limits, has them answered, and closes without losing
+//! a response.
 use super::limiter::{ConnectionLimiter, ConnectionPermit, ConnectionState, Phase};
 use super::socket::{ClientSocket, DISCARD_TIMEOUT};
 use super::FINAL_RESPONSES;
@@ -13,6 +14,7 @@
 use hyper::{Request, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use std::convert::Infallible;
+use std::pin::pin;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncWrite, AsyncWriteExt};
@@ -20,27 +22,28 @@
 use tokio::time::timeout;
 use tower::ServiceExt;
 
-/// What one listener allows a client connection.
+/// What a client connection may use.
 #[derive(Clone, Copy)]
 pub struct Limits {
-    /// For a head, the first and each next one: so long a connection may also stand idle.
+    /// How long a request head may take, the first and each further one; so long a connection may also stand idle.
     pub head_timeout: Duration,
-    /// For the body of a request, from the end of its head.
+    /// How long a request's body may take, from the end of its head.
     pub body_timeout: Duration,
-    /// Bytes of a body.
+    /// The most bytes of a request's body.
     pub body_limit: usize,
 }
 
-/// A head holds a dozen short lines.
+/// The most bytes of a request head; clients send a dozen short lines.
 const HEAD_BYTES_LIMIT: usize = 16 * 1024;
+/// The most header lines of a request.
 const HEADER_LINES_LIMIT: usize = 64;
-/// Once connections are being closed: how long one waits for the rest of a request that is on its way. Shorter than
-/// `FINAL_RESPONSES`, so that the request still gets its answer.
+/// Once connections are being closed: how long one waits for the rest of a request that is arriving. Shorter than
+/// `FINAL_RESPONSES`, so that the request still gets its response.
 const CLOSING_GRACE: Duration = Duration::from_millis(100);
 
 const _: () = assert!(
     CLOSING_GRACE.as_millis() + DISCARD_TIMEOUT.as_millis() < FINAL_RESPONSES.as_millis(),
-    "what is on its way has its answer, and its connection its close, before the process stops waiting"
+    "an arriving request has its response, and its connection is closed, before the process stops waiting"
 );
 
 /// Serves one client connection until it ends, is closed or is evicted.
@@ -49,14 +52,14 @@
     closing: watch::Receiver<bool>,
 ) {
     let state = permit.state().clone();
-    let context = AnswerContext {
+    let handler = RequestHandler {
         routes,
         limits,
         state: state.clone(),
         limiter: permit.limiter().clone(),
         closing: closing.clone(),
     };
-    let service = service_fn(|request| answer(request, context.clone()));
+    let service = service_fn(|request| handler.clone().handle(request));
     let io = TokioIo::new(ClientSocket::new(io, state.clone()));
     let mut connection = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -64,49 +67,50 @@
         .max_buf_size(HEAD_BYTES_LIMIT)
         .max_headers(HEADER_LINES_LIMIT)
         .serve_connection(io, service);
-    let mut may_close = std::pin::pin!(may_close(closing, state.clone()));
-    let mut told = false;
+    let mut may_close = pin!(may_close(closing, state.clone()));
+    let mut shutting_down = false;
     loop {
         tokio::select! {
-            // Evicted first, or a request could begin between the eviction and this. Then what has come already.
+            // Eviction first, or a request could begin between the eviction and the close. Then what has arrived already.
             biased;
             () = state.evicted() => break,
-            end = &mut connection => {
-                if let Err(e) = end {
-                    log::debug!("client connection: {e}");
+            ended = &mut connection => {
+                if let Err(error) = ended {
+                    log::debug!("client connection: {error}");
                 }
                 break;
             }
-            () = may_close.as_mut(), if !told => {
-                told = true;
+            () = may_close.as_mut(), if !shutting_down => {
+                shutting_down = true;
                 std::pin::Pin::new(&mut connection).graceful_shutdown();
             }
         }
     }
-    // Whatever ended it: one close for all. It returns at once where hyper has closed the connection already.
+    // Whatever ended it, every connection is closed here. This returns at once if hyper has closed it already.
     let mut socket = connection.into_parts().io.into_inner();
-    if let Err(e) = socket.shutdown().await {
-        log::debug!("client connection: {e}");
+    if let Err(error) = socket.shutdown().await {
+        log::debug!("client connection: {error}");
     }
 }
 
-/// Returns when connections are to be closed and this one expects no request that is on its way already.
+/// Returns when connections are being closed and no request is arriving on this one.
 async fn may_close(closing: watch::Receiver<bool>, state: Arc<ConnectionState>) {
-    told_to_close(closing).await;
+    connections_closing(closing).await;
+    // A head that does not arrive in time is given up, so the result does not matter.
     let _ = timeout(CLOSING_GRACE, state.head_settled()).await;
 }
 
-/// Returns when connections are to be closed.
-async fn told_to_close(mut closing: watch::Receiver<bool>) {
+/// Returns when connections are being closed.
+async fn connections_closing(mut closing: watch::Receiver<bool>) {
     if closing.wait_for(|closing| *closing).await.is_err() {
-        // Nobody is left to say so.
+        // The sender is gone, so connections are never closed.
         std::future::pending::<()>().await;
     }
 }
 
-/// What a request of a connection is answered with.
+/// Handles the requests of one connection.
 #[derive(Clone)]
-struct AnswerContext {
+struct RequestHandler {
     routes: Router,
     limits: Limits,
     state: Arc<ConnectionState>,
@@ -114,31 +118,37 @@
     closing: watch::Receiver<bool>,
 }
 
-async fn answer(request: Request<Incoming>, context: AnswerContext) -> Result<Response, Infallible> {
-    let AnswerContext { routes, limits, state, limiter, closing } = context;
-    state.enter(Phase::InRequest);
-    let chunked = request.headers().contains_key(TRANSFER_ENCODING);
-    let whole = if chunked && !state.head().has_transfer_encoding_alone() {
-        Err(StatusCode::BAD_REQUEST)
-    } else {
-        read_whole(request, limits, closing).await
-    };
-    let (mut response, body_size) = match whole {
-        Ok((request, size)) => (routes.oneshot(request).await.into_response(), Some(size)),
-        Err(status) => (status.into_response(), None),
-    };
-    // Where a request ends is not sure, or what was not read of it lies in the way of the next one.
-    if chunked || body_size.is_none() || limiter.is_crowded() {
-        response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+impl RequestHandler {
+    async fn handle(self, request: Request<Incoming>) -> Result<Response, Infallible> {
+        self.state.enter(Phase::InRequest);
+        let chunked = request.headers().contains_key(TRANSFER_ENCODING);
+        let complete = if chunked && !self.state.head().has_transfer_encoding_alone() {
+            Err(StatusCode::BAD_REQUEST)
+        } else {
+            read_complete(request, self.limits, self.closing).await
+        };
+        let (mut response, body_size) = match complete {
+            Ok((request, size)) => {
+                let response = self.routes.oneshot(request).await.into_response();
+                (response, Some(size))
+            }
+            Err(status) => (status.into_response(), None),
+        };
+        // The end of the request is not certain, or its unread rest would be taken for the next request (RFC 9112, section
+        // 6.3), or the connection's place is needed.
+        if chunked || body_size.is_none() || self.limiter.is_crowded() {
+            response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        }
+        let more_arrived = self.state.head().next_request(body_size.unwrap_or_default());
+        self.state.enter(if more_arrived { Phase::ReadingHead } else { Phase::Idle });
+        Ok(response)
     }
-    let more = state.head().next_request(body_size.unwrap_or_default());
-    state.enter(if more { Phase::ReadingHead } else { Phase::Idle });
-    Ok(response)
 }
 
-/// Waits for a whole body. One that is too long is answered without being kept, one without end is not waited for, and
-/// while connections are being closed one that does not come soon is refused: it was never taken on.
-async fn read_whole(
+/// Reads a request's body; returns the complete request and the body's size. A body that is too long is not stored, one
+/// that does not arrive in time is given up, and while connections are being closed it is given up soon: the request was
+/// not accepted.
+async fn read_complete(
     request: Request<Incoming>, limits: Limits, closing: watch::Receiver<bool>,
 ) -> Result<(Request<Body>, usize), StatusCode> {
     let (head, body) = request.into_parts();
@@ -147,7 +157,7 @@
     }
     let body = Limited::new(body, limits.body_limit).collect();
     let closed = async {
-        told_to_close(closing).await;
+        connections_closing(closing).await;
         tokio::time::sleep(CLOSING_GRACE).await;
     };
     let body = tokio::select! {
@@ -155,7 +165,7 @@
         body = timeout(limits.body_timeout, body) => body.map_err(|_| StatusCode::REQUEST_TIMEOUT)?,
         () = closed => return Err(StatusCode::SERVICE_UNAVAILABLE),
     };
-    let body = body.map_err(|e| match e.is::<LengthLimitError>() {
+    let body = body.map_err(|error| match error.is::<LengthLimitError>() {
         true => StatusCode::PAYLOAD_TOO_LARGE,
         false => StatusCode::BAD_REQUEST,
     })?;
--- a/src/client/head.rs
+++ b/src/client/head.rs
@@ -1,10 +1,10 @@
-//! Scans request heads beside hyper, which drops a `Content-Length` that stands beside a `Transfer-Encoding` before
-//! anybody can see it. Guards against a request hidden in the body of another (RFC 9112, section 11.2).
+//! Scans request heads in parallel with hyper, which removes a `Content-Length` beside a `Transfer-Encoding` before a
+//! service can see it. Guards against request smuggling (RFC 9112, section 11.2).
 
-/// Bytes of a header line that are kept: enough for the names that are looked for.
-const NAME_KEPT: usize = 24;
+/// Bytes of a header line that are stored: enough for the one name that is compared.
+const LINE_PREFIX: usize = 24;
 
-/// What has been read of the present request head.
+/// What has arrived of the present request head.
 #[derive(Default)]
 pub(super) struct HeadScanner {
     line: Vec<u8>,
@@ -12,9 +12,9 @@
     started: bool,
     has_content_length: bool,
     complete: bool,
-    /// Bytes that came behind this head.
-    bytes_behind: usize,
-    /// Heads came in pieces that cannot be told apart any more.
+    /// Bytes that arrived after the head: its body, and further requests.
+    bytes_after: usize,
+    /// The end of an earlier request is not certain, so neither is the start of this head.
     unreliable: bool,
 }
 
@@ -23,41 +23,42 @@
     pub(super) fn scan(&mut self, bytes: &[u8]) {
         for (at, byte) in bytes.iter().enumerate() {
             if self.complete {
-                self.bytes_behind += bytes.len() - at;
+                self.bytes_after += bytes.len() - at;
                 return;
             }
             match byte {
                 b'\n' => self.end_line(),
                 b'\r' => {}
-                _ if self.line.len() < NAME_KEPT => self.line.push(byte.to_ascii_lowercase()),
+                _ if self.line.len() < LINE_PREFIX => self.line.push(byte.to_ascii_lowercase()),
                 _ => {}
             }
         }
     }
 
     fn end_line(&mut self) {
-        // Empty lines ahead of a head belong to none.
+        // Empty lines before a request line are ignored (RFC 9112, section 2.2).
         self.complete = self.started && self.line.is_empty();
         self.started |= !self.line.is_empty();
         self.has_content_length |= self.line.starts_with(b"content-length:");
         self.line.clear();
     }
 
-    /// Whether part of a head has come, and not all of it.
+    /// Whether part of a head has arrived, and not all of it.
     pub(super) fn is_partial(&self) -> bool {
         !self.complete && (self.started || !self.line.is_empty())
     }
 
-    /// Whether the head names its body's length in one way only: by its transfer encoding.
+    /// Whether the head certainly has no `Content-Length`, so that its `Transfer-Encoding` alone delimits the body.
     pub(super) fn has_transfer_encoding_alone(&self) -> bool {
         self.complete && !self.unreliable && !self.has_content_length
     }
 
-    /// The request was answered, with a body of this size. Returns whether bytes of a further request have come.
+    /// Prepares for the next head after a request whose body had this size. Returns whether bytes of a further request have
+    /// arrived.
     pub(super) fn next_request(&mut self, body_size: usize) -> bool {
-        let unreliable = self.unreliable || !self.complete || self.bytes_behind != body_size;
-        let more = self.bytes_behind > body_size;
+        let unreliable = self.unreliable || !self.complete || self.bytes_after != body_size;
+        let more_arrived = self.bytes_after > body_size;
         *self = HeadScanner { unreliable, ..HeadScanner::default() };
-        more
+        more_arrived
     }
 }
--- a/src/client/limiter.rs
+++ b/src/client/limiter.rs
@@ -1,5 +1,5 @@
-//! Limits how many client connections the process holds. When a new client waits and every place is taken, the
-//! connection that is least likely to carry a request is evicted.
+//! Limits the number of client connections. While the limit is reached and a new client waits, the connection that is
+//! least likely to carry a request is evicted.
 use super::head::HeadScanner;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,16 +7,16 @@
 use tokio::sync::Notify;
 use tokio::time::{timeout, Instant};
 
-/// A connection that has carried a request may be evicted after standing idle for so long.
+/// How long a connection that has carried a request stands idle before it may be evicted.
 const EVICT_IDLE_AFTER: Duration = Duration::from_secs(2);
-/// A connection on which no byte has come may be evicted after so long: a client with a request sends it at once.
+/// How long a connection may stay without a first byte before it may be evicted: a client with a request sends it at once.
 const EVICT_SILENT_AFTER: Duration = Duration::from_millis(100);
-/// A connection that stops in the middle of a head may be evicted after so long: a client waits 400 ms for its
-/// answer and gives up by itself after that.
+/// How long a connection may stop in the middle of a head before it may be evicted: a client waits 400 ms for its response
+/// and gives up after that.
 const EVICT_PARTIAL_HEAD_AFTER: Duration = Duration::from_millis(500);
-/// Share of the places from which on responses close their connections.
+/// Share of the limit beyond which responses close their connections.
 const CROWDED_SHARE: f64 = 0.75;
-/// How often a full limiter looks for a connection to evict.
+/// How often a connection is evicted while the limit is reached.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(10);
 
 /// What a client connection is doing. The order is that in which connections are evicted.
@@ -24,18 +24,18 @@
 pub(super) enum Phase {
     /// Between two requests.
     Idle,
-    /// No byte has come yet.
+    /// No byte has arrived yet.
     Connected,
-    /// Part of a request head has come.
+    /// Part of a request head has arrived.
     ReadingHead,
-    /// A request is being read or answered.
+    /// A request is being read or handled.
     InRequest,
-    /// Being closed: no request is taken from it any more.
+    /// Being closed: no further request is read from it.
     Closing,
 }
 
 impl Phase {
-    /// How long a connection must have been in this phase before it may be evicted; `None`: it may not.
+    /// How long a connection has to be in this phase before it may be evicted; `None`: it may not.
     fn evictable_after(self) -> Option<Duration> {
         match self {
             Phase::Idle => Some(EVICT_IDLE_AFTER),
@@ -79,7 +79,7 @@
             return;
         }
         if (phase.0, next) == (Phase::InRequest, Phase::Closing) {
-            // The client left, or this process broke its word.
+            // Either the client left, or this process closed a connection that it must not close.
             log::debug!("client connection: ended under a request");
         }
         *phase = (next, Instant::now());
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Bytes of a response have left: the time for which the connection stands idle starts anew.
+    /// Bytes of a response were sent: the connection has only been idle since now.
     pub(super) fn bytes_written(&self) {
         let mut phase = lock(&self.phase);
         if phase.0 == Phase::Idle {
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Ends the connection: it takes no request any more.
+    /// Evicts the connection: no further request is read from it.
     pub(super) fn evict(&self) {
         self.enter(Phase::Closing);
         self.evicted.notify_one();
@@ -122,7 +122,7 @@
         }
     }
 
-    /// How early this connection is evicted among others; `None`: not yet.
+    /// The connection's rank among those that may be evicted, lowest first; `None`: it may not be evicted yet.
     fn eviction_rank(&self) -> Option<(Phase, Instant)> {
         let (phase, since) = *lock(&self.phase);
         let allowed = phase.evictable_after()?;
@@ -130,6 +130,7 @@
     }
 }
 
+/// The open connections, by the ids of their permits.
 #[derive(Default)]
 struct OpenConnections {
     last_id: u64,
@@ -144,19 +145,19 @@
 }
 
 impl ConnectionLimiter {
-    /// A limiter for at most `limit` connections, and one at the least.
+    /// A limiter for `limit` connections, at least one.
     pub fn new(limit: usize) -> Arc<ConnectionLimiter> {
         Arc::new(ConnectionLimiter { limit: limit.max(1), open: Mutex::default(), released: Notify::new() })
     }
 
-    /// Waits for a free place, evicting connections that carry no request. Guards the descriptors against clients that
-    /// connect and send nothing.
+    /// Waits for a permit and evicts connections that carry no request meanwhile. Guards the file descriptors against clients
+    /// that connect and send nothing.
     pub async fn acquire(self: &Arc<ConnectionLimiter>) -> ConnectionPermit {
         loop {
             if let Some(permit) = self.try_acquire() {
                 return permit;
             }
-            if let Some(connection) = self.next_to_evict() {
+            if let Some(connection) = self.eviction_candidate() {
                 connection.evict();
             }
             let _ = timeout(EVICTION_INTERVAL, self.released.notified()).await;
@@ -175,19 +176,19 @@
         Some(ConnectionPermit { id, state, limiter: self.clone() })
     }
 
-    fn next_to_evict(&self) -> Option<Arc<ConnectionState>> {
+    fn eviction_candidate(&self) -> Option<Arc<ConnectionState>> {
         let open = lock(&self.open);
-        let ranked = open.by_id.values().filter_map(|c| Some((c.eviction_rank()?, c)));
-        ranked.min_by_key(|(rank, _)| *rank).map(|(_, connection)| connection.clone())
+        let ranked = open.by_id.values().filter_map(|state| Some((state.eviction_rank()?, state)));
+        ranked.min_by_key(|(rank, _)| *rank).map(|(_, state)| state.clone())
     }
 
-    /// Whether idle connections would soon keep new ones out. They may not be evicted for 2 s, but a response may say
-    /// that it is the last on its connection.
+    /// Whether idle connections would soon block new ones. They may not be evicted for 2 s, but a response may say that it is
+    /// the last one on its connection (RFC 9112, section 9.6).
     pub(super) fn is_crowded(&self) -> bool {
         lock(&self.open).by_id.len() as f64 > self.limit as f64 * CROWDED_SHARE
     }
 
-    /// Returns when no client connection is left.
+    /// Returns when no client connection is open.
     pub async fn all_closed(&self) {
         while !lock(&self.open).by_id.is_empty() {
             self.released.notified().await;
@@ -195,7 +196,7 @@
     }
 }
 
-/// The place of one connection; dropping it frees the place.
+/// The permit of one connection, released when it is dropped.
 pub struct ConnectionPermit {
     id: u64,
     state: Arc<ConnectionState>,
--- a/src/client/socket.rs
+++ b/src/client/socket.rs
@@ -1,5 +1,4 @@
-//! The socket of a client connection: bounds how long a client may take to read, and closes in an order in which no
-//! answer is lost.
+//! The socket of a client connection: limits how long a client may take to read, and closes without losing a response.
 use super::limiter::{ConnectionState, Phase};
 use std::future::Future;
 use std::io;
@@ -10,22 +9,25 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{sleep, Sleep};
 
-/// Clients read at full speed. One that takes nothing of its answer for so long is gone.
+/// Clients read at full speed. One that reads nothing for so long is treated as gone.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long input is read and discarded after the write side was shut. A client that is there closes its side as soon as
-/// it has seen the end: one round trip.
+/// How long input is read and discarded after the write side was shut down. A client closes its side as soon as it has read
+/// the end of the stream: one round trip.
 pub(super) const DISCARD_TIMEOUT: Duration = Duration::from_millis(100);
-/// How many bytes are discarded at most. Bounds the work for a client that goes on sending.
+/// The most bytes that are discarded. Bounds the work for a client that goes on sending.
 const DISCARD_LIMIT: usize = 256 * 1024;
+/// Bytes that are read at a time while input is discarded.
 const DISCARD_CHUNK: usize = 4 * 1024;
 
-/// How far the closing of a socket has come.
-enum CloseProgress {
+/// The state of a socket's close.
+enum CloseState {
     Open,
-    /// The write side is shut; input is discarded until its end, or until this time.
+    /// The write side is shut down; input is discarded.
     Discarding {
+        /// When discarding stops.
         until: Pin<Box<Sleep>>,
-        left: usize,
+        /// Bytes that may still be discarded.
+        remaining: usize,
     },
     Closed,
 }
@@ -34,18 +36,20 @@
 pub(super) struct ClientSocket<S> {
     io: S,
     state: Arc<ConnectionState>,
-    /// Runs while the client takes nothing.
+    /// Runs while the client reads nothing.
     write_timeout: Option<Pin<Box<Sleep>>>,
-    close: CloseProgress,
+    close: CloseState,
 }
 
 impl<S> ClientSocket<S> {
     pub(super) fn new(io: S, state: Arc<ConnectionState>) -> ClientSocket<S> {
-        ClientSocket { io, state, write_timeout: None, close: CloseProgress::Open }
+        ClientSocket { io, state, write_timeout: None, close: CloseState::Open }
     }
 
-    /// Guards against clients that do not read: their answers would be kept for good.
-    fn bound_write<T>(&mut self, cx: &mut Context<'_>, progress: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
+    /// Guards the memory against clients that do not read: their responses would be buffered for ever.
+    fn limit_write_time<T>(
+        &mut self, cx: &mut Context<'_>, progress: Poll<io::Result<T>>,
+    ) -> Poll<io::Result<T>> {
         if progress.is_ready() {
             self.write_timeout = None;
             return progress;
@@ -57,13 +61,13 @@
 }
 
 impl<S: AsyncRead + Unpin> ClientSocket<S> {
-    /// Reads and discards input; ready at its end, at the time-out or at the limit.
+    /// Reads and discards input; ready at its end, at the timeout or at the limit.
     fn discard(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        let CloseProgress::Discarding { until, left } = &mut self.close else { return Poll::Ready(()) };
+        let CloseState::Discarding { until, remaining } = &mut self.close else { return Poll::Ready(()) };
         if until.as_mut().poll(cx).is_ready() {
             return Poll::Ready(());
         }
-        while *left > 0 {
+        while *remaining > 0 {
             let mut chunk = [0; DISCARD_CHUNK];
             let mut buf = ReadBuf::new(&mut chunk);
             let read = ready!(Pin::new(&mut self.io).poll_read(cx, &mut buf));
@@ -71,7 +75,7 @@
             if read.is_err() || size == 0 {
                 break;
             }
-            *left = left.saturating_sub(size);
+            *remaining = remaining.saturating_sub(size);
         }
         Poll::Ready(())
     }
@@ -81,8 +85,8 @@
     fn poll_read(
         mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        // Guards against a request that is read after the write side was shut: it could not be answered.
-        if !matches!(self.close, CloseProgress::Open) {
+        // Guards against a request that is read after the write side was shut down: it could not be answered.
+        if !matches!(self.close, CloseState::Open) {
             return Poll::Ready(Ok(()));
         }
         let before = buf.filled().len();
@@ -96,7 +100,7 @@
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.io).poll_write(cx, buf);
         self.state.bytes_written();
-        self.bound_write(cx, written)
+        self.limit_write_time(cx, written)
     }
 
     fn poll_write_vectored(
@@ -104,7 +108,7 @@
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.io).poll_write_vectored(cx, bufs);
         self.state.bytes_written();
-        self.bound_write(cx, written)
+        self.limit_write_time(cx, written)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -113,22 +117,22 @@
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let flushed = Pin::new(&mut self.io).poll_flush(cx);
-        self.bound_write(cx, flushed)
+        self.limit_write_time(cx, flushed)
     }
 
-    /// The one way in which a client connection is closed: the write side is shut, then input is read and discarded until
-    /// the client has closed its side or a short time is over. Guards the last answer: a close over input that was not
-    /// read resets the connection (RFC 9112, section 9.6).
+    /// Closes the connection: the write side is shut down, then input is read and discarded until the client has closed its
+    /// side or a short time is over. Guards the last response: a close with unread input resets the connection (RFC 9112,
+    /// section 9.6).
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if matches!(self.close, CloseProgress::Open) {
+        if matches!(self.close, CloseState::Open) {
             let shut = Pin::new(&mut self.io).poll_shutdown(cx);
-            ready!(self.bound_write(cx, shut))?;
+            ready!(self.limit_write_time(cx, shut))?;
             self.state.enter(Phase::Closing);
             let until = Box::pin(sleep(DISCARD_TIMEOUT));
-            self.close = CloseProgress::Discarding { until, left: DISCARD_LIMIT };
+            self.close = CloseState::Discarding { until, remaining: DISCARD_LIMIT };
         }
         ready!(self.discard(cx));
-        self.close = CloseProgress::Closed;
+        self.close = CloseState::Closed;
         Poll::Ready(Ok(()))
     }
 }
--- a/src/client/tests.rs
+++ b/src/client/tests.rs
@@ -1,5 +1,5 @@
-//! Client connections over loopback sockets, in an order that the tests force: the runtime has one thread, so what a test
-//! does between two awaits happens before the connection's task runs again.
+//! Client connections over loopback sockets, in an order that the tests force: the runtime has one thread, so everything
+//! between two awaits of a test happens before the connection's task runs again.
 use super::connection::{self, Limits};
 use super::limiter::{ConnectionLimiter, ConnectionState, Phase};
 use axum::routing::post;
@@ -21,8 +21,8 @@
 };
 const REQUEST: &[u8] = b"POST /echo HTTP/1.1\r\nhost: t\r\ncontent-length: 4\r\n\r\nbody";
 
-/// A connection that is served, and its client.
-struct Scene {
+/// A served connection and its client.
+struct Fixture {
     client: TcpStream,
     close: watch::Sender<bool>,
     state: Arc<ConnectionState>,
@@ -30,7 +30,7 @@
     served: JoinHandle<()>,
 }
 
-async fn scene(closing: bool) -> Scene {
+async fn fixture(closing: bool) -> Fixture {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let client = TcpStream::connect(listener.local_addr().expect("its address")).expect("it listens");
     client.set_read_timeout(Some(Duration::from_secs(15))).expect("a time-out");
@@ -44,31 +44,31 @@
     let routes = Router::new().route("/echo", post(echo));
     let permit = ConnectionLimiter::new(10).acquire().await;
     let state = permit.state().clone();
-    let (close, told) = watch::channel(closing);
-    let served = tokio::spawn(connection::serve(socket, routes, LIMITS, permit, told));
-    Scene { client, close, state, routed, served }
+    let (close, closing) = watch::channel(closing);
+    let served = tokio::spawn(connection::serve(socket, routes, LIMITS, permit, closing));
+    Fixture { client, close, state, routed, served }
 }
 
-impl Scene {
+impl Fixture {
     fn write(&self, bytes: &[u8]) {
         (&self.client).write_all(bytes).expect("written");
     }
 
-    /// Reads one answer, whose body is `body`.
-    async fn read_answer(&self) {
+    /// Reads one response, whose body is `body`.
+    async fn read_response(&self) {
         let mut client = self.client.try_clone().expect("a handle");
         let read = move || {
             let mut text = Vec::new();
             while !text.ends_with(b"body") {
                 let mut byte = [0];
-                client.read_exact(&mut byte).expect("an answer");
+                client.read_exact(&mut byte).expect("a response");
                 text.push(byte[0]);
             }
         };
         spawn_blocking(read).await.expect("read");
     }
 
-    /// Everything that still comes, or how the connection broke.
+    /// Everything that still arrives, or the error that ended the connection.
     async fn read_to_end(&self) -> Result<String, ErrorKind> {
         let mut client = self.client.try_clone().expect("a handle");
         let read = move || {
@@ -78,13 +78,17 @@
         spawn_blocking(read).await.expect("read")
     }
 
-    /// The connection has ended for the client, and is held until the client has closed its side as well.
-    async fn expect_close_in_order(self) {
+    /// The client sees the end of the stream without a reset, and the server waits for the client's close.
+    async fn expect_graceful_close(self) {
         assert_eq!(self.read_to_end().await, Ok(String::new()));
-        assert!(!self.served.is_finished(), "closed over what the client has sent: that is a reset");
+        assert!(!self.served.is_finished(), "closed with unread input, which resets the connection");
         self.client.shutdown(Shutdown::Both).expect("shut");
         timeout(Duration::from_secs(5), self.served).await.expect("closed in time").expect("it ended");
-        assert_eq!(self.routed.load(Ordering::Relaxed), 1, "what is read after the close is never sent on");
+        assert_eq!(
+            self.routed.load(Ordering::Relaxed),
+            1,
+            "a request that arrives after the close is never routed"
+        );
     }
 
     async fn wait_for(&self, phase: Phase) {
@@ -94,7 +98,7 @@
             }
             yield_now().await;
         }
-        panic!("waited in vain for {phase:?}: {:?}", self.state.phase());
+        panic!("{phase:?} was not reached: {:?}", self.state.phase());
     }
 
     fn routed(&self) -> usize {
@@ -102,81 +106,81 @@
     }
 }
 
-/// Seen by reading: an idle connection was closed over bytes that had just come, which resets it.
+/// Regression test: an idle connection was closed with unread bytes, which resets it.
 #[tokio::test]
-async fn a_request_that_crosses_the_close_meets_an_end_and_no_reset() {
-    let scene = scene(false).await;
-    scene.write(REQUEST);
-    scene.read_answer().await;
-    scene.wait_for(Phase::Idle).await;
-    scene.close.send_replace(true);
-    scene.write(REQUEST);
-    scene.expect_close_in_order().await;
+async fn a_request_that_crosses_the_close_gets_an_end_of_stream_and_no_reset() {
+    let fixture = fixture(false).await;
+    fixture.write(REQUEST);
+    fixture.read_response().await;
+    fixture.wait_for(Phase::Idle).await;
+    fixture.close.send_replace(true);
+    fixture.write(REQUEST);
+    fixture.expect_graceful_close().await;
 }
 
 #[tokio::test]
-async fn a_request_that_crosses_an_eviction_meets_an_end_and_no_reset() {
-    let scene = scene(false).await;
-    scene.write(REQUEST);
-    scene.read_answer().await;
-    scene.wait_for(Phase::Idle).await;
-    scene.state.evict();
-    scene.write(REQUEST);
-    scene.expect_close_in_order().await;
+async fn a_request_that_crosses_an_eviction_gets_an_end_of_stream_and_no_reset() {
+    let fixture = fixture(false).await;
+    fixture.write(REQUEST);
+    fixture.read_response().await;
+    fixture.wait_for(Phase::Idle).await;
+    fixture.state.evict();
+    fixture.write(REQUEST);
+    fixture.expect_graceful_close().await;
 }
 
-/// A client that sends on without end does not hold up the close.
+/// A client that never closes its side does not delay the close.
 #[tokio::test]
 async fn input_is_discarded_for_a_short_time_only() {
-    let scene = scene(false).await;
-    scene.state.evict();
-    timeout(Duration::from_secs(2), scene.served).await.expect("closed in time").expect("it ended");
+    let fixture = fixture(false).await;
+    fixture.state.evict();
+    timeout(Duration::from_secs(2), fixture.served).await.expect("closed in time").expect("it ended");
 }
 
-/// Seen by reading: hyper closes a connection that is idle for it, though part of the next head has come.
+/// Regression test: hyper closes a connection that it takes for idle, although part of the next head has arrived.
 #[tokio::test]
-async fn a_request_whose_head_comes_in_pieces_across_the_close_is_answered() {
-    let scene = scene(false).await;
-    scene.write(REQUEST);
-    scene.read_answer().await;
-    scene.wait_for(Phase::Idle).await;
-    scene.write(&REQUEST[..12]);
-    scene.wait_for(Phase::ReadingHead).await;
-    scene.close.send_replace(true);
+async fn a_request_whose_head_arrives_in_pieces_across_the_close_is_answered() {
+    let fixture = fixture(false).await;
+    fixture.write(REQUEST);
+    fixture.read_response().await;
+    fixture.wait_for(Phase::Idle).await;
+    fixture.write(&REQUEST[..12]);
+    fixture.wait_for(Phase::ReadingHead).await;
+    fixture.close.send_replace(true);
     yield_now().await;
     yield_now().await;
-    scene.write(&REQUEST[12..]);
-    let answer = scene.read_to_end().await.expect("an end");
+    fixture.write(&REQUEST[12..]);
+    let answer = fixture.read_to_end().await.expect("an end");
     assert!(answer.starts_with("HTTP/1.1 200") && answer.ends_with("body"), "{answer}");
-    assert_eq!(scene.routed(), 2);
+    assert_eq!(fixture.routed(), 2);
 }
 
-/// Seen by reading: a connection that was accepted while connections close was closed before its request could come.
+/// Regression test: a connection that was accepted while connections are closing was closed before its request arrived.
 #[tokio::test]
-async fn a_new_connection_has_its_request_answered_while_connections_close() {
-    let scene = scene(true).await;
+async fn a_new_connection_has_its_request_answered_while_connections_are_closing() {
+    let fixture = fixture(true).await;
     yield_now().await;
     yield_now().await;
-    scene.write(REQUEST);
-    let answer = scene.read_to_end().await.expect("an end");
+    fixture.write(REQUEST);
+    let answer = fixture.read_to_end().await.expect("an end");
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer:?}");
 }
 
-/// A request whose body is half read when connections close is refused, and so provably not taken on; before, it was
-/// waited for until the process ended under it.
+/// A request whose body is incomplete when connections close is rejected and so provably not accepted. Regression test: it
+/// was waited for until the process ended.
 #[tokio::test]
-async fn a_body_that_does_not_come_while_connections_close_is_refused_in_time() {
-    let scene = scene(false).await;
-    scene.write(&REQUEST[..REQUEST.len() - 2]);
-    scene.wait_for(Phase::InRequest).await;
-    scene.close.send_replace(true);
-    let closed = timeout(super::FINAL_RESPONSES, scene.read_to_end()).await;
+async fn a_request_without_its_body_is_rejected_in_time_while_connections_are_closing() {
+    let fixture = fixture(false).await;
+    fixture.write(&REQUEST[..REQUEST.len() - 2]);
+    fixture.wait_for(Phase::InRequest).await;
+    fixture.close.send_replace(true);
+    let closed = timeout(super::FINAL_RESPONSES, fixture.read_to_end()).await;
     let answer = closed.expect("before the process ends").expect("an end");
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
-    assert_eq!(scene.routed(), 0);
+    assert_eq!(fixture.routed(), 0);
 }
 
-/// Seen by reading: a slow client that wrote its head in pieces could be evicted after 100 ms.
+/// Regression test: a slow client that wrote its head in pieces could be evicted after 100 ms.
 #[tokio::test(start_paused = true)]
 async fn a_connection_in_the_middle_of_a_head_is_evicted_only_once_its_client_has_given_up() {
     let limiter = ConnectionLimiter::new(1);
@@ -186,26 +190,27 @@
     let waiting = limiter.clone();
     let next = tokio::spawn(async move { waiting.acquire().await });
     tokio::time::sleep(Duration::from_millis(450)).await;
-    assert_eq!(state.phase(), Phase::ReadingHead, "its client still waits for an answer");
+    assert_eq!(state.phase(), Phase::ReadingHead, "its client still waits for a response");
     tokio::time::sleep(Duration::from_millis(100)).await;
     assert_eq!(state.phase(), Phase::Closing);
     drop(permit);
-    next.await.expect("a place");
+    next.await.expect("a permit");
 }
 
-/// Where all places are taken, those go first that have stood idle, then those that never said a word.
+/// At the limit, idle connections are evicted first, then those that never sent a byte.
 #[tokio::test(start_paused = true)]
 async fn idle_connections_are_evicted_before_silent_ones_and_never_under_a_request() {
     let limiter = ConnectionLimiter::new(3);
-    let (idle, silent, busy) = (limiter.acquire().await, limiter.acquire().await, limiter.acquire().await);
+    let (idle, silent, in_request) =
+        (limiter.acquire().await, limiter.acquire().await, limiter.acquire().await);
     idle.state().enter(Phase::Idle);
-    busy.state().enter(Phase::InRequest);
+    in_request.state().enter(Phase::InRequest);
     tokio::time::sleep(Duration::from_millis(2100)).await;
     let waiting = limiter.clone();
     let next = tokio::spawn(async move { waiting.acquire().await });
     tokio::time::sleep(Duration::from_millis(1)).await;
-    let phases = [&idle, &silent, &busy].map(|c| c.state().phase());
+    let phases = [&idle, &silent, &in_request].map(|c| c.state().phase());
     assert_eq!(phases, [Phase::Closing, Phase::Connected, Phase::InRequest]);
     drop(idle);
-    next.await.expect("a place");
+    next.await.expect("a permit");
 }
--- a/src/logger.rs
+++ b/src/logger.rs
@@ -1,16 +1,20 @@
-//! The log: lines on standard error, as text or as JSON, with the fields of the `log` macros' key-values. A place in
-//! the program that floods is held to a line a second, which says how many were kept back.
+//! The log: lines on standard error, as text or as JSON, with the key-value fields of the `log` macros. Each call site is
+//! limited to one line per second beyond a burst; the next line says how many were suppressed.
+#![warn(missing_docs)]
 use crate::clock;
 use crate::interface::Nanos;
 use log::kv::{Error, Key, Value, VisitSource};
 use log::{LevelFilter, Record};
 use std::collections::HashMap;
-use std::io::Write;
+use std::io::{self, Write};
 use std::str::FromStr;
 use std::sync::{Mutex, PoisonError};
 
+#[cfg(test)]
+mod tests;
+
 const CRATE: &str = "micaladder";
-/// The modules that a filter may name; below each, any path.
+/// The modules that a filter may name, with any path below each.
 const MODULES: [&str; 23] = [
     "acme",
     "as2",
@@ -36,7 +40,7 @@
     "takeover",
     "upstream",
 ];
-/// Modules that had another name, and the path that a filter with the old one means today. Filters in use go on working.
+/// Former paths of modules, and the present ones. Guards filters in use: they go on working after a rename.
 const RENAMED_MODULES: [(&str, &str); 14] = [
     ("fault", "config_error"),
     ("handover", "takeover"),
@@ -53,14 +57,28 @@
     ("core::orders", "core::messages"),
     ("core::tries", "core::attempts"),
 ];
-/// From each place so many lines a second come through once its burst is used up.
-const RATE: f64 = 1.0;
+/// Lines per second and call site once the burst is used up.
+const LINES_PER_SECOND: f64 = 1.0;
 
-/// What is logged: a level for all modules, and others for some.
+/// What is logged: a level for each module path; the first entry is for the whole crate.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Filter(Vec<(String, LevelFilter)>);
 
-/// How a line looks.
+/// Why a text is not a filter: correct `--log-filter` or `MICALADDER_LOG`.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum FilterError {
+    /// The level is not known.
+    #[error("no level {0:?}; there are error, warn, info, debug, trace and off")]
+    UnknownLevel(String),
+    /// The module is not known, neither by its present nor by its former path.
+    #[error("no module {module:?}; there are {known}", known = MODULES.join(", "))]
+    UnknownModule {
+        /// The path, by its present name.
+        module: String,
+    },
+}
+
+/// The format of a line.
 #[derive(Clone, Copy, Debug, PartialEq, clap::ValueEnum)]
 pub enum Format {
     /// Unix time, level, module, text, fields.
@@ -70,149 +88,189 @@
 }
 
 impl FromStr for Filter {
-    type Err = String;
-
-    fn from_str(text: &str) -> Result<Filter, String> {
-        let level = |word: &str| {
-            let levels = "error, warn, info, debug, trace and off";
-            word.trim().parse().map_err(|_| format!("no level {word:?}; there are {levels}"))
-        };
-        // A level alone is for all of our modules; those of other crates stay silent.
-        let mut filter = vec![(CRATE.to_string(), LevelFilter::Info)];
-        for part in text.split(',').map(str::trim).filter(|p| !p.is_empty()) {
-            match part.split_once('=') {
-                None => filter[0].1 = level(part)?,
-                Some((module, word)) => {
-                    let module = current_path(module);
-                    let first = module.split("::").next().unwrap_or(&module);
-                    if !MODULES.contains(&first) {
-                        return Err(format!("no module {module:?}; there are {}", MODULES.join(", ")));
-                    }
-                    filter.push((format!("{CRATE}::{module}"), level(word)?));
+    type Err = FilterError;
+
+    /// Parses `LEVEL` and `MODULE=LEVEL` items with commas between them. Other crates' lines are never logged.
+    fn from_str(text: &str) -> Result<Filter, FilterError> {
+        let mut crate_level = LevelFilter::Info;
+        let mut module_levels = Vec::new();
+        for item in text.split(',').map(str::trim).filter(|item| !item.is_empty()) {
+            match item.split_once('=') {
+                None => crate_level = parse_level(item)?,
+                Some((module, level)) => {
+                    let path = known_path(module)?;
+                    module_levels.push((path, parse_level(level)?));
                 }
             }
         }
-        Ok(Filter(filter))
+        let mut levels = vec![(CRATE.to_string(), crate_level)];
+        levels.extend(module_levels);
+        Ok(Filter(levels))
     }
 }
 
-/// The path by which a module that a filter names is known today.
-fn current_path(named: &str) -> String {
-    for (old, new) in RENAMED_MODULES {
-        match named.strip_prefix(old) {
-            Some("") => return new.to_string(),
-            Some(below) if below.starts_with("::") => return format!("{new}{below}"),
+fn parse_level(text: &str) -> Result<LevelFilter, FilterError> {
+    text.trim().parse().map_err(|_| FilterError::UnknownLevel(text.to_string()))
+}
+
+/// The full path of a module that a filter names.
+fn known_path(name: &str) -> Result<String, FilterError> {
+    let path = present_path(name);
+    let package = path.split("::").next().unwrap_or(&path);
+    if !MODULES.contains(&package) {
+        return Err(FilterError::UnknownModule { module: path });
+    }
+    Ok(format!("{CRATE}::{path}"))
+}
+
+/// The present path of a module, which a filter may name by its former one.
+fn present_path(name: &str) -> String {
+    for (former, present) in RENAMED_MODULES {
+        match name.strip_prefix(former) {
+            Some("") => return present.to_string(),
+            Some(below) if below.starts_with("::") => return format!("{present}{below}"),
             _ => {}
         }
     }
-    named.to_string()
+    name.to_string()
 }
 
-/// A place's allowance: a bucket of lines.
-struct Place {
-    left: f64,
-    at: Nanos,
-    kept_back: u64,
+/// File and line of a call that logs.
+type CallSite = (&'static str, u32);
+
+/// The lines that a call site may still write: a token bucket.
+struct Bucket {
+    tokens: f64,
+    refilled_at: Nanos,
+    /// Lines suppressed since the last one that was written.
+    suppressed: u64,
 }
 
-/// Holds each place that logs to its allowance. Places are call sites, so the table is bounded by the program's text.
-struct Limit {
+/// Limits the lines of each call site. The table is bounded by the number of call sites in the program.
+struct RateLimiter {
+    /// Capacity of each bucket, in lines; 0: no limit.
     burst: f64,
-    places: HashMap<(&'static str, u32), Place>,
+    buckets: HashMap<CallSite, Bucket>,
 }
 
-impl Limit {
-    fn new(burst: u32) -> Limit {
-        Limit { burst: f64::from(burst), places: HashMap::new() }
+impl RateLimiter {
+    fn new(burst: u32) -> RateLimiter {
+        RateLimiter { burst: f64::from(burst), buckets: HashMap::new() }
     }
 
-    /// Whether a line of this place may be written, and how many were kept back before it.
-    fn pass(&mut self, file: &'static str, line: u32, now: Nanos) -> Option<u64> {
+    /// Takes a token for a line of this call site. Returns how many lines were suppressed before it; `None` if this one
+    /// has to be suppressed too.
+    fn admit(&mut self, file: &'static str, line: u32, now: Nanos) -> Option<u64> {
         if self.burst == 0.0 {
             return Some(0);
         }
-        let fresh = Place { left: self.burst, at: now, kept_back: 0 };
-        let place = self.places.entry((file, line)).or_insert(fresh);
-        place.left = (place.left + (now - place.at).secs() * RATE).min(self.burst);
-        place.at = now;
-        if place.left < 1.0 {
-            place.kept_back += 1;
+        let full = Bucket { tokens: self.burst, refilled_at: now, suppressed: 0 };
+        let bucket = self.buckets.entry((file, line)).or_insert(full);
+        let refill = (now - bucket.refilled_at).secs() * LINES_PER_SECOND;
+        bucket.tokens = (bucket.tokens + refill).min(self.burst);
+        bucket.refilled_at = now;
+        if bucket.tokens < 1.0 {
+            bucket.suppressed += 1;
             return None;
         }
-        place.left -= 1.0;
-        Some(std::mem::take(&mut place.kept_back))
+        bucket.tokens -= 1.0;
+        Some(std::mem::take(&mut bucket.suppressed))
     }
 }
 
-struct Texts<'a>(&'a mut dyn Write);
+/// Writes fields as ` key=value`.
+struct TextFields<'a>(&'a mut dyn Write);
 
-impl<'kvs> VisitSource<'kvs> for Texts<'_> {
+impl<'kvs> VisitSource<'kvs> for TextFields<'_> {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
         write!(self.0, " {key}={value}").map_err(Error::from)
     }
 }
 
-struct Fields(serde_json::Map<String, serde_json::Value>);
+/// Collects fields as JSON values: numbers as numbers, all else as text.
+struct JsonFields(serde_json::Map<String, serde_json::Value>);
 
-impl<'kvs> VisitSource<'kvs> for Fields {
+impl<'kvs> VisitSource<'kvs> for JsonFields {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
-        let number = value.to_u64().map(serde_json::Value::from);
-        let value =
-            number.or_else(|| value.to_f64().map(Into::into)).unwrap_or_else(|| value.to_string().into());
-        self.0.insert(key.to_string(), value);
+        self.0.insert(key.to_string(), json_value(&value));
         Ok(())
     }
 }
 
-fn write(
-    out: &mut dyn Write, format: Format, record: &Record, now: Nanos, kept_back: u64,
-) -> std::io::Result<()> {
-    let module = record.target().strip_prefix(CRATE).unwrap_or(record.target()).trim_start_matches("::");
-    let module = if module.is_empty() { "main" } else { module };
+fn json_value(value: &Value) -> serde_json::Value {
+    if let Some(number) = value.to_u64() {
+        return number.into();
+    }
+    if let Some(number) = value.to_f64() {
+        return number.into();
+    }
+    value.to_string().into()
+}
+
+fn write_line(
+    out: &mut dyn Write, format: Format, record: &Record, now: Nanos, suppressed: u64,
+) -> io::Result<()> {
     match format {
-        Format::Text => {
-            write!(out, "{:.3} {} {module}: {}", now.secs(), record.level(), record.args())?;
-            record.key_values().visit(&mut Texts(out)).map_err(std::io::Error::other)?;
-            if kept_back > 0 {
-                write!(out, " kept_back={kept_back}")?;
-            }
-            writeln!(out)
-        }
-        Format::Json => {
-            let mut fields = Fields(serde_json::Map::new());
-            record.key_values().visit(&mut fields).map_err(std::io::Error::other)?;
-            if kept_back > 0 {
-                fields.0.insert("kept_back".into(), kept_back.into());
-            }
-            let (level, text) = (record.level().as_str(), record.args().to_string());
-            let at = now.0 as f64 / 1e9;
-            let line = serde_json::json!({
-                "at": at, "level": level, "module": module, "text": text, "fields": fields.0,
-            });
-            writeln!(out, "{line}")
-        }
+        Format::Text => write_text(out, record, now, suppressed),
+        Format::Json => write_json(out, record, now, suppressed),
     }
 }
 
-/// Sets the log up, once; a second call changes nothing.
+fn write_text(out: &mut dyn Write, record: &Record, now: Nanos, suppressed: u64) -> io::Result<()> {
+    write!(out, "{:.3} {} {}: {}", now.secs(), record.level(), module(record), record.args())?;
+    record.key_values().visit(&mut TextFields(out)).map_err(io::Error::other)?;
+    if suppressed > 0 {
+        write!(out, " kept_back={suppressed}")?;
+    }
+    writeln!(out)
+}
+
+fn write_json(out: &mut dyn Write, record: &Record, now: Nanos, suppressed: u64) -> io::Result<()> {
+    let mut fields = JsonFields(serde_json::Map::new());
+    record.key_values().visit(&mut fields).map_err(io::Error::other)?;
+    if suppressed > 0 {
+        fields.0.insert("kept_back".into(), suppressed.into());
+    }
+    let line = serde_json::json!({
+        "at": now.0 as f64 / NANOS_PER_SECOND,
+        "level": record.level().as_str(),
+        "module": module(record),
+        "text": record.args().to_string(),
+        "fields": fields.0,
+    });
+    writeln!(out, "{line}")
+}
+
+const NANOS_PER_SECOND: f64 = 1e9;
+
+/// The record's module path without the crate's name.
+fn module<'a>(record: &'a Record) -> &'a str {
+    let target = record.target();
+    let path = target.strip_prefix(CRATE).unwrap_or(target).trim_start_matches("::");
+    if path.is_empty() {
+        return "main";
+    }
+    path
+}
+
+/// Installs the logger of the process. `burst` is the number of lines that a call site may write at once; 0: no limit. Only
+/// the first call in a process has an effect.
 pub fn install(filter: &Filter, format: Format, burst: u32) {
-    let limit = Mutex::new(Limit::new(burst));
+    let limiter = Mutex::new(RateLimiter::new(burst));
     let mut builder = env_logger::Builder::new();
     builder.target(env_logger::Target::Stderr).format(move |out, record| {
         let now = clock::now();
-        let place = (record.file_static().unwrap_or(""), record.line().unwrap_or(0));
-        let passed = limit.lock().unwrap_or_else(PoisonError::into_inner).pass(place.0, place.1, now);
-        match passed {
-            Some(kept_back) => write(out, format, record, now, kept_back),
+        let file = record.file_static().unwrap_or("");
+        let line = record.line().unwrap_or(0);
+        let admitted = limiter.lock().unwrap_or_else(PoisonError::into_inner).admit(file, line, now);
+        match admitted {
+            Some(suppressed) => write_line(out, format, record, now, suppressed),
             None => Ok(()),
         }
     });
     for (module, level) in &filter.0 {
         builder.filter_module(module, *level);
     }
-    // A second start in the same process keeps the first log.
+    // An error only says that there is a logger already, which stays in use.
     let _ = builder.try_init();
 }
-
-#[cfg(test)]
-mod tests;
--- a/src/logger/tests.rs
+++ b/src/logger/tests.rs
@@ -3,16 +3,16 @@
 use rstest::rstest;
 
 #[test]
-fn a_flood_costs_a_line_a_second_and_says_what_was_kept_back() {
-    let mut limit = Limit::new(20);
+fn a_call_site_is_limited_to_a_line_per_second_and_suppressed_lines_are_counted() {
+    let mut limiter = RateLimiter::new(20);
     let at = |n: u64| Nanos(n * 1_000_000);
-    let passed: Vec<u64> = (0..10_000).filter_map(|n| limit.pass("a.rs", 1, at(n))).collect();
-    assert_eq!(passed.len(), 20 + 9, "twenty at once and one a second after that");
-    let kept_back: u64 = passed.iter().sum();
-    assert_eq!(limit.pass("b.rs", 1, at(10_000)), Some(0), "another place has its own allowance");
-    let rest = limit.pass("a.rs", 1, at(11_000));
-    assert_eq!(rest.map(|r| r + kept_back + 29), Some(10_000), "each line is written or counted");
-    assert!((0..10_000).all(|n| Limit::new(0).pass("a.rs", 1, at(n)) == Some(0)));
+    let admitted: Vec<u64> = (0..10_000).filter_map(|n| limiter.admit("a.rs", 1, at(n))).collect();
+    assert_eq!(admitted.len(), 20 + 9, "a burst of 20 and one per second after that");
+    let suppressed: u64 = admitted.iter().sum();
+    assert_eq!(limiter.admit("b.rs", 1, at(10_000)), Some(0), "each call site has its own limit");
+    let rest = limiter.admit("a.rs", 1, at(11_000));
+    assert_eq!(rest.map(|r| r + suppressed + 29), Some(10_000), "each line is written or counted");
+    assert!((0..10_000).all(|n| RateLimiter::new(0).admit("a.rs", 1, at(n)) == Some(0)));
 }
 
 #[rstest]
@@ -24,21 +24,21 @@
 #[case::below_a_former_name("neighbours::link=warn", Ok(vec![("micaladder", LevelFilter::Info), ("micaladder::peers::link", LevelFilter::Warn)]))]
 #[case("loud", Err("no level \"loud\""))]
 #[case("kore=debug", Err("no module \"kore\""))]
-fn a_filter_names_a_level_or_modules(
-    #[case] text: &str, #[case] wanted: Result<Vec<(&str, LevelFilter)>, &str>,
+fn a_filter_sets_a_level_for_all_modules_or_for_some(
+    #[case] text: &str, #[case] expected: Result<Vec<(&str, LevelFilter)>, &str>,
 ) {
-    match (text.parse::<Filter>(), wanted) {
-        (Ok(filter), Ok(wanted)) => {
-            let wanted = wanted.into_iter().map(|(m, l)| (m.to_string(), l)).collect();
-            assert_eq!(filter, Filter(wanted));
+    match (text.parse::<Filter>(), expected) {
+        (Ok(filter), Ok(expected)) => {
+            let expected = expected.into_iter().map(|(m, l)| (m.to_string(), l)).collect();
+            assert_eq!(filter, Filter(expected));
         }
-        (Err(fault), Err(wanted)) => assert!(fault.starts_with(wanted), "{fault}"),
-        (got, wanted) => panic!("{got:?}, not {wanted:?}"),
+        (Err(error), Err(expected)) => assert!(error.to_string().starts_with(expected), "{error}"),
+        (parsed, expected) => panic!("{parsed:?} instead of {expected:?}"),
     }
 }
 
 #[test]
-fn each_module_of_the_crate_can_be_named() {
+fn a_filter_may_name_every_module_of_the_crate() {
     let here = concat!(env!("CARGO_MANIFEST_DIR"), "/src");
     for entry in std::fs::read_dir(here).expect("the sources").flatten() {
         let name = entry.file_name().to_string_lossy().trim_end_matches(".rs").to_string();
@@ -51,7 +51,7 @@
 #[rstest]
 #[case(Format::Text, "12.500 WARN core: slow \"one\" dest=7 host=s-1 kept_back=3\n")]
 #[case(Format::Json, "{\"at\":12.5,\"fields\":{\"dest\":7,\"host\":\"s-1\",\"kept_back\":3},\"level\":\"WARN\",\"module\":\"core\",\"text\":\"slow \\\"one\\\"\"}\n")]
-fn a_line_has_its_fields(#[case] format: Format, #[case] wanted: &str) {
+fn a_line_has_its_fields(#[case] format: Format, #[case] expected: &str) {
     let fields: [(&str, Value); 2] = [("dest", Value::from(7)), ("host", Value::from("s-1"))];
     let mut out = Vec::new();
     let args = format_args!("slow \"one\"");
@@ -61,6 +61,6 @@
         .target("micaladder::core")
         .key_values(&fields)
         .build();
-    write(&mut out, format, &record, Nanos(12_500_000_000), 3).expect("written");
-    assert_eq!(String::from_utf8_lossy(&out), wanted);
+    write_line(&mut out, format, &record, Nanos(12_500_000_000), 3).expect("written");
+    assert_eq!(String::from_utf8_lossy(&out), expected);
 }
