--- a/src/client/as2/mdn.rs
+++ b/src/client/as2/mdn.rs
@@ -160,7 +160,7 @@
     let origin: Origin = json::from_str(&callback.origin).map_err(|_| MdnError::InvalidOrigin)?;
     let partner = settings.partner(&origin.partner).ok_or(MdnError::UnknownPartner)?;
     let url = partner.mdn_url.as_deref().ok_or(MdnError::NoMdnUrl)?;
-    let outcome = match callback.end {
+    let outcome = match callback.completion {
         Completion::Delivered => MdnOutcome::Processed,
         _ => MdnOutcome::Failed,
     };
--- a/src/client/as2/mod.rs
+++ b/src/client/as2/mod.rs
@@ -93,7 +93,7 @@
     let mdn = mdn_format::parse(&body).ok_or(ClientError::InvalidMdn)?;
     let content_type = format!("Content-Type: {}\r\n\r\n", header(&headers, "content-type"));
     let entity = [content_type.as_bytes(), &body[..]].concat();
-    front.exchange.word(mdn.original_message_id, entity.into());
+    front.exchange.receipt_received(mdn.original_message_id, entity.into());
     Ok(StatusCode::OK)
 }
 
@@ -152,12 +152,12 @@
         let name = format!("{MESSAGE_NAME_PREFIX}{}:{}", partner.name, request.message_id);
         let in_order = rules.fifo_by_key && !subject.is_empty();
         Some(RequestContext {
-            repeat_key: name.clone(),
+            idempotency_key: name.clone(),
             name,
             origin: origin(request, mic),
             class,
             tenant: index_of(&self.deployment.tenants, &partner.tenant)?,
-            key: in_order.then(|| ordering_key(partner, subject)),
+            ordering_key: in_order.then(|| ordering_key(partner, subject)),
             dest: partner.forward_to?,
             deadline: clock::now() + rules.deadline,
             body: body.into(),
--- a/src/client/platform.rs
+++ b/src/client/platform.rs
@@ -93,9 +93,9 @@
     }
     let dest = header("x-envelope")?.and_then(destination).ok_or(ClientError::NoDestination)?;
     let rules = &deployment.module.classes[class];
-    let key = header("x-key")?.filter(|_| rules.fifo_by_key).map(ordering_key);
-    let repeat_key = header("idempotency-key")?.unwrap_or_default();
-    if repeat_key.is_empty() && matches!(rules.effect, Effect::IdempotentByKey { .. }) {
+    let ordering_key = header("x-key")?.filter(|_| rules.fifo_by_key).map(ordering_key);
+    let idempotency_key = header("idempotency-key")?.unwrap_or_default();
+    if idempotency_key.is_empty() && matches!(rules.effect, Effect::IdempotentByKey { .. }) {
         return Err(ClientError::MissingIdempotencyKey);
     }
     Ok(RequestContext {
@@ -103,10 +103,10 @@
         origin: String::new(),
         class,
         tenant,
-        key,
+        ordering_key,
         dest,
         deadline: clock::now() + time_left.min(rules.deadline),
-        repeat_key: repeat_key.to_string(),
+        idempotency_key: idempotency_key.to_string(),
         body,
         tags: Vec::new(),
     })
--- a/src/core/restart.rs
+++ b/src/core/restart.rs
@@ -1,7 +1,7 @@
 //! What the journal says at a start: messages that are still owed, and attempts that may have run.
 use super::messages::Output;
 use super::pending::{owes_word, Out, Stage};
-use super::Core;
+use super::{Core, Predecessor};
 use crate::interface::{EndpointId, MessageId, Nanos};
 use crate::journal::Record;
 use crate::request::RequestContext;
@@ -17,10 +17,10 @@
                     origin: t.origin,
                     class: t.class as usize,
                     tenant: t.tenant as usize,
-                    key: t.key,
+                    ordering_key: t.key,
                     dest: t.dest,
                     deadline: Nanos(t.deadline),
-                    repeat_key: t.repeat_key,
+                    idempotency_key: t.idempotency_key,
                     body: t.body,
                     tags: Vec::new(),
                 };
@@ -42,7 +42,7 @@
             Record::AttemptEnded { id, may_have_run } => {
                 self.ran(MessageId(id), may_have_run);
             }
-            Record::Completed { id, at, end } => {
+            Record::Completed { id, at, completion: end } => {
                 if let Some(h) = self.held.get_mut(&MessageId(id)).filter(|h| h.end.is_none()) {
                     let (context, at) = (h.context.clone(), Nanos(at));
                     self.take_out(MessageId(id));
@@ -54,14 +54,15 @@
             Record::CallbackAcknowledged { id } => self.heard(MessageId(id)),
             // These stand in `late` alone.
             Record::LateOutcome { .. } | Record::Observed { .. } => {}
-            Record::Suspended { uid, out } => self.suspend(uid, out),
-            Record::Deduplicated { name, repeat_key, until, delivered } => {
+            Record::Suspended { uid, suspended: out } => self.suspend(uid, out),
+            Record::Deduplicated { name, idempotency_key: repeat_key, until, delivered } => {
                 self.ended.add(name, repeat_key, Nanos(until), delivered)
             }
         }
     }
 
-    pub(super) fn resume(&mut self, elder: bool) {
+    pub(super) fn resume(&mut self, predecessor: Predecessor) {
+        let elder = predecessor == Predecessor::MayHaveCalls;
         let out: Vec<MessageId> =
             self.held.iter().filter(|(_, h)| h.out.is_some()).map(|(id, _)| *id).collect();
         if elder {
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -14,7 +14,7 @@
 pub use error::SettingsError;
 pub use file::{EndpointListUpdate, ListedEndpoint};
 
-use crate::flags::Run;
+use crate::flags::RunFlags;
 use crate::{Nanos, Settings};
 use file::ConfigFile;
 use hyper::http::uri::Authority;
@@ -90,7 +90,7 @@
     /// # Errors
     ///
     /// The file cannot be read or parsed, or an address or the seed is malformed.
-    pub fn read(run: &Run) -> Result<Config, SettingsError> {
+    pub fn read(run: &RunFlags) -> Result<Config, SettingsError> {
         let path = run.files.config.clone();
         let file = file::read(&path)?;
         let overrides = CommandLineOverrides::new(run, &file);
