--- a/src/bin/micaladder-benchlink/actions.rs
+++ b/src/bin/micaladder-benchlink/actions.rs
@@ -28,6 +28,7 @@
     }
 }
 
+/// A message id in the 16 hex digits of the wire.
 fn hex(id: &MessageId) -> String {
     format!("{:016x}", id.0)
 }
--- a/src/bin/micaladder-benchlink/events.rs
+++ b/src/bin/micaladder-benchlink/events.rs
@@ -32,6 +32,7 @@
     }
 }
 
+/// A change of the endpoint list, or a failure to get it.
 fn endpoint_list(
     value: &Value, instance: &mut Instance, lists: &BTreeMap<u64, Vec<WireEntry>>,
 ) -> Result<Event, LineError> {
@@ -48,6 +49,7 @@
     Ok(Event::EndpointList { complete: form != "update", entries })
 }
 
+/// One entry of an endpoint list.
 fn endpoint_entry(instance: &mut Instance, entry: &WireEntry) -> Result<EndpointEntry, LineError> {
     let state = match entry.lifecycle.as_str() {
         "Running" => EndpointState::Running,
@@ -65,6 +67,7 @@
     })
 }
 
+/// A new message.
 fn message(value: &Value) -> Result<Event, LineError> {
     Ok(Event::Message(Message {
         id: message_id(value)?,
@@ -76,6 +79,7 @@
     }))
 }
 
+/// The outcome of an attempt; none for an unknown code.
 fn attempt_ended(value: &Value, instance: &Instance) -> Result<Option<Event>, LineError> {
     let note = value["note"].as_u64().unwrap_or(0);
     let Some(outcome) = outcome(whole_number(value, "code")?, note) else { return Ok(None) };
@@ -89,6 +93,7 @@
     })))
 }
 
+/// The outcome of a code; `note` holds the Retry-After in milliseconds, 0 for none.
 fn outcome(code: u64, note: u64) -> Option<Outcome> {
     let outcome = match code {
         0 => Outcome::Ok,
@@ -104,6 +109,7 @@
     Some(outcome)
 }
 
+/// The id of a message.
 fn message_id(value: &Value) -> Result<MessageId, LineError> {
     let id = text(value, "req")?;
     if id.len() != ID_DIGITS {
--- a/src/bin/micaladder-benchlink/instance.rs
+++ b/src/bin/micaladder-benchlink/instance.rs
@@ -8,18 +8,23 @@
 
 /// Where a load report holds the values that the module uses.
 struct ReportFields {
+    /// Index of the share of the limit that is left.
     left: Option<usize>,
+    /// Index of the limit.
     limit: Option<usize>,
 }
 
 /// One simulated forwarder.
 pub(crate) struct Instance {
+    /// The decision module.
     balancer: Balancer,
+    /// Ids of the endpoints by their names, numbered as they were first named.
     endpoint_ids: BTreeMap<String, EndpointId>,
     /// Names of the endpoints, by their ids.
     pub endpoint_names: Vec<String>,
     /// Events of the batch that is being read.
     pub events: Vec<Event>,
+    /// How to read load reports.
     report_fields: ReportFields,
 }
 
@@ -73,6 +78,7 @@
     }
 }
 
+/// The message of a panic.
 fn panic_text(panic: &(dyn Any + Send)) -> String {
     if let Some(text) = panic.downcast_ref::<String>() {
         return text.clone();
--- a/src/bin/micaladder-benchlink/main.rs
+++ b/src/bin/micaladder-benchlink/main.rs
@@ -21,6 +21,7 @@
 /// Exit status after a malformed line or a failed write.
 const FAILED: i32 = 2;
 
+/// Runs the adapter on standard input and output.
 fn main() {
     // A panic is reported on the wire; its usual message would only clutter standard error.
     std::panic::set_hook(Box::new(|_| {}));
@@ -50,6 +51,7 @@
     Ok(())
 }
 
+/// Reads a line as a JSON object.
 fn parse(line: &str) -> Result<Value, LineError> {
     let value: Value = serde_json::from_str(line).map_err(LineError::NotJson)?;
     if !value.is_object() {
--- a/src/bin/micaladder-benchlink/settings.rs
+++ b/src/bin/micaladder-benchlink/settings.rs
@@ -40,6 +40,7 @@
     }
 }
 
+/// One class of message.
 fn class(class: &Value) -> Class {
     Class {
         latency_objective: nanos(&class["aimNs"]),
@@ -84,14 +85,17 @@
     Nanos(value.as_u64().unwrap_or(0))
 }
 
+/// A number; zero if absent.
 fn float(value: &Value) -> f64 {
     value.as_f64().unwrap_or(0.0)
 }
 
+/// A count; zero if absent.
 fn count(value: &Value) -> usize {
     value.as_u64().unwrap_or(0) as usize
 }
 
+/// The items of a list; empty if absent.
 fn list<T>(value: &Value, read: impl Fn(&Value) -> T) -> Vec<T> {
     value.as_array().map(|items| items.iter().map(read).collect()).unwrap_or_default()
 }
--- a/src/bin/micaladder-benchlink/wire.rs
+++ b/src/bin/micaladder-benchlink/wire.rs
@@ -12,14 +12,20 @@
 /// An entry of an endpoint list, as the wire names its fields.
 #[derive(Deserialize, Clone)]
 pub(crate) struct WireEntry {
+    /// Address of the endpoint.
     pub host: String,
+    /// Its zone.
     #[serde(rename = "hall", default)]
     pub zone: usize,
+    /// Its kind.
     #[serde(rename = "classOfHost", default)]
     pub kind: usize,
+    /// Its destination.
     #[serde(rename = "cell", default)]
     pub dest: u64,
+    /// Its state.
     pub lifecycle: String,
+    /// Its listed rate in calls a second.
     #[serde(rename = "nominal", default)]
     pub rate: Option<f64>,
 }
@@ -39,7 +45,9 @@
 pub(crate) struct Wire {
     /// Clock time of the batch in nanoseconds.
     now: u64,
+    /// Running instances by their names.
     instances: BTreeMap<String, Instance>,
+    /// Endpoint lists by their numbers.
     lists: BTreeMap<u64, Vec<WireEntry>>,
     /// Instances with an event in this batch, in the order of their first one.
     touched: Vec<String>,
@@ -58,6 +66,7 @@
         Ok(())
     }
 
+    /// Defines a numbered endpoint list; a new one replaces the old one of its number.
     fn define_list(&mut self, value: &Value) -> Result<(), LineError> {
         let entries = serde_json::from_value(value["membersList"].clone());
         let number = whole_number(value, "setId")?;
@@ -65,6 +74,7 @@
         Ok(())
     }
 
+    /// Starts an instance, or starts it again with nothing known.
     fn start(&mut self, value: &Value) -> Result<(), LineError> {
         let name = text(value, "relayId")?.to_string();
         let settings = &value["conf"];
@@ -78,6 +88,7 @@
         Ok(())
     }
 
+    /// Stops an instance and drops all that it knew.
     fn stop(&mut self, name: &str) {
         self.instances.remove(name);
         self.touched.retain(|touched| touched != name);
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -30,12 +30,15 @@
 /// The decision module of one forwarder: a state machine without I/O.
 #[derive(Default)]
 pub struct Balancer {
+    /// What the deployment allows and asks for.
     settings: Settings,
+    /// Random numbers, drawn in the order of events.
     random: Random,
     /// Time of the round.
     now: Nanos,
     /// Actions of the round, in order.
     actions: Vec<Action>,
+    /// Messages that are owed an answer or whose last outcome is not known.
     messages: HashMap<MessageId, PendingMessage>,
     /// Deadlines of pending messages, so that no round scans all of them.
     deadlines: BTreeSet<(Nanos, MessageId)>,
@@ -47,15 +50,21 @@
     open_messages: usize,
     /// No send can start.
     paused: bool,
+    /// Ordering keys with open messages or a pause.
     ordering_keys: BTreeMap<u64, OrderingKey>,
+    /// Destinations and their pending messages.
     destinations: BTreeMap<DestinationId, DestinationQueue>,
     /// Destinations with a message pending or in flight.
     active: BTreeSet<DestinationId>,
+    /// Endpoints of the list, and removed ones with calls in flight.
     endpoints: BTreeMap<EndpointId, EndpointRecord>,
+    /// Limits, waits and paces.
     routes: BTreeMap<RouteKey, Route>,
     /// Messages in flight in each call.
     calls: BTreeMap<u64, usize>,
+    /// Number of the last call that was started.
     last_call: u64,
+    /// When the next review is due.
     next_review_at: Nanos,
     /// The timer that was asked for and is not due yet.
     timer: Option<Nanos>,
@@ -102,6 +111,7 @@
         out.append(&mut self.actions);
     }
 
+    /// Takes in one event.
     fn ingest(&mut self, event: &Event) {
         match event {
             Event::EndpointList { complete, entries } => self.take_list(*complete, entries),
@@ -123,6 +133,7 @@
         1.0 - tuning::JITTER + 2.0 * tuning::JITTER * self.random.next()
     }
 
+    /// Adds a line for the operator.
     fn log(&mut self, text: &'static str, host: Option<EndpointId>) {
         self.actions.push(Action::Log { text, host });
     }
@@ -133,6 +144,7 @@
         self.active.iter().filter_map(|dest| self.destinations.get_key_value(dest))
     }
 
+    /// The record of a destination; a new one for an unknown destination.
     fn destination(&mut self, dest: DestinationId) -> &mut DestinationQueue {
         self.destinations.entry(dest).or_default()
     }
--- a/src/logic/dispatch.rs
+++ b/src/logic/dispatch.rs
@@ -9,6 +9,7 @@
 
 /// A message that may be sent next.
 struct Candidate {
+    /// The message.
     id: MessageId,
     /// Value that it loses by waiting until the backlog is served, in points.
     loss: f64,
@@ -52,6 +53,7 @@
         true
     }
 
+    /// The message that loses most by waiting, and the endpoint that costs least for it.
     fn next_send(&self, destination: &DestinationQueue) -> Option<(MessageId, EndpointId)> {
         let mut best: Option<(Candidate, f64, EndpointId)> = None;
         for endpoint in self.open_endpoints(destination) {
@@ -122,6 +124,7 @@
         self.last_call
     }
 
+    /// Puts a message in flight and tells the forwarder to send it.
     fn send(&mut self, id: MessageId, endpoint: EndpointId, call: u64) {
         let timeout = self.attempt_timeout(endpoint, self.class_of(&id));
         let Some(message) = self.messages.get_mut(&id) else { return };
--- a/src/logic/expiry.rs
+++ b/src/logic/expiry.rs
@@ -6,6 +6,7 @@
 
 /// An attempt that may be cancelled to free its slot.
 struct CancelCandidate {
+    /// The message.
     id: MessageId,
     /// It has had its time-out twice.
     overdue: bool,
@@ -38,6 +39,7 @@
         }
     }
 
+    /// Pending messages whose time is up.
     fn expired_pending(&self) -> Vec<MessageId> {
         let by = self.now + self.deadline_margin();
         self.deadlines.iter().take_while(|(deadline, _)| *deadline <= by).map(|(_, id)| *id).collect()
@@ -68,6 +70,7 @@
         found
     }
 
+    /// Messages in flight whose time is up.
     fn expired_in_flight(&self) -> Vec<MessageId> {
         let expired = |id: &&MessageId| {
             let message = self.messages.get(id);
@@ -118,6 +121,7 @@
         self.actions.push(Action::Cancel { id, attempt });
     }
 
+    /// Unanswered or overdue attempts, once all slots are taken.
     fn cancel_candidates(&self) -> Vec<CancelCandidate> {
         let mut found = Vec::new();
         if !self.settings.may_cancel || self.calls.len() < self.settings.slots {
--- a/src/logic/gain.rs
+++ b/src/logic/gain.rs
@@ -6,6 +6,7 @@
 use crate::state::*;
 
 impl EndpointRecord {
+    /// Ends a slow start, lets class losses decay and forgets connections that have closed.
     fn review(&mut self, now: Nanos, settings: &Settings) {
         self.end_slow_start(now, settings.warm_up);
         for share in self.class_loss.values_mut() {
@@ -58,6 +59,7 @@
         self.forget_unused();
     }
 
+    /// Reviews endpoints, and forgets those that were removed.
     fn review_endpoints(&mut self) {
         for endpoint in self.endpoints.values_mut() {
             endpoint.review(self.now, &self.settings);
@@ -89,6 +91,7 @@
         }
     }
 
+    /// Forgets endpoints, destinations and ordering keys that are no longer in use.
     fn forget_unused(&mut self) {
         let endpoints = &self.endpoints;
         let in_use = |id: &EndpointId| endpoints.get(id).is_some_and(|e| e.listed || e.calls > 0);
--- a/src/logic/gate.rs
+++ b/src/logic/gate.rs
@@ -25,6 +25,7 @@
         endpoint.listed && breaker_allows && !waits && message.may_retry(class, now, Some(endpoint.zone))
     }
 
+    /// Whether one of its endpoints is slow, failing or in an outage.
     fn is_unhealthy(&self, destination: &DestinationQueue) -> bool {
         let mut endpoints = destination.endpoints.iter().filter_map(|id| self.endpoints.get(id));
         endpoints.any(EndpointRecord::is_unhealthy)
@@ -80,6 +81,7 @@
             && has_token
     }
 
+    /// Whether the circuit breaker, or a suspicion, lets a call go now.
     fn breaker_allows(&self, endpoint: &EndpointRecord) -> bool {
         let has_token = endpoint.bucket.level >= 1.0;
         match endpoint.breaker {
--- a/src/logic/health.rs
+++ b/src/logic/health.rs
@@ -74,7 +74,7 @@
     pub(super) fn record_failure(&mut self, id: EndpointId, failure: Failure) {
         // Both are drawn before any return, so that the sequence of random numbers does not depend on what is
         // known.
-        let luck = self.random.next();
+        let draw = self.random.next();
         let first_trial = TRIAL_GAP_LEAST * self.jitter();
         let now = self.now;
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
@@ -82,13 +82,13 @@
             let served_before = endpoint.latency.mean > 0.0;
             let rejected = !failure.unanswered && !failure.may_lose_calls;
             let extra = if served_before && !rejected { 1.0 } else { 0.0 };
-            endpoint.suspect(now, luck + extra);
+            endpoint.suspect(now, draw + extra);
         }
         if failure.unanswered {
             endpoint.unanswered += 1;
         }
         if endpoint.unanswered > 0 && failure.may_lose_calls {
-            self.suspect_route_of(id, luck);
+            self.suspect_route_of(id, draw);
         }
         self.update_breaker(id, failure, now + first_trial);
     }
@@ -96,7 +96,7 @@
     /// Guards against overloading a returning destination: an outage mostly takes all endpoints of a route,
     /// so those that have not answered lately are suspected too. May hurt where one of several is down: the
     /// first call to another may wait.
-    fn suspect_route_of(&mut self, id: EndpointId, luck: f64) {
+    fn suspect_route_of(&mut self, id: EndpointId, draw: f64) {
         let Some(endpoint) = self.endpoints.get(&id) else { return };
         let route = endpoint.route;
         let Some(destination) = self.destinations.get(&endpoint.dest) else { return };
@@ -105,12 +105,13 @@
             let quiet = (self.now - other.last_answer_at).secs() > OUTAGE_LEAST;
             let well = !other.suspected && other.breaker == CircuitBreaker::Closed;
             if other.route == route && well && quiet {
-                other.suspect(self.now, SUSPECTED_PEER_TOKENS * luck);
+                other.suspect(self.now, SUSPECTED_PEER_TOKENS * draw);
                 other.unanswered = 1;
             }
         }
     }
 
+    /// Opens the circuit breaker after consecutive unanswered calls or a high share of failures.
     fn update_breaker(&mut self, id: EndpointId, failure: Failure, first_trial: Nanos) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         if let CircuitBreaker::Open { may_lose_calls, .. } = &mut endpoint.breaker {
--- a/src/logic/list.rs
+++ b/src/logic/list.rs
@@ -18,6 +18,7 @@
         self.watch_backoff = WATCH_BACKOFF_FIRST;
     }
 
+    /// Takes in one entry.
     fn take_entry(&mut self, entry: &EndpointEntry) {
         let separate = self.settings.kinds.get(entry.kind).is_some_and(|kind| kind.separate_routes);
         let route = (entry.dest, separate.then_some(entry.host));
--- a/src/logic/observations.rs
+++ b/src/logic/observations.rs
@@ -47,7 +47,7 @@
     pub(super) fn take_observation(&mut self, observation: &Observation) {
         // Drawn for every observation, so that the sequence of random numbers does not depend on what is
         // known.
-        let luck = self.random.next();
+        let draw = self.random.next();
         let now = self.now;
         let Some(endpoint) = self.endpoints.get_mut(&observation.host) else { return };
         let route = self.routes.entry(endpoint.route).or_default();
@@ -59,8 +59,8 @@
             }
             // Own experience wins over a peer's unless it is older.
             _ if endpoint.own_outcome_at.is_some_and(|at| at >= seen_at) => {}
-            Finding::Outage { since, risky } => endpoint.peer_outage(now, since, risky, luck),
-            Finding::Recovering { since } => endpoint.peer_recovery(now, since, self.settings.warm_up, luck),
+            Finding::Outage { since, risky } => endpoint.peer_outage(now, since, risky, draw),
+            Finding::Recovering { since } => endpoint.peer_recovery(now, since, self.settings.warm_up, draw),
             Finding::Healthy { mean, dev } => endpoint.peer_latency(mean, dev),
             Finding::ConnectionCapacity { calls } if endpoint.capacity.is_none() && calls.is_finite() => {
                 endpoint.capacity = Some(calls.max(1.0));
@@ -112,28 +112,30 @@
         }
     }
 
-    fn peer_outage(&mut self, now: Nanos, since: Nanos, may_lose_calls: bool, luck: f64) {
+    /// A peer met an outage: only trials go, the first one soon and at a random moment.
+    fn peer_outage(&mut self, now: Nanos, since: Nanos, may_lose_calls: bool, draw: f64) {
         if matches!(self.breaker, CircuitBreaker::Open { .. }) {
             return;
         }
         self.breaker = CircuitBreaker::Open {
             since: now - since,
-            next_trial: now + PEER_TRIAL_WITHIN * luck,
+            next_trial: now + PEER_TRIAL_WITHIN * draw,
             may_lose_calls,
         };
         self.bucket = TokenBucket { level: 1.0, refilled_at: now };
         self.breaker_from_peer = true;
     }
 
-    fn peer_recovery(&mut self, now: Nanos, since: Nanos, warm_up: Nanos, luck: f64) {
+    /// A peer was served again after an outage.
+    fn peer_recovery(&mut self, now: Nanos, since: Nanos, warm_up: Nanos, draw: f64) {
         match &mut self.breaker {
             // A trial of its own shows whether it is so: soon, and not at the same time as all others.
             CircuitBreaker::Open { next_trial, .. } => {
-                *next_trial = (*next_trial).min(now + PEER_TRIAL_WITHIN * luck);
+                *next_trial = (*next_trial).min(now + PEER_TRIAL_WITHIN * draw);
             }
             CircuitBreaker::Closed if since < warm_up => {
                 self.breaker = CircuitBreaker::SlowStart { since: now - since };
-                self.bucket = TokenBucket { level: luck, refilled_at: now };
+                self.bucket = TokenBucket { level: draw, refilled_at: now };
                 self.breaker_from_peer = true;
             }
             // Where peers disagree on the moment, the later one is the safe one.
@@ -144,6 +146,7 @@
         }
     }
 
+    /// Takes in the latency that a peer measured, where none is known.
     fn peer_latency(&mut self, mean: f64, deviation: f64) {
         let sensible = mean.is_finite() && deviation.is_finite() && mean > 0.0 && deviation >= 0.0;
         if self.latency.mean == 0.0 && sensible {
@@ -154,6 +157,7 @@
 }
 
 impl Route {
+    /// Takes over the pace of a peer, where the own one is free.
     fn peer_pace(&mut self, now: Nanos, rate: f64) {
         if self.pace.is_some() {
             return;
--- a/src/logic/outcomes.rs
+++ b/src/logic/outcomes.rs
@@ -42,6 +42,7 @@
         }
     }
 
+    /// Whether another attempt is left and allowed.
     fn may_be_retried(&self, id: MessageId) -> bool {
         let Some(message) = self.messages.get(&id) else { return false };
         let class = &self.settings.classes[message.class];
@@ -82,7 +83,7 @@
     /// Takes in what an outcome says of its endpoint and route.
     fn learn(&mut self, ended: &AttemptEnded, attempt: &InFlight) {
         // Drawn for every outcome, so that the sequence of random numbers does not depend on what is known.
-        let luck = self.random.next();
+        let draw = self.random.next();
         let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) else { return };
         endpoint.record_own_outcome(self.now, ended.outcome);
         endpoint.end_trial(ended.id);
@@ -94,9 +95,9 @@
             route.reported_limit = report.limit;
         }
         match ended.outcome {
-            Outcome::Ok => self.learn_served(ended, attempt, luck),
-            Outcome::Rejected(wait) => self.learn_rejected(ended, attempt, wait, luck),
-            Outcome::ConnectionLimit => self.learn_connection_limit(attempt.endpoint, luck),
+            Outcome::Ok => self.learn_served(ended, attempt, draw),
+            Outcome::Rejected(wait) => self.learn_rejected(ended, attempt, wait, draw),
+            Outcome::ConnectionLimit => self.learn_connection_limit(attempt.endpoint, draw),
             Outcome::ConnectFailed => self.learn_connect_failed(ended, attempt.endpoint),
             Outcome::Timeout | Outcome::Error | Outcome::Reset => self.learn_failed(ended, attempt),
             // All endpoints give unreadable answers alike: no reason to open a breaker.
@@ -104,7 +105,8 @@
         }
     }
 
-    fn learn_served(&mut self, ended: &AttemptEnded, attempt: &InFlight, luck: f64) {
+    /// A served call: it ends an outage, raises pace and capacity.
+    fn learn_served(&mut self, ended: &AttemptEnded, attempt: &InFlight, draw: f64) {
         self.learn_idle_limit(attempt);
         let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) else { return };
         let dest = endpoint.dest;
@@ -114,25 +116,26 @@
         self.routes.entry(endpoint.route).or_default().record_served(self.now);
         endpoint.raise_capacity(self.settings.slots);
         if endpoint.record_served(self.now, attempt.sent_at, ended.took.secs()) {
-            endpoint.start_slow_start(self.now, luck);
+            endpoint.start_slow_start(self.now, draw);
             self.log("half-open: served, slow start", Some(attempt.endpoint));
         }
         self.destination(dest).served += 1;
     }
 
-    fn learn_rejected(&mut self, ended: &AttemptEnded, attempt: &InFlight, wait: Option<Nanos>, luck: f64) {
+    /// A rejected call: it reduces the pace; with a long Retry-After, or below the limit, it counts as an outage.
+    fn learn_rejected(&mut self, ended: &AttemptEnded, attempt: &InFlight, wait: Option<Nanos>, draw: f64) {
         let Some(endpoint) = self.endpoints.get(&attempt.endpoint) else { return };
         let key = endpoint.route;
         let demand = self.destinations.get(&endpoint.dest).map_or(0.0, |destination| destination.demand);
         let route = self.routes.entry(key).or_default();
-        let rejection = super::pacing::Rejection { sent_at: attempt.sent_at, wait, demand, luck };
+        let rejection = super::pacing::Rejection { sent_at: attempt.sent_at, wait, demand, draw };
         let pace_reduced = route.record_rejected(&self.settings, self.now, &rejection);
         let opens_at = route.retry_after_until;
         // A wait as long as an outage is one, and all who wait hear of the same end: slow start keeps them
         // from overloading the destination then.
         if wait.is_some_and(|wait| wait.secs() >= OUTAGE_LEAST) {
             for endpoint in self.endpoints.values_mut().filter(|endpoint| endpoint.route == key) {
-                endpoint.start_slow_start(opens_at, luck);
+                endpoint.start_slow_start(opens_at, draw);
             }
         }
         if pace_reduced {
@@ -148,18 +151,19 @@
     /// Guards against taking a full table of connections for a limit or an outage: only as many calls at once
     /// go there as it takes. Also guards the table against forwarders that keep asking for a place. May hurt
     /// where another forwarder closes its connections: the capacity grows bit by bit.
-    fn learn_connection_limit(&mut self, id: EndpointId, luck: f64) {
+    fn learn_connection_limit(&mut self, id: EndpointId, draw: f64) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         endpoint.capacity = Some(f64::from(endpoint.calls.max(1)));
         self.connection_limited.insert(endpoint.kind);
         if endpoint.calls == 0 {
             let doublings = endpoint.full_in_a_row.min(BACKOFF_DOUBLINGS) as i32;
             let pause = (CAPACITY_WAIT * 2f64.powi(doublings)).min(self.settings.shortest_objective());
-            endpoint.full_until = self.now + pause * (JITTER + luck);
+            endpoint.full_until = self.now + pause * (JITTER + draw);
             endpoint.full_in_a_row += 1;
         }
     }
 
+    /// A connection that could not be made: a full endpoint, or one that does not answer.
     fn learn_connect_failed(&mut self, ended: &AttemptEnded, id: EndpointId) {
         let Some(endpoint) = self.endpoints.get(&id) else { return };
         self.connection_limited.insert(endpoint.kind);
@@ -168,6 +172,7 @@
         self.record_failure(id, Failure { unanswered: true, may_lose_calls });
     }
 
+    /// A call that may have run and failed.
     fn learn_failed(&mut self, ended: &AttemptEnded, attempt: &InFlight) {
         let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) else { return };
         endpoint.failure_share += FAILURE_GAIN * (1.0 - endpoint.failure_share);
--- a/src/logic/pacing.rs
+++ b/src/logic/pacing.rs
@@ -13,7 +13,7 @@
     /// Demand for its destination, in messages a second.
     pub demand: f64,
     /// Random number from 0 to 1.
-    pub luck: f64,
+    pub draw: f64,
 }
 
 /// An even part of a route's limit over all forwarders, and what follows from it.
@@ -52,6 +52,7 @@
         }
     }
 
+    /// The part of the reported or else the listed limit that is left for this forwarder.
     fn even_share(&self, settings: &Settings) -> EvenShare {
         let limit = if self.reported_limit > 0.0 { self.reported_limit } else { self.listed_limit };
         EvenShare { rate: limit / settings.forwarders.max(1) as f64 }
@@ -77,7 +78,7 @@
         self.rejections += 1;
         self.refill(now);
         let pace = (level * PACE_CUT).max(lowest);
-        self.back_off(even_share.first_backoff(settings), pace, rejection.luck);
+        self.back_off(even_share.first_backoff(settings), pace, rejection.draw);
         self.reduce_pace(now, pace);
         true
     }
@@ -90,13 +91,14 @@
         self.pace.unwrap_or(f64::INFINITY).min(expected).max(served - served.sqrt())
     }
 
-    /// All that received a Retry-After hear of the same end; luck keeps them from returning at once.
-    fn back_off(&mut self, first: f64, pace: f64, luck: f64) {
+    /// All that received a Retry-After hear of the same end; the random part keeps them from returning at once.
+    fn back_off(&mut self, first: f64, pace: f64, draw: f64) {
         let doublings = self.rejections.min(BACKOFF_DOUBLINGS) as i32 - 1;
         let backoff = (first * 2f64.powi(doublings)).min(TRIAL_GAP_MAX.max(1.0 / pace));
-        self.backoff_until = self.retry_after_until + backoff * (JITTER + luck);
+        self.backoff_until = self.retry_after_until + backoff * (JITTER + draw);
     }
 
+    /// Sets a lower pace, with a token for one call at most.
     fn reduce_pace(&mut self, now: Nanos, pace: f64) {
         self.pace = Some(pace);
         self.reduced_pace = pace;
--- a/src/logic/promotion.rs
+++ b/src/logic/promotion.rs
@@ -6,6 +6,7 @@
 
 /// An active destination in a round of promotion.
 struct Share {
+    /// The destination.
     dest: DestinationId,
     /// w of the design: its part of the listed rates of all.
     weight: f64,
@@ -29,6 +30,7 @@
         self.fill_ready_queue(&shares, ready, length, LEXAS_MAX * unit);
     }
 
+    /// Refills the tokens of all endpoints and routes of active destinations.
     fn refill_tokens(&mut self) {
         for destination in self.active.iter().filter_map(|dest| self.destinations.get(dest)) {
             for id in &destination.endpoints {
@@ -46,6 +48,7 @@
         }
     }
 
+    /// The active destinations with their weights and what they could send.
     fn shares(&self) -> Vec<Share> {
         let share = |(dest, queue): (&DestinationId, &DestinationQueue)| Share {
             dest: *dest,
@@ -126,6 +129,7 @@
         ready
     }
 
+    /// Promotes one message at a time until the ready queue is full.
     fn fill_ready_queue(&mut self, shares: &[Share], ready: usize, length: f64, lexas_max: f64) {
         let mut ready = ready;
         while (ready as f64) < length {
--- a/src/logic/shedding.rs
+++ b/src/logic/shedding.rs
@@ -8,6 +8,7 @@
 /// A message that may be shed.
 #[derive(Clone, Copy)]
 struct Candidate {
+    /// The message.
     id: MessageId,
     /// What rejecting it costs, in points.
     cost: f64,
@@ -38,6 +39,7 @@
         }
     }
 
+    /// The cheapest message of each active destination.
     fn shed_candidates(&self) -> BTreeMap<DestinationId, Option<Candidate>> {
         self.active_destinations().map(|(dest, queue)| (*dest, self.shed_candidate(queue))).collect()
     }
--- a/src/logic/timers.rs
+++ b/src/logic/timers.rs
@@ -61,17 +61,21 @@
 
 /// The earliest of several times that are still to come.
 struct Earliest {
+    /// Times up to this one are past.
     after: Nanos,
+    /// The earliest time added.
     time: Option<Nanos>,
 }
 
 impl Earliest {
+    /// Adds a time.
     fn add(&mut self, time: Nanos) {
         if time > self.after && self.time.is_none_or(|earliest| time < earliest) {
             self.time = Some(time);
         }
     }
 
+    /// Adds several times.
     fn extend(&mut self, times: impl IntoIterator<Item = Nanos>) {
         for time in times {
             self.add(time);
--- a/src/logic/warm_up.rs
+++ b/src/logic/warm_up.rs
@@ -5,9 +5,9 @@
 
 impl EndpointRecord {
     /// Starts the slow start at this time, with a random part of a token.
-    pub(super) fn start_slow_start(&mut self, at: Nanos, luck: f64) {
+    pub(super) fn start_slow_start(&mut self, at: Nanos, draw: f64) {
         self.breaker = CircuitBreaker::SlowStart { since: at };
-        self.bucket = TokenBucket { level: luck, refilled_at: at };
+        self.bucket = TokenBucket { level: draw, refilled_at: at };
         self.failure_share = 0.0;
     }
 
--- a/src/state/pending_index.rs
+++ b/src/state/pending_index.rs
@@ -35,16 +35,20 @@
 /// first.
 #[derive(Default)]
 struct Group {
+    /// Earliest deadline first.
     by_deadline: BTreeSet<Position>,
+    /// First arrival first.
     by_arrival: BTreeMap<u64, Position>,
 }
 
 impl Group {
+    /// Adds a message.
     fn insert(&mut self, position: Position) {
         self.by_deadline.insert(position);
         self.by_arrival.insert(position.arrival, position);
     }
 
+    /// Removes a message.
     fn remove(&mut self, position: &Position) {
         self.by_deadline.remove(position);
         self.by_arrival.remove(&position.arrival);
@@ -54,10 +58,13 @@
 /// The pending messages of a destination.
 #[derive(Default)]
 pub(crate) struct PendingIndex {
+    /// Where each message stands.
     positions: HashMap<u64, (GroupKey, Position)>,
+    /// All messages.
     all: BTreeMap<GroupKey, Group>,
     /// Messages that no earlier message of their ordering key holds up.
     unblocked: BTreeMap<GroupKey, Group>,
+    /// Number of the last arrival.
     last_arrival: u64,
 }
 
@@ -124,11 +131,13 @@
     }
 }
 
+/// The earliest deadline, the first and the last arrival of a group.
 fn extremes_of_group(group: &Group) -> [Option<Position>; 3] {
     let mut arrivals = group.by_arrival.values().copied();
     [group.by_deadline.first().copied(), arrivals.next(), arrivals.next_back()]
 }
 
+/// The eligible messages of a group next to the points, and the first arrival.
 fn nearest_of_group<const N: usize>(
     group: &Group, points: [Nanos; N], eligible: &impl Fn(MessageId) -> bool,
 ) -> Vec<Position> {
