--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
-//! micaladder decides for a message relay which held message goes to which endpoint, and when.
+//! micaladder decides for a message forwarder which pending message goes to which endpoint, and when.
 //!
-//! The relay owns time, ids and the network. It makes one [`Balancer`] from its [`Settings`], and calls
+//! The forwarder owns time, ids and the network. It makes one [`Balancer`] from its [`Settings`], and calls
 //! [`Balancer::handle`] with all [`Event`]s of a moment; the module takes them all in, decides once, and appends
 //! the [`Action`]s to carry out, in order. Times are [`Nanos`] on any clock that only moves forward. When the
 //! module asks for a [`Action::WakeAt`], call `handle` at that time with [`Event::Due`]; a wake-up that comes too
@@ -8,8 +8,8 @@
 //! [`Event::AttemptEnded`]. A message ends by an outcome marked `over` (or `Ok`), an [`Action::Reject`] or an
 //! [`Action::Fail`], and then the module sends nothing more for it.
 //!
-//! A restart loses everything: make a new `Balancer` and hand in the list of hosts first. Messages that the old
-//! one held are the clients' to hand in again, or, where the relay kept them, come as [`Event::Resumed`].
+//! A restart loses everything: make a new `Balancer` and report the endpoint list first. Messages of the old one are
+//! submitted again by the clients or, where the forwarder has stored them, come as [`Event::Resumed`].
 //!
 //! ```
 //! use micaladder::*;
@@ -23,7 +23,7 @@
 //!     fifo_by_key: false,
 //! };
 //! let settings = Settings { slots: 4, max_pending: 100, max_attempts: 3, classes: vec![class], ..Settings::default() };
-//! let mut relay = Balancer::new(settings, 42);
+//! let mut balancer = Balancer::new(settings, 42);
 //! let (now, mut actions) = (Nanos::from_secs(100.0), Vec::new());
 //!
 //! let entry =
@@ -31,19 +31,19 @@
 //! let deadline = now + Nanos::from_secs(5.0);
 //! let message = Message { id: MessageId(1), class: 0, tenant: 0, key: None, dest: DestinationId(1), deadline };
 //! let list = Event::EndpointList { complete: true, entries: vec![entry] };
-//! relay.handle(now, &[list, Event::Message(message)], &mut actions);
+//! balancer.handle(now, &[list, Event::Message(message)], &mut actions);
 //! assert!(matches!(actions[0], Action::Send { id: MessageId(1), host: EndpointId(7), .. }));
 //!
 //! actions.clear();
 //! let took = Nanos::from_secs(0.2);
 //! let ended =
 //!     AttemptEnded { id: MessageId(1), attempt: 0, outcome: Outcome::Ok, over: true, took, report: None };
-//! relay.handle(now + took, &[Event::AttemptEnded(ended)], &mut actions);
+//! balancer.handle(now + took, &[Event::AttemptEnded(ended)], &mut actions);
 //! assert!(actions.iter().all(|a| !matches!(a, Action::Send { .. })));
 //! ```
 //!
-//! The rest of the crate is the daemon's parts, so that tools, models and benchmarks drive what is shipped:
-//! [`core`] and [`journal`] without a wire, the wires themselves in [`client`] and [`upstream`], which meet in
+//! The rest of the crate is the parts of the daemon, so that tools, models and benchmarks run what is shipped:
+//! [`core`] and [`journal`] without a network, the transports in [`client`] and [`upstream`], which meet in
 //! [`exchange`]. `main.rs` only wires them together.
 #![forbid(unsafe_code)]
 #[deny(missing_docs)]
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process: the wire in, the wire out, plain words on what is malformed.
+//! The wire adapter as a process: batches in, replies out, and a clear error for a malformed line.
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
@@ -16,29 +16,29 @@
     child.wait_with_output().expect("the adapter ends")
 }
 
-fn start(relay: &str) -> String {
+fn start(instance: &str) -> String {
     let conf = r#"{"classes":[{"aimNs":1000000000,"deadlineNs":5000000000,"effect":"repeatable","group":"all",
         "lateShare":0.1,"name":"n","points":1.0,"windowNs":1}],"familyInfo":{"fades":"line","kindApart":[false],
         "perCall":[1],"workers":4},"limits":{"mostTries":3,"openCap":50,"retryAfter":true,
         "maxRetryAfterNs":1000000000},"registryMode":"pushed","resolutionNs":5000000,"rules":{},"later":1}"#;
     let conf = conf.replace('\n', " ");
-    let power = format!(r#"{{"what":"powerOn","relayId":"{relay}","randomSeed":5,"conf":{conf}}}"#);
+    let power = format!(r#"{{"what":"powerOn","relayId":"{instance}","randomSeed":5,"conf":{conf}}}"#);
     let list = r#"{"what":"manifest","setId":0,"membersList":[{"host":"h:1","hall":0,"classOfHost":0,"cell":57,
         "lifecycle":"Running","nominal":1,"sinceNs":null}]}"#;
     let list = list.replace('\n', " ");
     let targets =
-        format!(r#"{{"what":"targets","relayId":"{relay}","form":"restored","revision":1,"setId":0}}"#);
+        format!(r#"{{"what":"targets","relayId":"{instance}","form":"restored","revision":1,"setId":0}}"#);
     format!("{power}\n{list}\n{targets}\n")
 }
 
-fn item(relay: &str) -> String {
+fn message(instance: &str) -> String {
     format!(
         concat!(
             r#"{{"what":"workItem","relayId":"{}","req":"e78fd02c5d3a91c4","type":0,"customer":0,"#,
             r#""key":null,"notAfterNs":6000000000,"predictedNs":null,"dest":57,"options":0}}"#,
             "\n"
         ),
-        relay
+        instance
     )
 }
 
@@ -46,8 +46,8 @@
 const GO: &str = "{\"what\":\"go\"}\n";
 
 #[test]
-fn a_batch_is_answered_line_by_line_and_ended() {
-    let out = run(&format!("{CLOCK}{GO}{CLOCK}{}{}{GO}", start("relay-3"), item("relay-3")));
+fn a_batch_is_answered_action_by_action_and_ended() {
+    let out = run(&format!("{CLOCK}{GO}{CLOCK}{}{}{GO}", start("relay-3"), message("relay-3")));
     assert!(out.status.success());
     let text = String::from_utf8(out.stdout).expect("utf-8");
     let lines: Vec<&str> = text.lines().collect();
@@ -60,23 +60,28 @@
 }
 
 #[test]
-fn instances_act_alike_alone_and_together_and_forget_at_a_halt() {
+fn instances_are_independent_and_a_stopped_one_forgets_everything() {
     let one =
-        |r: &str| String::from_utf8(run(&format!("{CLOCK}{}{}{GO}", start(r), item(r))).stdout).unwrap();
-    let both =
-        format!("{CLOCK}{}{}{}{}{GO}", start("relay-0"), start("relay-1"), item("relay-0"), item("relay-1"));
+        |r: &str| String::from_utf8(run(&format!("{CLOCK}{}{}{GO}", start(r), message(r))).stdout).unwrap();
+    let both = format!(
+        "{CLOCK}{}{}{}{}{GO}",
+        start("relay-0"),
+        start("relay-1"),
+        message("relay-0"),
+        message("relay-1")
+    );
     let both = String::from_utf8(run(&both).stdout).unwrap();
     let end = "{\"what\":\"end\"}\n";
     let apart = format!("{}{}{end}", one("relay-0").replace(end, ""), one("relay-1").replace(end, ""));
     assert_eq!(both, apart);
     let halt = r#"{"what":"halt","relayId":"relay-0"}"#;
-    let out = run(&format!("{CLOCK}{}{GO}{CLOCK}{halt}\n{}{GO}", start("relay-0"), item("relay-0")));
+    let out = run(&format!("{CLOCK}{}{GO}{CLOCK}{halt}\n{}{GO}", start("relay-0"), message("relay-0")));
     let text = String::from_utf8(out.stdout).unwrap();
     assert!(!text.contains("issue"), "{text}");
 }
 
 #[test]
-fn malformed_input_is_named_on_stderr_and_ends_the_process() {
+fn a_malformed_line_ends_the_process_with_its_number_on_stderr() {
     for (bad, word) in [
         ("{\"what\":\n", "not JSON"),
         ("[1,2]\n", "not a JSON object"),
@@ -93,7 +98,7 @@
 }
 
 #[test]
-fn unknown_events_codes_and_relays_are_passed_over() {
+fn unknown_events_codes_and_instances_are_ignored() {
     let odd = [
         r#"{"what":"flowing","relayId":"relay-0","req":"e78fd02c5d3a91c4","rttNs":1,"sendNo":0,"host":"h:1"}"#,
         r#"{"what":"fromPeer","relayId":"relay-0","who":1,"data":"00"}"#,
