--- a/src/exchange/task.rs
+++ b/src/exchange/task.rs
@@ -1,10 +1,10 @@
 //! The task that drives the core: collects what it is told, lets the core decide once a tick, carries its orders out.
-use super::command::{Command, UpstreamCommand};
+use super::command::{ClientConnections, Command, Suspension, UpstreamCommand};
 use super::shutdown::{self, Phase};
 use super::{open, Outputs, Shared};
 use crate::clock;
 use crate::core::{Answer, Callback, Input, Output, SuspensionResult};
-use crate::takeover::Late;
+use crate::takeover::LateOutcomeWriter;
 use crate::MessageId;
 use bytes::Bytes;
 use std::collections::BTreeMap;
@@ -38,18 +38,18 @@
     words: UnboundedSender<Callback>,
     close: watch::Sender<bool>,
     /// The journal is another process's; what comes of calls goes here.
-    late: Option<Late>,
+    late: Option<LateOutcomeWriter>,
     /// Operators' words of this step: heard after all else that was said before them, the list among it.
-    suspensions: Vec<(String, bool, oneshot::Sender<SuspensionResult>)>,
+    suspensions: Vec<(String, Suspension, oneshot::Sender<SuspensionResult>)>,
     shutdown: Option<Shutdown>,
 }
 
 impl ExchangeTask {
     /// A task round this core, the word that client connections are to be closed, and what the server side takes from it.
     pub(super) fn new(core: Shared) -> (ExchangeTask, watch::Receiver<bool>, Outputs) {
-        let (calls_in, calls) = unbounded_channel();
-        let (notices_in, notices) = unbounded_channel();
-        let (words_in, words) = unbounded_channel();
+        let (calls_in, upstream_commands) = unbounded_channel();
+        let (notices_in, platform_callbacks) = unbounded_channel();
+        let (words_in, as2_receipts) = unbounded_channel();
         let (close, closing) = watch::channel(false);
         let tick = Duration::from_nanos(open(&core).tick().0).min(TICK_MOST);
         let task = ExchangeTask {
@@ -65,7 +65,7 @@
             suspensions: Vec::new(),
             shutdown: None,
         };
-        (task, closing, Outputs { calls, notices, words })
+        (task, closing, Outputs { upstream_commands, platform_callbacks, as2_receipts })
     }
 
     /// Runs for as long as the process does.
@@ -108,7 +108,8 @@
     /// Lets the core decide on all that happened, and carries its orders out.
     fn step(&mut self, inputs: Vec<Input>) {
         let orders = open(&self.core).step(clock::now(), inputs);
-        for (uid, out, tell) in std::mem::take(&mut self.suspensions) {
+        for (uid, suspension, tell) in std::mem::take(&mut self.suspensions) {
+            let out = suspension == Suspension::Suspend;
             let _ = tell.send(open(&self.core).set_suspended(clock::now(), uid, out));
         }
         let mut withdrawn = Vec::new();
@@ -142,11 +143,15 @@
                 inputs.push(Input::Submitted { id, context });
             }
             Command::Input(input) => inputs.push(input),
-            Command::ExpectWord(topic, tell) => self.expect_word(topic, tell),
-            Command::Word(topic, word) => self.pass_word(&topic, word),
+            Command::AwaitReceipt { message_id, reply } => self.await_receipt(message_id, reply),
+            Command::ReceiptReceived { message_id, receipt } => self.receipt_received(&message_id, receipt),
             Command::Observations(tell) => drop(tell.send(open(&self.core).observations(clock::now()))),
-            Command::Suspend { uid, out, tell } => self.suspensions.push((uid, out, tell)),
-            Command::KeepConnections(open) => drop(self.close.send(!open)),
+            Command::SetSuspension { uid, suspension, reply } => {
+                self.suspensions.push((uid, suspension, reply))
+            }
+            Command::SetClientConnections(connections) => {
+                let _ = self.close.send(connections == ClientConnections::Close);
+            }
             Command::ReleaseJournal(late, tell) => self.release_journal(late, tell, inputs),
             Command::ShutDown(done) => {
                 self.shutdown = Some(Shutdown { asked: Instant::now(), phase: Phase::Serving, done });
@@ -154,7 +159,7 @@
         }
     }
 
-    fn expect_word(&mut self, topic: String, tell: oneshot::Sender<Bytes>) {
+    fn await_receipt(&mut self, topic: String, tell: oneshot::Sender<Bytes>) {
         if self.expected.len() >= EXPECTED_MOST {
             self.expected.retain(|_, tell| !tell.is_closed());
         }
@@ -162,7 +167,7 @@
     }
 
     /// A word that comes too late changes nothing: the attempt has had its outcome.
-    fn pass_word(&mut self, topic: &str, word: Bytes) {
+    fn receipt_received(&mut self, topic: &str, word: Bytes) {
         match self.expected.remove(topic).map(|tell| tell.send(word)) {
             Some(Ok(())) => {}
             Some(Err(_)) => log::warn!("receipt for {topic} after its try had ended: changes nothing"),
@@ -173,11 +178,13 @@
     }
 
     /// What was said before is taken in first, on the journal that is still this process's.
-    fn release_journal(&mut self, mut late: Late, tell: oneshot::Sender<()>, inputs: &mut Vec<Input>) {
+    fn release_journal(
+        &mut self, mut late: LateOutcomeWriter, tell: oneshot::Sender<()>, inputs: &mut Vec<Input>,
+    ) {
         let now = clock::now();
         let orders = open(&self.core).step(now, std::mem::take(inputs));
         orders.into_iter().for_each(|o| inputs.extend(self.carry_out(o)));
-        open(&self.core).release_journal(now).iter().for_each(|record| late.add(record));
+        open(&self.core).release_journal(now).iter().for_each(|record| late.append(record));
         self.late = Some(late);
         let _ = tell.send(());
     }
@@ -202,7 +209,7 @@
 }
 
 /// What happens to a process that has let the journal go: its calls end, and it takes nothing on.
-fn after_release(core: &Shared, late: &mut Late, inputs: Vec<Input>) -> Vec<Output> {
+fn after_release(core: &Shared, late: &mut LateOutcomeWriter, inputs: Vec<Input>) -> Vec<Output> {
     let (now, mut core, mut orders) = (clock::now(), open(core), Vec::new());
     for input in inputs {
         match input {
@@ -210,10 +217,10 @@
                 orders.push(Output::Answer(id, Answer::Reject(core.rejection_retry_after())))
             }
             Input::AttemptEnded { id, attempt, outcome, over, .. } => {
-                core.late_outcome(id, attempt, outcome, over).iter().for_each(|record| late.add(record));
+                core.late_outcome(id, attempt, outcome, over).iter().for_each(|record| late.append(record));
             }
             Input::RetryAfter { host, wait, .. } => {
-                core.late_retry_after(now, host, wait).iter().for_each(|record| late.add(record));
+                core.late_retry_after(now, host, wait).iter().for_each(|record| late.append(record));
             }
             // The next process hears of these itself.
             Input::Endpoints { .. }
--- a/src/peers/turns.rs
+++ b/src/peers/rotation.rs
@@ -1,5 +1,5 @@
 //! With whom to connect: some at a time, by luck, and one that has just ended not again at once. Without I/O.
-use crate::fleet::members::MEMBERS_MOST;
+use crate::fleet::member::MAX_MEMBERS;
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::SeedableRng;
@@ -12,18 +12,18 @@
 pub const AGAIN: f64 = 1.0;
 
 /// Those connected with, and those to leave alone. Times in seconds of any clock that only moves forward.
-pub struct Turns {
+pub struct Rotation {
     most: usize,
     with: BTreeSet<SocketAddr>,
     not_before: BTreeMap<SocketAddr, f64>,
     random: StdRng,
 }
 
-impl Turns {
+impl Rotation {
     /// With nobody yet, and with `most` at a time.
-    pub fn new(most: usize, seed: u64) -> Turns {
+    pub fn new(most: usize, seed: u64) -> Rotation {
         let random = StdRng::seed_from_u64(seed);
-        Turns { most, with: BTreeSet::new(), not_before: BTreeMap::new(), random }
+        Rotation { most, with: BTreeSet::new(), not_before: BTreeMap::new(), random }
     }
 
     /// With whom of these to connect now.
@@ -40,7 +40,7 @@
     /// A connection has ended; the next to the same one is made after `pause` seconds.
     pub fn ended(&mut self, now: f64, who: SocketAddr, pause: f64) {
         self.with.remove(&who);
-        if self.not_before.len() < MEMBERS_MOST {
+        if self.not_before.len() < MAX_MEMBERS {
             self.not_before.insert(who, now + pause);
         }
     }
