--- a/benches/held.rs
+++ b/benches/held.rs
@@ -1,5 +1,5 @@
-//! What one event costs with few and with many messages held: a message is handed in and the oldest call ends, over
-//! and over. Cost must not grow with what is held; compare the sizes of one run.
+//! What one event costs with few and with many pending messages: a message is submitted and the oldest call ends, over
+//! and over. Cost must not grow with the number of pending messages; compare the sizes of one run.
 //!
 //! `cargo bench --bench held` takes about a minute and 3 GB.
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
@@ -21,18 +21,18 @@
 /// Virtual time from one event to the next.
 const STEP: Nanos = Nanos(100_000);
 
-/// A disk that takes everything and keeps nothing: the journal's own cost is not measured here.
-struct Nowhere;
+/// A disk that discards what is written: the journal's own cost is not measured here.
+struct NullDisk;
 
-impl Disk for Nowhere {
+impl Disk for NullDisk {
     fn read(&self, _: &str) -> io::Result<Option<Vec<u8>>> {
         Ok(None)
     }
     fn open_append(&self, _: &str) -> io::Result<Box<dyn FileWriter>> {
-        Ok(Box::new(Nowhere))
+        Ok(Box::new(NullDisk))
     }
     fn create(&self, _: &str) -> io::Result<Box<dyn FileWriter>> {
-        Ok(Box::new(Nowhere))
+        Ok(Box::new(NullDisk))
     }
     fn rename(&self, _: &str, _: &str) -> io::Result<()> {
         Ok(())
@@ -42,7 +42,7 @@
     }
 }
 
-impl FileWriter for Nowhere {
+impl FileWriter for NullDisk {
     fn append(&mut self, _: &[u8]) -> io::Result<()> {
         Ok(())
     }
@@ -52,15 +52,8 @@
 }
 
 fn class(effect: Effect, fifo_by_key: bool) -> Class {
-    let (aim, deadline) = (Nanos::from_secs(3.0), Nanos::from_secs(1e6));
-    Class {
-        latency_objective: aim,
-        deadline,
-        priority_weight: 1.0,
-        late_weight_share: 0.5,
-        effect,
-        fifo_by_key,
-    }
+    let (latency_objective, deadline) = (Nanos::from_secs(3.0), Nanos::from_secs(1e6));
+    Class { latency_objective, deadline, priority_weight: 1.0, late_weight_share: 0.5, effect, fifo_by_key }
 }
 
 fn site(max_pending: usize) -> Arc<DeploymentSettings> {
@@ -89,18 +82,19 @@
     Arc::new(DeploymentSettings { module, classes: names, tenants, zones, kinds, connect_timeout })
 }
 
-struct World {
+struct Simulation {
     core: Core,
     now: Nanos,
     next: u64,
-    out: VecDeque<(MessageId, u32)>,
-    heard: Vec<MessageId>,
+    in_flight: VecDeque<(MessageId, u32)>,
+    notified: Vec<MessageId>,
 }
 
-impl World {
-    fn new(held: usize, max_pending: usize) -> World {
+impl Simulation {
+    fn new(pending: usize, max_pending: usize) -> Simulation {
         let now = Nanos::from_secs(1000.0);
-        let (journal, records) = Journal::open_on(Box::new(Nowhere), 1 << 50).expect("it takes everything");
+        let (journal, records) = Journal::open_on(Box::new(NullDisk), 1 << 50)
+            .expect("a disk that discards everything never fails");
         let core = Core::new(CoreOptions {
             site: site(max_pending),
             seed: 7,
@@ -111,7 +105,8 @@
             predecessor: Predecessor::None,
             now,
         });
-        let mut world = World { core, now, next: 0, out: VecDeque::new(), heard: Vec::new() };
+        let mut simulation =
+            Simulation { core, now, next: 0, in_flight: VecDeque::new(), notified: Vec::new() };
         let member = |dest: u64| Endpoint {
             uid: format!("s-{dest}"),
             address: "127.0.0.1:1".into(),
@@ -121,19 +116,20 @@
             state: EndpointState::Running,
             rate: 50.0,
         };
-        world.step(vec![Input::Endpoints { complete: true, endpoints: (0..PARTNERS).map(member).collect() }]);
-        for _ in 0..held.div_ceil(1000) {
-            let inputs = (0..1000.min(held)).map(|_| world.hand_in()).collect();
-            world.step(inputs);
+        simulation
+            .step(vec![Input::Endpoints { complete: true, endpoints: (0..PARTNERS).map(member).collect() }]);
+        for _ in 0..pending.div_ceil(1000) {
+            let inputs = (0..1000.min(pending)).map(|_| simulation.submit()).collect();
+            simulation.step(inputs);
         }
-        world
+        simulation
     }
 
-    fn hand_in(&mut self) -> Input {
+    fn submit(&mut self) -> Input {
         let id = self.core.next_id();
         self.next += 1;
         let (name, class) = (format!("m{}", self.next), (self.next % 3) as usize);
-        // Ten of a key wait behind each other.
+        // Ten messages share a key and wait for each other.
         let ordering_key = (class == 0).then_some(self.next / 30);
         let idempotency_key = if class == 0 { format!("key-{name}") } else { String::new() };
         let deadline = self.now + Nanos::from_secs(9e5);
@@ -153,17 +149,17 @@
     }
 
     fn step(&mut self, mut inputs: Vec<Input>) {
-        inputs.extend(self.heard.drain(..).map(Input::CallbackAcknowledged));
+        inputs.extend(self.notified.drain(..).map(Input::CallbackAcknowledged));
         self.now = self.now + STEP;
-        for order in self.core.step(self.now, inputs) {
-            match order {
+        for output in self.core.step(self.now, inputs) {
+            match output {
                 Output::Call(attempts) => {
                     for one in attempts {
                         assert!(self.core.may_send(self.now, one.id, one.attempt), "nothing has changed");
-                        self.out.push_back((one.id, one.attempt))
+                        self.in_flight.push_back((one.id, one.attempt))
                     }
                 }
-                Output::Callback(notice) => self.heard.push(notice.id),
+                Output::Callback(notice) => self.notified.push(notice.id),
                 Output::Answer(_, answer) => assert!(matches!(answer, Answer::Accepted | Answer::Reject(_))),
                 Output::CancelAttempt { .. } | Output::CloseIdle(_) => {}
             }
@@ -171,8 +167,8 @@
     }
 
     fn event(&mut self) {
-        let mut inputs = vec![self.hand_in()];
-        let (id, attempt) = self.out.pop_front().expect("calls are out all the time");
+        let mut inputs = vec![self.submit()];
+        let (id, attempt) = self.in_flight.pop_front().expect("calls are in flight all the time");
         inputs.push(Input::AttemptEnded { id, attempt, outcome: Outcome::Ok, over: false, report: None });
         self.step(inputs);
     }
@@ -183,8 +179,8 @@
         let mut group = c.benchmark_group(name);
         group.sample_size(20);
         for held in [100, 10_000, 1_000_000] {
-            let mut world = World::new(held, held + spare);
-            group.bench_function(BenchmarkId::from_parameter(held), |b| b.iter(|| world.event()));
+            let mut simulation = Simulation::new(held, held + spare);
+            group.bench_function(BenchmarkId::from_parameter(held), |b| b.iter(|| simulation.event()));
         }
         group.finish();
     }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -149,55 +149,65 @@
     })
 }
 
-fn play(steps: &[Step], set: Settings, zones: usize, kind: usize) {
-    let listed = |h: u32| EndpointEntry { rate: 12.0, ..list_entry(h, dest_of(h), kind, h as usize % zones) };
-    let mut r = Forwarder::new(set, (0..6).map(listed).collect());
-    let separate_routes = r.set.kinds[kind].separate_routes;
-    let (set, mut oracle) = (r.set.clone(), Oracle { zones, separate_routes, ..Oracle::default() });
-    for (n, (later, class, dest, key, code)) in steps.iter().enumerate() {
-        // Time passes in short steps, or a short deadline could not be met.
-        for _ in 0..later / 10 {
-            let actions = r.step(10, &[Event::Due]);
-            oracle.check(r.now, &actions, &set);
-        }
-        let (class, later) = (&(class % set.classes.len()), &(later % 10));
-        let now = r.now + ms(*later);
-        let mut events = vec![Event::Due];
-        if n == steps.len() / 2 {
-            oracle.draining = Some(1);
-            let draining = EndpointEntry { state: EndpointState::Draining, ..listed(1) };
-            events.push(Event::EndpointList { complete: false, entries: vec![draining] });
-        }
-        let oldest = oracle.seen.iter().filter_map(|(id, m)| m.in_flight.map(|o| (o.1, *id))).min();
-        if let (Some((at, id)), Some(o)) = (oldest, outcome(*code)) {
-            let attempt = oracle.seen[&id].attempts - 1;
-            let over = oracle.seen[&id].ended || o == Outcome::Ok;
-            let (took, report) =
-                (now - at, set.limits_reported.then_some(LoadReport { left: 0.3, limit: 9.0 }));
-            oracle.outcome(now, id, o, &set);
-            events.push(Event::AttemptEnded(AttemptEnded {
-                id: MessageId(id),
-                attempt,
-                outcome: o,
-                over,
-                took,
-                report,
-            }));
+/// A forwarder with generated settings, and the oracle that watches it.
+struct Run {
+    forwarder: Forwarder,
+    oracle: Oracle,
+    kind: usize,
+}
+
+impl Run {
+    fn new(set: Settings, zones: usize, kind: usize) -> Run {
+        let separate_routes = set.kinds[kind].separate_routes;
+        let list = (0..6).map(|id| Run::entry(id, zones, kind)).collect();
+        let oracle = Oracle { zones, separate_routes, ..Oracle::default() };
+        Run { forwarder: Forwarder::new(set, list), oracle, kind }
+    }
+
+    fn entry(id: u32, zones: usize, kind: usize) -> EndpointEntry {
+        EndpointEntry { rate: 12.0, ..list_entry(id, dest_of(id), kind, id as usize % zones) }
+    }
+
+    /// Lets time pass, then feeds events and checks the actions.
+    fn step(&mut self, later_ms: u64, events: &[Event]) {
+        let actions = self.forwarder.step(later_ms, events);
+        self.oracle.check(self.forwarder.now, &actions, &self.forwarder.set);
+    }
+
+    /// Time passes in short steps, or a short deadline could not be met.
+    fn wait(&mut self, steps: u64) {
+        for _ in 0..steps {
+            self.step(10, &[Event::Due]);
         }
-        let id = n as u64 + 1;
-        let key = Some(*key).filter(|_| set.classes[*class].fifo_by_key);
-        let deadline = now + set.classes[*class].deadline;
-        let message = Message {
-            id: MessageId(id),
-            class: *class,
-            tenant: 0,
-            key,
-            dest: DestinationId(*dest),
-            deadline,
-        };
-        events.push(Event::Message(message));
-        let m = KnownMessage {
-            class: *class,
+    }
+
+    /// Endpoint 1 drains.
+    fn drain(&mut self) -> Event {
+        self.oracle.draining = Some(1);
+        let entry = Run::entry(1, self.oracle.zones, self.kind);
+        let draining = EndpointEntry { state: EndpointState::Draining, ..entry };
+        Event::EndpointList { complete: false, entries: vec![draining] }
+    }
+
+    /// The oldest attempt in flight ends, if there is one and the code is an outcome's.
+    fn end_oldest(&mut self, now: Nanos, code: u8) -> Option<Event> {
+        let in_flight = self.oracle.seen.iter().filter_map(|(id, m)| m.in_flight.map(|o| (o.1, *id)));
+        let (sent_at, id) = in_flight.min()?;
+        let outcome = outcome(code)?;
+        let attempt = self.oracle.seen[&id].attempts - 1;
+        let over = self.oracle.seen[&id].ended || outcome == Outcome::Ok;
+        let report = self.forwarder.set.limits_reported.then_some(LoadReport { left: 0.3, limit: 9.0 });
+        self.oracle.outcome(now, id, outcome, &self.forwarder.set);
+        let (id, took) = (MessageId(id), now - sent_at);
+        Some(Event::AttemptEnded(AttemptEnded { id, attempt, outcome, over, took, report }))
+    }
+
+    fn submit(&mut self, now: Nanos, id: u64, class: usize, dest: u64, key: u64) -> Event {
+        let settings = &self.forwarder.set.classes[class];
+        let key = Some(key).filter(|_| settings.fifo_by_key);
+        let deadline = now + settings.deadline;
+        let known = KnownMessage {
+            class,
             key,
             deadline,
             attempts: 0,
@@ -205,16 +215,31 @@
             first_possible_run: None,
             ended: false,
         };
-        oracle.seen.insert(id, m);
-        let actions = r.step(*later, &events);
-        oracle.check(r.now, &actions, &set);
+        self.oracle.seen.insert(id, known);
+        let (id, dest) = (MessageId(id), DestinationId(dest));
+        Event::Message(Message { id, class, tenant: 0, key, dest, deadline })
     }
-    let last = set.classes.iter().map(|c| c.deadline.0 / ms(10).0).max().unwrap_or_default();
-    for _ in 0..last + 50 {
-        let actions = r.step(10, &[Event::Due]);
-        oracle.check(r.now, &actions, &set);
+}
+
+/// Plays the steps, and checks that every message ends.
+fn play(steps: &[Step], set: Settings, zones: usize, kind: usize) {
+    let mut run = Run::new(set, zones, kind);
+    for (n, (later, class, dest, key, code)) in steps.iter().enumerate() {
+        run.wait(later / 10);
+        let later = later % 10;
+        let now = run.forwarder.now + ms(later);
+        let mut events = vec![Event::Due];
+        if n == steps.len() / 2 {
+            events.push(run.drain());
+        }
+        events.extend(run.end_oldest(now, *code));
+        let class = class % run.forwarder.set.classes.len();
+        events.push(run.submit(now, n as u64 + 1, class, *dest, *key));
+        run.step(later, &events);
     }
-    assert!(oracle.seen.values().all(|m| m.ended), "every message ends");
+    let longest = run.forwarder.set.classes.iter().map(|c| c.deadline.0 / ms(10).0).max().unwrap_or_default();
+    run.wait(longest + 50);
+    assert!(run.oracle.seen.values().all(|m| m.ended), "every message ends");
 }
 
 fn class() -> impl Strategy<Value = Class> {
