--- a/src/bin/micaladder-benchlink/instance.rs
+++ b/src/bin/micaladder-benchlink/instance.rs
@@ -1,4 +1,4 @@
-//! One simulated forwarder: its decision module and the endpoints that it was told of.
+//! One simulated forwarder: its decision module and the endpoints that it knows.
 use crate::settings;
 use micaladder::{Action, Balancer, EndpointId, Event, LoadReport, Nanos};
 use serde_json::Value;
--- a/src/logic/connections.rs
+++ b/src/logic/connections.rs
@@ -5,6 +5,11 @@
 use crate::state::*;
 
 impl EndpointRecord {
+    /// Whether a further call needs no new connection, with so many calls on each.
+    pub(super) fn has_idle_stream(&self, streams: u32) -> bool {
+        self.calls < self.connections * streams
+    }
+
     /// A served call shows that there is capacity for it; bit by bit, so that it is noticed when there is
     /// more.
     pub(super) fn raise_capacity(&mut self, slots: usize) {
@@ -18,24 +23,18 @@
 
 impl Balancer {
     /// Calls that one connection carries at once.
-    fn streams(&self) -> u32 {
+    pub(super) fn streams(&self) -> u32 {
         self.settings.streams_per_connection.max(1)
     }
 
-    /// Whether a call to the endpoint needs no new connection.
-    pub(super) fn has_idle_stream(&self, endpoint: &EndpointRecord) -> bool {
-        endpoint.calls < endpoint.connections * self.streams()
-    }
-
     /// Counts a call on its connection. Where connections that were idle for so long are assumed to be
     /// dropped, they are closed first.
     pub(super) fn use_connection(&mut self, id: EndpointId) {
         let now = self.now;
         let streams = self.streams();
         let endpoint = self.endpoints.entry(id).or_default();
-        let reused = endpoint.calls < endpoint.connections * streams;
-        endpoint.connection_idle = if reused { (now - endpoint.used_at).secs() } else { 0.0 };
-        let idle = endpoint.connection_idle;
+        let idle = if endpoint.has_idle_stream(streams) { (now - endpoint.used_at).secs() } else { 0.0 };
+        endpoint.connection_idle = idle;
         if endpoint.calls == 0 && self.idle_limit.is_some_and(|limit| idle > limit) {
             endpoint.connection_idle = 0.0;
             endpoint.connections = 0;
--- a/src/logic/dispatch.rs
+++ b/src/logic/dispatch.rs
@@ -99,7 +99,8 @@
         let route_fee = if separate_route { self.settings.route_fee.get(endpoint.zone) } else { None };
         let route_fee = route_fee.copied().unwrap_or(0.0);
         let cross_fee = if endpoint.zone == self.settings.zone { 0.0 } else { self.settings.cross_fee };
-        let handshake_fee = if self.has_idle_stream(endpoint) { 0.0 } else { self.settings.handshake_fee };
+        let handshake_fee =
+            if endpoint.has_idle_stream(self.streams()) { 0.0 } else { self.settings.handshake_fee };
         let loss = endpoint.class_loss.get(&class).copied().unwrap_or(0.0);
         late * LATE_COST + route_fee + cross_fee + handshake_fee + loss
     }
--- a/src/logic/observations.rs
+++ b/src/logic/observations.rs
@@ -37,9 +37,9 @@
     }
 
     /// Whether usual messages are kept from this endpoint by choice: calls fail there, and only trials go.
-    pub fn is_avoided(&self, host: EndpointId) -> bool {
+    pub fn is_avoided(&self, endpoint: EndpointId) -> bool {
         self.endpoints
-            .get(&host)
+            .get(&endpoint)
             .is_some_and(|endpoint| matches!(endpoint.breaker, CircuitBreaker::Open { .. }))
     }
 
--- a/src/state/pending_index.rs
+++ b/src/state/pending_index.rs
@@ -3,8 +3,7 @@
 //! may be sent.
 //!
 //! Messages of one class lose value alike: the value that is left depends on the deadline alone. So the
-//! message with the least value, or the largest loss by waiting, is a neighbour of one of a few points in
-//! time.
+//! message with the least value, or the largest loss by waiting, is next to one of a few points in time.
 use crate::interface::*;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
