--- a/src/logic/tuning.rs
+++ b/src/logic/tuning.rs
@@ -1,43 +1,46 @@
-//! Tuning constants, each with its unit and the reason for its value. Symbols of the design page in brackets.
+//! Tuning constants, each with its unit and the reason for its value. Symbols of the design page come first,
+//! in backticks.
 use crate::interface::Nanos;
 
 // ---- Slots and the ready queue.
 
-/// [slot share] Share of the slots that a healthy destination stays under.
+/// `slot share`: Share of the slots that a healthy destination stays under.
 pub(super) const HEALTHY_SHARE: f64 = 0.75;
-/// [slot share] Share of the slots that slow and failing destinations may hold together.
+/// `slot share`: Share of the slots that slow and failing destinations may hold together.
 pub(super) const UNHEALTHY_SHARE: f64 = 0.5;
-/// Latency over this many times the lowest mean seen makes an endpoint slow.
+/// Latency over this many times the lowest mean seen makes an endpoint slow: well above its usual variation.
 pub(super) const SLOW_FACTOR: f64 = 3.0;
-/// Share of the slots that calls past their answer time-out may hold together.
+/// Share of the slots that calls past their answer time-out may hold together; the others stay for calls that
+/// are answered.
 pub(super) const UNANSWERED_SHARE: f64 = 0.25;
-/// [ARRmin] Below this share of L the cap on η is waived, so that no slot idles for fairness' sake.
+/// `ARRmin`: Below this share of L the cap on η is waived, so that no slot idles for fairness' sake.
 pub(super) const ARR_MIN_SHARE: f64 = 0.25;
-/// [LexASmax] Deficit under the cap, in ready queues of mean weight.
+/// `LexASmax`: Deficit under the cap, in ready queues of mean weight.
 pub(super) const LEXAS_MAX: f64 = 1.0;
-/// [LexASmin] Deficit that a lagging flow may bring, in the same unit: twice the cap, as in the paper.
+/// `LexASmin`: Deficit that a lagging flow may bring, in the same unit: twice the cap, as in the paper.
 pub(super) const LEXAS_MIN: f64 = 2.0;
 
 // ---- Gains.
 
-/// [κ] Gain at the start.
+/// `κ`: Gain at the start.
 pub(super) const KAPPA: f64 = 1.0;
-/// [γ] Gain added for a missed latency objective; one κ, so a first miss doubles a share.
+/// `γ`: Gain added for a missed latency objective; one κ, so a first miss doubles a share.
 pub(super) const GAMMA: f64 = 1.0;
 /// Share of the latency objective that a message may wait here.
 pub(super) const OBJECTIVE_SHARE: f64 = 0.5;
-/// Share of an extra gain, and of a class's loss share, that a review keeps.
+/// Share of an extra gain, and of a class's loss share, that a review keeps: half is gone after seven
+/// reviews.
 pub(super) const REVIEW_KEEP: f64 = 0.9;
-/// Gains are halved together once one is above this many κ.
+/// Gains are halved together once one is above this many κ, so that large gains shrink (design page).
 pub(super) const GAIN_MAX: f64 = 8.0;
-/// [few rounds] Time between reviews of gains, rates and idle destinations: several latency objectives of
+/// `few rounds`: Time between reviews of gains, rates and idle destinations: several latency objectives of
 /// traffic fit in.
 pub(super) const REVIEW_INTERVAL: Nanos = Nanos(1_000_000_000);
 /// Idle destinations lose their counts after this time (design page).
 pub(super) const FORGET_AFTER: Nanos = Nanos(60_000_000_000);
-/// Weight of a second in the demand.
+/// Weight of a second in the demand: about the last ten seconds count.
 pub(super) const DEMAND_GAIN: f64 = 0.1;
-/// Weight of a second in the served rate.
+/// Weight of a second in the served rate: about the last three seconds count.
 pub(super) const SERVED_RATE_GAIN: f64 = 0.3;
 /// Longest backlog counted, in seconds.
 pub(super) const BACKLOG_MAX: f64 = 30.0;
@@ -69,15 +72,16 @@
 
 // ---- Health.
 
-/// Weight of a new latency sample.
+/// Weight of a new latency sample: the 1/8 of RFC 6298, section 2.
 pub(super) const LATENCY_GAIN: f64 = 0.125;
-/// Mean deviations above the mean latency without any answer after which a call counts as unanswered.
+/// Mean deviations above the mean latency without any answer after which a call counts as unanswered: the 4
+/// of RFC 6298, section 2.
 pub(super) const ANSWER_DEVIATIONS: f64 = 4.0;
 /// Least time without any answer after which a call counts as unanswered, in seconds.
 pub(super) const ANSWER_TIMEOUT_LEAST: f64 = 0.75;
 /// The same in seconds while no latency is known.
 pub(super) const ANSWER_TIMEOUT_UNKNOWN: f64 = 2.0;
-/// Weight of one outcome in a failure share.
+/// Weight of one outcome in a failure share; see `FAILURE_SHARE_OPEN`.
 pub(super) const FAILURE_GAIN: f64 = 0.3;
 /// Failure share that opens the breaker: seven failures in a row.
 pub(super) const FAILURE_SHARE_OPEN: f64 = 0.9;
