--- a/src/logic/outcomes.rs
+++ b/src/logic/outcomes.rs
@@ -122,7 +122,8 @@
         self.destination(dest).served += 1;
     }
 
-    /// A rejected call: it reduces the pace; with a long Retry-After, or below the limit, it counts as an outage.
+    /// A rejected call: it reduces the pace; with a long Retry-After, or below the limit, it counts as an
+    /// outage.
     fn learn_rejected(&mut self, ended: &AttemptEnded, attempt: &InFlight, wait: Option<Nanos>, draw: f64) {
         let Some(endpoint) = self.endpoints.get(&attempt.endpoint) else { return };
         let key = endpoint.route;
--- a/src/logic/pacing.rs
+++ b/src/logic/pacing.rs
@@ -91,7 +91,8 @@
         self.pace.unwrap_or(f64::INFINITY).min(expected).max(served - served.sqrt())
     }
 
-    /// All that received a Retry-After hear of the same end; the random part keeps them from returning at once.
+    /// All that received a Retry-After hear of the same end; the random part keeps them from returning at
+    /// once.
     fn back_off(&mut self, first: f64, pace: f64, draw: f64) {
         let doublings = self.rejections.min(BACKOFF_DOUBLINGS) as i32 - 1;
         let backoff = (first * 2f64.powi(doublings)).min(TRIAL_GAP_MAX.max(1.0 / pace));
