--- a/src/exchange/command.rs
+++ b/src/exchange/command.rs
@@ -1,31 +1,31 @@
-//! What the exchange is told, and what it has the server side do.
+//! The messages of the exchange: commands to its task, and commands from it to the server side.
 use crate::core::{Answer, Attempt, Endpoint, EndpointObservation, Input, SuspensionResult};
 use crate::request::RequestContext;
 use crate::takeover::Late;
-use crate::{EndpointId, MessageId};
+use crate::{EndpointId, LoadReport, MessageId, Outcome};
 use bytes::Bytes;
 use tokio::sync::oneshot;
 
-/// One thing that the exchange is told.
+/// A command to the exchange task. A `reply` is sent once the command has been carried out.
 pub(super) enum Command {
     /// A client submits a request.
-    Submit(RequestContext, oneshot::Sender<Answer>),
-    /// Something has happened that the core is to hear of.
+    Submit { context: RequestContext, reply: oneshot::Sender<Answer> },
+    /// An event for the core.
     Input(Input),
     /// An attempt waits for the asynchronous receipt of this AS2 message.
     AwaitReceipt { message_id: String, reply: oneshot::Sender<Bytes> },
     /// Such a receipt has arrived on a client connection.
     ReceiptReceived { message_id: String, receipt: Bytes },
-    /// The process is to end.
-    ShutDown(oneshot::Sender<()>),
-    /// Somebody wants to know what this forwarder has seen of its endpoints.
-    Observations(oneshot::Sender<Vec<EndpointObservation>>),
+    /// The process is asked to shut down gracefully; the reply says that it may exit.
+    ShutDown { reply: oneshot::Sender<()> },
+    /// What this forwarder has observed of its endpoints is wanted.
+    Observations { reply: oneshot::Sender<Vec<EndpointObservation>> },
     /// An operator suspends or resumes an endpoint.
     SetSuspension { uid: String, suspension: Suspension, reply: oneshot::Sender<SuspensionResult> },
     /// Whether client connections stay open.
     SetClientConnections(ClientConnections),
-    /// The journal is another process's from now on.
-    ReleaseJournal(Late, oneshot::Sender<()>),
+    /// The journal belongs to another process from now on; outcomes of calls in flight go to `late`.
+    ReleaseJournal { late: Late, reply: oneshot::Sender<()> },
 }
 
 /// An update of the endpoint list.
@@ -54,17 +54,44 @@
     Close,
 }
 
+/// One attempt of a message.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct AttemptId {
+    /// The message.
+    pub message: MessageId,
+    /// The number of the attempt, from 0.
+    pub attempt: u32,
+}
+
+impl From<&Attempt> for AttemptId {
+    fn from(attempt: &Attempt) -> AttemptId {
+        AttemptId { message: attempt.id, attempt: attempt.attempt }
+    }
+}
+
+/// How an attempt ended.
+#[derive(Clone, Copy, Debug)]
+pub struct AttemptResult {
+    /// Its outcome.
+    pub outcome: Outcome,
+    /// Whether the endpoint says that the message needs no further attempt.
+    pub is_message_over: bool,
+    /// The load report that came with the answer.
+    pub report: Option<LoadReport>,
+}
+
+impl From<Outcome> for AttemptResult {
+    fn from(outcome: Outcome) -> AttemptResult {
+        AttemptResult { outcome, is_message_over: false, report: None }
+    }
+}
+
 /// What the server side does for the exchange.
 pub enum UpstreamCommand {
-    /// One call with these messages.
+    /// Makes one call that carries these attempts, all to the same endpoint.
     Call(Vec<Attempt>),
-    /// Call this attempt off.
-    CancelAttempt {
-        /// The message.
-        id: MessageId,
-        /// The number of its attempt.
-        attempt: u32,
-    },
-    /// Close the idle connections to this endpoint.
+    /// Cancels this attempt.
+    CancelAttempt(AttemptId),
+    /// Closes the idle connections to this endpoint.
     CloseIdle(EndpointId),
 }
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -1,15 +1,21 @@
-//! The one object in which client side and server side meet. Clients submit requests and wait for answers; the server
-//! side takes calls and notices from it and brings their outcomes back. Neither knows the other.
+//! The exchange: the one object in which client side and server side meet. Clients submit requests and wait for answers;
+//! the server side takes calls and callbacks from it and returns their outcomes. Neither side knows the other.
 //!
-//! `command` is what it is told, `task` drives the core, `shutdown` is the order in which a process ends.
+//! - `command`: the messages between the two sides and the exchange task
+//! - `task`: the task that drives the core
+//! - `core_handle`: the core behind its lock
+//! - `receipts`: asynchronous AS2 receipts, matched with the attempts that wait for them
+//! - `shutdown`: the phases of a graceful shutdown
+#![warn(missing_docs)]
 mod command;
+mod core_handle;
+mod receipts;
 mod shutdown;
 mod task;
 #[cfg(test)]
 mod tests;
 
-pub use command::UpstreamCommand;
-pub use command::{ClientConnections, EndpointUpdate, Suspension};
+pub use command::{AttemptId, AttemptResult, ClientConnections, EndpointUpdate, Suspension, UpstreamCommand};
 pub use shutdown::SHUTDOWN_TIMEOUT;
 
 use crate::clock;
@@ -18,30 +24,32 @@
 use crate::metrics::Metrics;
 use crate::request::RequestContext;
 use crate::takeover::Late;
-use crate::{DestinationId, EndpointId, LoadReport, MessageId, Nanos, Outcome};
+use crate::{DestinationId, EndpointId, MessageId, Nanos};
 use bytes::Bytes;
 use command::Command;
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use core_handle::SharedCore;
+use std::sync::Arc;
 use task::ExchangeTask;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::sync::{oneshot, watch};
 
-/// The handle by which both sides speak with the exchange.
+/// Why the exchange gave no reply.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ExchangeError {
+    /// The exchange task has ended, as it does with the process only.
+    #[error("exchange: its task has ended; the process is exiting, ask the one that serves now")]
+    TaskEnded,
+}
+
+/// The handle by which both sides reach the exchange task.
 #[derive(Clone)]
 pub struct Exchange {
     commands: UnboundedSender<Command>,
-    core: Shared,
+    core: SharedCore,
     close_signal: watch::Receiver<bool>,
 }
 
-/// The core, which the task drives. Beside it only `may_go` looks in, between two moments; nobody holds it over a wait.
-type Shared = Arc<Mutex<Core>>;
-
-fn open(core: &Shared) -> MutexGuard<'_, Core> {
-    core.lock().unwrap_or_else(PoisonError::into_inner)
-}
-
-/// The ends of the exchange from which work is taken.
+/// The receiving ends of the work that the exchange hands out.
 pub struct Outputs {
     /// Calls to start or cancel, and idle connections to close.
     pub upstream_commands: UnboundedReceiver<UpstreamCommand>,
@@ -52,20 +60,20 @@
 }
 
 impl Exchange {
-    /// Starts the exchange round this core.
+    /// Starts the exchange task for this core.
     pub fn new(core: Core) -> (Exchange, Outputs) {
         let (commands, received) = unbounded_channel();
-        let core = Arc::new(Mutex::new(core));
+        let core = SharedCore::new(core);
         let (task, close_signal, outputs) = ExchangeTask::new(core.clone());
         tokio::spawn(task.run(received));
         (Exchange { commands, core, close_signal }, outputs)
     }
 
-    /// Submits a request. A caller that drops this before its answer withdraws the request.
+    /// Submits a request. A caller that drops this future before the answer withdraws the request. Once the exchange task has
+    /// ended the request is rejected.
     pub async fn submit(&self, context: RequestContext) -> Answer {
-        let (tell, answer) = oneshot::channel();
-        self.send(Command::Submit(context, tell));
-        answer.await.unwrap_or(Answer::Reject(None))
+        let answer = self.request(|reply| Command::Submit { context, reply }).await;
+        answer.unwrap_or(Answer::Reject(None))
     }
 
     /// Applies an update of the endpoint list.
@@ -77,48 +85,53 @@
         self.send(Command::Input(Input::Endpoints { complete, members }));
     }
 
-    /// Whether an attempt that has its connection may still go: asked once, right before its first byte, by all fronts.
-    pub fn may_send(&self, id: MessageId, attempt: u32) -> bool {
-        open(&self.core).may_send(clock::now(), id, attempt)
+    /// Whether an attempt that has its connection may still be sent. Every transport asks once, right before the first byte:
+    /// a connect may take seconds, and a retry-after, a drain or a withdrawal may have come meanwhile.
+    pub fn may_send(&self, id: AttemptId) -> bool {
+        self.core.lock().may_send(clock::now(), id.message, id.attempt)
     }
 
-    pub fn attempt_ended(
-        &self, id: MessageId, attempt: u32, outcome: Outcome, over: bool, report: Option<LoadReport>,
-    ) {
+    /// Reports how an attempt ended, exactly once for each attempt that was handed out.
+    pub fn attempt_ended(&self, id: AttemptId, result: AttemptResult) {
+        let AttemptId { message: id, attempt } = id;
+        let AttemptResult { outcome, is_message_over: over, report } = result;
         self.send(Command::Input(Input::AttemptEnded { id, attempt, outcome, over, report }));
     }
 
-    /// A partner told us to wait, whatever becomes of the attempt that it answered.
+    /// An endpoint asked for a pause (Retry-After), which counts whatever becomes of the attempt that it answered.
     pub fn retry_after_received(&self, host: EndpointId, dest: DestinationId, wait: Nanos) {
         self.send(Command::Input(Input::RetryAfter { host, dest, wait }));
     }
 
+    /// The recipient has acknowledged the callback for this message.
     pub fn callback_acknowledged(&self, id: MessageId) {
         self.send(Command::Input(Input::CallbackAcknowledged(id)));
     }
 
-    /// Brings what neighbours saw.
-    pub fn peer_observations(&self, sightings: Vec<EndpointObservation>) {
-        self.send(Command::Input(Input::PeerObservations(sightings)));
+    /// Applies what peers observed of endpoints.
+    pub fn peer_observations(&self, observations: Vec<EndpointObservation>) {
+        self.send(Command::Input(Input::PeerObservations(observations)));
     }
 
-    /// What this forwarder has seen itself of its endpoints.
+    /// What this forwarder has observed itself of its endpoints; nothing once the exchange task has ended.
     pub async fn observations(&self) -> Vec<EndpointObservation> {
-        let (tell, known) = oneshot::channel();
-        self.send(Command::Observations(tell));
-        known.await.unwrap_or_default()
+        self.request(|reply| Command::Observations { reply }).await.unwrap_or_default()
     }
 
     /// Suspends or resumes the endpoint with this uid for an operator. Returns once that is in force, or has failed.
-    pub async fn set_suspension(&self, uid: String, suspension: Suspension) -> SuspensionResult {
-        let (reply, done) = oneshot::channel();
-        self.send(Command::SetSuspension { uid, suspension, reply });
-        done.await.unwrap_or(SuspensionResult::NotPersisted)
+    ///
+    /// # Errors
+    ///
+    /// The exchange task has ended.
+    pub async fn set_suspension(
+        &self, uid: String, suspension: Suspension,
+    ) -> Result<SuspensionResult, ExchangeError> {
+        self.request(|reply| Command::SetSuspension { uid, suspension, reply }).await
     }
 
-    /// What operators are shown, kept from now on.
+    /// The metrics for operators. They are counted from the first call on.
     pub fn metrics(&self) -> Arc<Metrics> {
-        open(&self.core).metrics(clock::now())
+        self.core.lock().metrics(clock::now())
     }
 
     /// Registers an attempt that waits for the asynchronous AS2 receipt (MDN) of this message, which arrives on a client
@@ -139,22 +152,21 @@
         self.send(Command::SetClientConnections(connections));
     }
 
-    /// Whether the journal cannot be handed on now.
+    /// Whether the journal cannot be released now.
     pub fn is_release_blocked(&self) -> bool {
-        open(&self.core).is_release_blocked()
+        self.core.lock().is_release_blocked()
     }
 
-    /// Lets the journal go, and writes here what this process knows and what still comes of its calls. Once this returns,
-    /// it writes the journal no more, takes nothing on and starts no attempt.
+    /// Releases the journal to a successor, and writes to `late` what this process knows and what becomes of its calls in
+    /// flight. Once this returns, it does not write the journal, accepts no request and starts no attempt.
     pub async fn release_journal(&self, late: Late) {
-        let (tell, done) = oneshot::channel();
-        self.send(Command::ReleaseJournal(late, tell));
-        let _ = done.await;
+        // Where the task has ended there is nothing left to release.
+        let _ = self.request(|reply| Command::ReleaseJournal { late, reply }).await;
     }
 
-    /// Calls whose first byte may have gone out.
+    /// Calls whose first byte may have been sent and that have not ended.
     pub fn calls_in_flight(&self) -> usize {
-        open(&self.core).calls_in_flight()
+        self.core.lock().calls_in_flight()
     }
 
     /// Applies what the predecessor of this process recorded of its calls.
@@ -169,11 +181,10 @@
         self.send(Command::Input(Input::PredecessorExited));
     }
 
-    /// Lets calls finish; returns when the process may end.
+    /// Shuts down gracefully. Returns when the process may exit: calls have ended, or [`SHUTDOWN_TIMEOUT`] has passed.
     pub async fn shut_down(&self) {
-        let (tell, done) = oneshot::channel();
-        self.send(Command::ShutDown(tell));
-        let _ = done.await;
+        // Where the task has ended the process may exit as well.
+        let _ = self.request(|reply| Command::ShutDown { reply }).await;
     }
 
     /// True while client connections are to be closed.
@@ -181,8 +192,17 @@
         self.close_signal.clone()
     }
 
+    /// Sends a command and waits for its reply.
+    async fn request<T>(
+        &self, command: impl FnOnce(oneshot::Sender<T>) -> Command,
+    ) -> Result<T, ExchangeError> {
+        let (reply, answer) = oneshot::channel();
+        self.send(command(reply));
+        answer.await.map_err(|_| ExchangeError::TaskEnded)
+    }
+
     fn send(&self, command: Command) {
-        // The task ends with the process only.
+        // The task ends with the process only, and then nobody waits for the effect of a command.
         let _ = self.commands.send(command);
     }
 }
--- a/src/exchange/task.rs
+++ b/src/exchange/task.rs
@@ -1,96 +1,112 @@
-//! The task that drives the core: collects what it is told, lets the core decide once a tick, carries its orders out.
+//! The task that drives the core: collects commands, lets the core decide once a tick, and executes its outputs.
 use super::command::{ClientConnections, Command, Suspension, UpstreamCommand};
-use super::shutdown::{self, Phase};
-use super::{open, Outputs, Shared};
+use super::core_handle::SharedCore;
+use super::receipts::PendingReceipts;
+use super::shutdown::{self, ShutdownPhase};
+use super::{AttemptId, Outputs};
 use crate::clock;
-use crate::core::{Answer, Callback, Input, Output, SuspensionResult};
+use crate::core::{Answer, Callback, Core, Input, Output, SuspensionResult};
 use crate::takeover::Late;
 use crate::MessageId;
-use bytes::Bytes;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::sync::{oneshot, watch};
 use tokio::time::Instant;
 
-/// Guards the times of the rules against settings that name a long tick.
-const TICK_MOST: Duration = Duration::from_millis(10);
+/// The longest tick. Guards the deadlines of messages against settings that name a long one.
+const MAX_TICK: Duration = Duration::from_millis(10);
 
-/// Words waited for, beyond which those of ended attempts are forgotten.
-const EXPECTED_MOST: usize = 1024;
-
-/// A shutdown that is under way.
+/// A shutdown that has been requested.
 struct Shutdown {
-    asked: Instant,
-    phase: Phase,
-    done: oneshot::Sender<()>,
+    requested_at: Instant,
+    phase: ShutdownPhase,
+    reply: oneshot::Sender<()>,
+}
+
+/// A change of an endpoint's suspension that has been requested.
+struct SuspensionRequest {
+    uid: String,
+    suspension: Suspension,
+    reply: oneshot::Sender<SuspensionResult>,
+}
+
+/// Why the task woke up.
+enum Wakeup {
+    Command(Command),
+    /// The core or the shutdown has something to do.
+    Timer,
+    /// The last handle was dropped.
+    Disconnected,
 }
 
-/// The one owner of the core.
+/// The owner of the core.
 pub(super) struct ExchangeTask {
-    core: Shared,
+    core: SharedCore,
     /// The shortest time between two steps.
     tick: Duration,
+    /// Clients that wait for an answer.
     answers: BTreeMap<MessageId, oneshot::Sender<Answer>>,
-    expected: BTreeMap<String, oneshot::Sender<Bytes>>,
-    calls: UnboundedSender<UpstreamCommand>,
-    notices: UnboundedSender<Callback>,
-    words: UnboundedSender<Callback>,
-    close: watch::Sender<bool>,
-    /// The journal is another process's; what comes of calls goes here.
+    receipts: PendingReceipts,
+    upstream_commands: UnboundedSender<UpstreamCommand>,
+    platform_callbacks: UnboundedSender<Callback>,
+    as2_receipts: UnboundedSender<Callback>,
+    close_signal: watch::Sender<bool>,
+    /// Set once the journal belongs to another process: outcomes of calls in flight go here.
     late: Option<Late>,
-    /// Operators' words of this step: heard after all else that was said before them, the list among it.
-    suspensions: Vec<(String, Suspension, oneshot::Sender<SuspensionResult>)>,
+    /// Applied after all inputs of their step, an endpoint list among them, so that they find the endpoints it adds.
+    suspensions: Vec<SuspensionRequest>,
     shutdown: Option<Shutdown>,
 }
 
 impl ExchangeTask {
-    /// A task round this core, the word that client connections are to be closed, and what the server side takes from it.
-    pub(super) fn new(core: Shared) -> (ExchangeTask, watch::Receiver<bool>, Outputs) {
-        let (calls_in, upstream_commands) = unbounded_channel();
-        let (notices_in, platform_callbacks) = unbounded_channel();
-        let (words_in, as2_receipts) = unbounded_channel();
-        let (close, closing) = watch::channel(false);
-        let tick = Duration::from_nanos(open(&core).tick().0).min(TICK_MOST);
+    /// A task for this core, the signal that client connections are to be closed, and the receiving ends of its outputs.
+    pub(super) fn new(core: SharedCore) -> (ExchangeTask, watch::Receiver<bool>, Outputs) {
+        let (upstream_commands, upstream_commands_received) = unbounded_channel();
+        let (platform_callbacks, platform_callbacks_received) = unbounded_channel();
+        let (as2_receipts, as2_receipts_received) = unbounded_channel();
+        let (close_signal, close_signal_received) = watch::channel(false);
+        let tick = Duration::from_nanos(core.lock().tick().0).min(MAX_TICK);
         let task = ExchangeTask {
-            tick,
             core,
+            tick,
             answers: BTreeMap::new(),
-            expected: BTreeMap::new(),
-            calls: calls_in,
-            notices: notices_in,
-            words: words_in,
-            close,
+            receipts: PendingReceipts::default(),
+            upstream_commands,
+            platform_callbacks,
+            as2_receipts,
+            close_signal,
             late: None,
             suspensions: Vec::new(),
             shutdown: None,
         };
-        (task, closing, Outputs { upstream_commands, platform_callbacks, as2_receipts })
+        let outputs = Outputs {
+            upstream_commands: upstream_commands_received,
+            platform_callbacks: platform_callbacks_received,
+            as2_receipts: as2_receipts_received,
+        };
+        (task, close_signal_received, outputs)
     }
 
-    /// Runs for as long as the process does.
+    /// Runs until the last handle is dropped, which is when the process exits.
     pub(super) async fn run(mut self, mut commands: UnboundedReceiver<Command>) {
         let mut next_step = Instant::now();
         loop {
             let mut inputs = Vec::new();
-            tokio::select! {
-                biased;
-                command = commands.recv() => match command {
-                    Some(command) => self.take(command, &mut inputs),
-                    None => return,
-                },
-                () = sleep_until(self.wake_at()) => {}
+            match self.next_wakeup(&mut commands).await {
+                Wakeup::Command(command) => self.handle_command(command, &mut inputs),
+                Wakeup::Timer => {}
+                Wakeup::Disconnected => return,
             }
-            // Guards the CPU on busy days: what a step costs by itself is paid once a tick, as in the simulator,
-            // and not once an event.
+            // Guards the CPU under load: the fixed cost of a step is paid once a tick, as in the simulator, and not once an
+            // event.
             tokio::time::sleep_until(next_step).await;
             next_step = Instant::now() + self.tick;
             while let Ok(command) = commands.try_recv() {
-                self.take(command, &mut inputs);
+                self.handle_command(command, &mut inputs);
             }
-            if let Some(late) = &mut self.late {
-                let orders = after_release(&self.core, late, inputs);
-                orders.into_iter().for_each(|o| drop(self.carry_out(o)));
+            if self.late.is_some() {
+                self.step_after_release(inputs);
                 continue;
             }
             self.step(inputs);
@@ -98,142 +114,181 @@
         }
     }
 
-    /// When the core or the shutdown has something to do, whatever is told meanwhile.
-    fn wake_at(&self) -> Option<Instant> {
-        let core = open(&self.core).next_wake().map(clock::instant);
-        let shutdown = self.shutdown.as_ref().map(|s| s.asked + shutdown::next_look(s.asked.elapsed()));
-        core.into_iter().chain(shutdown).min()
-    }
-
-    /// Lets the core decide on all that happened, and carries its orders out.
-    fn step(&mut self, inputs: Vec<Input>) {
-        let orders = open(&self.core).step(clock::now(), inputs);
-        for (uid, suspension, tell) in std::mem::take(&mut self.suspensions) {
-            let out = suspension == Suspension::Suspend;
-            let _ = tell.send(open(&self.core).set_suspended(clock::now(), uid, out));
-        }
-        let mut withdrawn = Vec::new();
-        orders.into_iter().for_each(|o| withdrawn.extend(self.carry_out(o)));
-        if !withdrawn.is_empty() {
-            let orders = open(&self.core).step(clock::now(), withdrawn);
-            orders.into_iter().for_each(|o| drop(self.carry_out(o)));
+    async fn next_wakeup(&self, commands: &mut UnboundedReceiver<Command>) -> Wakeup {
+        tokio::select! {
+            biased;
+            command = commands.recv() => command.map_or(Wakeup::Disconnected, Wakeup::Command),
+            () = sleep_until(self.next_deadline()) => Wakeup::Timer,
         }
     }
 
-    fn advance_shutdown(&mut self) {
-        let Some(shutdown) = &mut self.shutdown else { return };
-        let attempts_out = open(&self.core).attempts_in_flight();
-        shutdown.phase = shutdown.phase.after(shutdown.asked.elapsed(), attempts_out);
-        if shutdown.phase >= Phase::Draining {
-            open(&self.core).start_draining();
-        }
-        if shutdown.phase == Phase::Closing {
-            let _ = self.close.send(true);
-            if let Some(shutdown) = self.shutdown.take() {
-                let _ = shutdown.done.send(());
-            }
-        }
+    /// When the core or the shutdown has something to do even if no command comes.
+    fn next_deadline(&self) -> Option<Instant> {
+        let core = self.core.lock().next_wake().map(clock::instant);
+        let shutdown =
+            self.shutdown.as_ref().map(|s| s.requested_at + shutdown::next_check(s.requested_at.elapsed()));
+        core.into_iter().chain(shutdown).min()
     }
 
-    fn take(&mut self, command: Command, inputs: &mut Vec<Input>) {
+    fn handle_command(&mut self, command: Command, inputs: &mut Vec<Input>) {
         match command {
-            Command::Submit(context, tell) => {
-                let id = open(&self.core).next_id();
-                self.answers.insert(id, tell);
+            Command::Submit { context, reply } => {
+                let id = self.core.lock().next_id();
+                self.answers.insert(id, reply);
                 inputs.push(Input::Submitted { id, context });
             }
             Command::Input(input) => inputs.push(input),
-            Command::AwaitReceipt { message_id, reply } => self.await_receipt(message_id, reply),
-            Command::ReceiptReceived { message_id, receipt } => self.receipt_received(&message_id, receipt),
-            Command::Observations(tell) => drop(tell.send(open(&self.core).observations(clock::now()))),
+            Command::AwaitReceipt { message_id, reply } => self.receipts.register(message_id, reply),
+            Command::ReceiptReceived { message_id, receipt } => self.receipts.deliver(&message_id, receipt),
+            Command::Observations { reply } => {
+                let observations = self.core.lock().observations(clock::now());
+                let _ = reply.send(observations);
+            }
             Command::SetSuspension { uid, suspension, reply } => {
-                self.suspensions.push((uid, suspension, reply))
+                self.suspensions.push(SuspensionRequest { uid, suspension, reply });
             }
             Command::SetClientConnections(connections) => {
-                let _ = self.close.send(connections == ClientConnections::Close);
+                let _ = self.close_signal.send(connections == ClientConnections::Close);
             }
-            Command::ReleaseJournal(late, tell) => self.release_journal(late, tell, inputs),
-            Command::ShutDown(done) => {
-                self.shutdown = Some(Shutdown { asked: Instant::now(), phase: Phase::Serving, done });
+            Command::ReleaseJournal { late, reply } => self.release_journal(late, reply, inputs),
+            Command::ShutDown { reply } => {
+                let (requested_at, phase) = (Instant::now(), ShutdownPhase::Serving);
+                self.shutdown = Some(Shutdown { requested_at, phase, reply });
             }
         }
     }
 
-    fn await_receipt(&mut self, topic: String, tell: oneshot::Sender<Bytes>) {
-        if self.expected.len() >= EXPECTED_MOST {
-            self.expected.retain(|_, tell| !tell.is_closed());
+    /// Lets the core decide on all that happened, and executes its outputs.
+    fn step(&mut self, inputs: Vec<Input>) {
+        let outputs = self.core.lock().step(clock::now(), inputs);
+        self.apply_suspensions();
+        let withdrawals = self.execute(outputs);
+        if withdrawals.is_empty() {
+            return;
         }
-        self.expected.insert(topic, tell);
+        let outputs = self.core.lock().step(clock::now(), withdrawals);
+        // Answers of this second step are not followed up: one pass bounds the work of a tick.
+        self.execute(outputs);
     }
 
-    /// A word that comes too late changes nothing: the attempt has had its outcome.
-    fn receipt_received(&mut self, topic: &str, word: Bytes) {
-        match self.expected.remove(topic).map(|tell| tell.send(word)) {
-            Some(Ok(())) => {}
-            Some(Err(_)) => log::warn!("receipt for {topic} after its try had ended: changes nothing"),
-            None => {
-                log::warn!("receipt for {topic}, which no try of this process waits for: changes nothing")
+    fn apply_suspensions(&mut self) {
+        for SuspensionRequest { uid, suspension, reply } in std::mem::take(&mut self.suspensions) {
+            let is_suspended = suspension == Suspension::Suspend;
+            let result = self.core.lock().set_suspended(clock::now(), uid, is_suspended);
+            let _ = reply.send(result);
+        }
+    }
+
+    fn advance_shutdown(&mut self) {
+        let Some(shutdown) = &mut self.shutdown else { return };
+        let attempts_in_flight = self.core.lock().attempts_in_flight();
+        shutdown.phase = shutdown.phase.after(shutdown.requested_at.elapsed(), attempts_in_flight);
+        match shutdown.phase {
+            ShutdownPhase::Serving => {}
+            ShutdownPhase::Draining => self.core.lock().start_draining(),
+            ShutdownPhase::Closing => {
+                self.core.lock().start_draining();
+                self.finish_shutdown();
             }
         }
     }
 
-    /// What was said before is taken in first, on the journal that is still this process's.
-    fn release_journal(&mut self, mut late: Late, tell: oneshot::Sender<()>, inputs: &mut Vec<Input>) {
+    fn finish_shutdown(&mut self) {
+        let _ = self.close_signal.send(true);
+        if let Some(shutdown) = self.shutdown.take() {
+            let _ = shutdown.reply.send(());
+        }
+    }
+
+    /// Releases the journal. Inputs that came before are applied first, while it still belongs to this process.
+    fn release_journal(&mut self, mut late: Late, reply: oneshot::Sender<()>, inputs: &mut Vec<Input>) {
         let now = clock::now();
-        let orders = open(&self.core).step(now, std::mem::take(inputs));
-        orders.into_iter().for_each(|o| inputs.extend(self.carry_out(o)));
-        open(&self.core).release_journal(now).iter().for_each(|record| late.add(record));
+        let outputs = self.core.lock().step(now, std::mem::take(inputs));
+        inputs.extend(self.execute(outputs));
+        for record in self.core.lock().release_journal(now) {
+            late.add(&record);
+        }
         self.late = Some(late);
-        let _ = tell.send(());
+        let _ = reply.send(());
     }
 
-    /// Returns a withdrawal where the client has not waited for its answer.
-    fn carry_out(&mut self, order: Output) -> Option<Input> {
-        match order {
-            Output::Answer(id, answer) => {
-                let tell = self.answers.remove(&id)?;
-                return tell.send(answer).is_err().then_some(Input::Withdrawn(id));
-            }
-            Output::Call(attempts) => drop(self.calls.send(UpstreamCommand::Call(attempts))),
-            Output::CancelAttempt { id, attempt } => {
-                drop(self.calls.send(UpstreamCommand::CancelAttempt { id, attempt }))
+    /// A step once the journal belongs to another process: calls in flight end, and requests are rejected.
+    fn step_after_release(&mut self, inputs: Vec<Input>) {
+        let Some(late) = &mut self.late else { return };
+        let outputs = after_release(&mut self.core.lock(), late, inputs);
+        // A client that has gone has nothing to withdraw: its request was rejected.
+        self.execute(outputs);
+    }
+
+    /// Executes outputs of the core. Returns the withdrawals of those clients that did not wait for their answer.
+    fn execute(&mut self, outputs: Vec<Output>) -> Vec<Input> {
+        let mut withdrawals = Vec::new();
+        for output in outputs {
+            match output {
+                Output::Answer(id, answer) => withdrawals.extend(self.answer(id, answer)),
+                Output::Call(attempts) => self.send_upstream(UpstreamCommand::Call(attempts)),
+                Output::CancelAttempt { id: message, attempt } => {
+                    self.send_upstream(UpstreamCommand::CancelAttempt(AttemptId { message, attempt }));
+                }
+                Output::CloseIdle(host) => self.send_upstream(UpstreamCommand::CloseIdle(host)),
+                Output::Callback(callback) => self.send_callback(callback),
             }
-            Output::CloseIdle(host) => drop(self.calls.send(UpstreamCommand::CloseIdle(host))),
-            Output::Callback(notice) if notice.origin.is_empty() => drop(self.notices.send(notice)),
-            Output::Callback(notice) => drop(self.words.send(notice)),
         }
-        None
+        withdrawals
+    }
+
+    /// Answers a client; returns its withdrawal where it has not waited.
+    fn answer(&mut self, id: MessageId, answer: Answer) -> Option<Input> {
+        let reply = self.answers.remove(&id)?;
+        reply.send(answer).is_err().then_some(Input::Withdrawn(id))
+    }
+
+    fn send_upstream(&self, command: UpstreamCommand) {
+        // Its receiver ends with the process only.
+        let _ = self.upstream_commands.send(command);
+    }
+
+    fn send_callback(&self, callback: Callback) {
+        // Only messages that came by another transport than the platform's have an origin.
+        let channel = if callback.origin.is_empty() { &self.platform_callbacks } else { &self.as2_receipts };
+        // Where no AS2 transport is configured, its receiver is gone.
+        let _ = channel.send(callback);
     }
 }
 
-/// What happens to a process that has let the journal go: its calls end, and it takes nothing on.
-fn after_release(core: &Shared, late: &mut Late, inputs: Vec<Input>) -> Vec<Output> {
-    let (now, mut core, mut orders) = (clock::now(), open(core), Vec::new());
+/// Applies inputs once the journal belongs to another process: outcomes and retry-after times go to `late`, and requests
+/// are rejected.
+fn after_release(core: &mut Core, late: &mut Late, inputs: Vec<Input>) -> Vec<Output> {
+    let now = clock::now();
+    let mut outputs = Vec::new();
     for input in inputs {
         match input {
             Input::Submitted { id, .. } => {
-                orders.push(Output::Answer(id, Answer::Reject(core.rejection_retry_after())))
+                outputs.push(Output::Answer(id, Answer::Reject(core.rejection_retry_after())));
             }
             Input::AttemptEnded { id, attempt, outcome, over, .. } => {
-                core.late_outcome(id, attempt, outcome, over).iter().for_each(|record| late.add(record));
+                let record = core.late_outcome(id, attempt, outcome, over);
+                record.iter().for_each(|record| late.add(record));
             }
             Input::RetryAfter { host, wait, .. } => {
-                core.late_retry_after(now, host, wait).iter().for_each(|record| late.add(record));
+                let record = core.late_retry_after(now, host, wait);
+                record.iter().for_each(|record| late.add(record));
             }
-            // The next process hears of these itself.
+            // The successor learns of these itself.
             Input::Endpoints { .. }
             | Input::PeerObservations(_)
             | Input::CallbackAcknowledged(_)
-            | Input::Withdrawn(_) => {}
-            Input::PredecessorRecords(_) | Input::PredecessorExited => {}
+            | Input::Withdrawn(_)
+            | Input::PredecessorRecords(_)
+            | Input::PredecessorExited => {}
         }
     }
-    orders
+    outputs
 }
 
-async fn sleep_until(at: Option<Instant>) {
-    match at {
-        Some(at) => tokio::time::sleep_until(at).await,
+async fn sleep_until(deadline: Option<Instant>) {
+    match deadline {
+        Some(deadline) => tokio::time::sleep_until(deadline).await,
         None => std::future::pending().await,
     }
 }
--- a/src/mgmt.rs
+++ b/src/mgmt.rs
@@ -109,14 +109,14 @@
         return no(StatusCode::SERVICE_UNAVAILABLE, "this process does not serve; ask the one that does\n");
     };
     match timeout(HAND_FOR, exchange.set_suspension(id, suspension)).await {
-        Ok(SuspensionResult::Applied) => StatusCode::NO_CONTENT.into_response(),
-        Ok(SuspensionResult::UnknownEndpoint) => {
+        Ok(Ok(SuspensionResult::Applied)) => StatusCode::NO_CONTENT.into_response(),
+        Ok(Ok(SuspensionResult::UnknownEndpoint)) => {
             no(StatusCode::NOT_FOUND, "no such endpoint was ever listed here\n")
         }
-        Ok(SuspensionResult::LimitReached) => {
+        Ok(Ok(SuspensionResult::LimitReached)) => {
             no(StatusCode::CONFLICT, "too many are out by hand; call one back first\n")
         }
-        Ok(SuspensionResult::NotPersisted) => {
+        Ok(Ok(SuspensionResult::NotPersisted) | Err(_)) => {
             no(StatusCode::SERVICE_UNAVAILABLE, "not written; see the log, ask again\n")
         }
         Err(_) => no(StatusCode::GATEWAY_TIMEOUT, "no answer in time; it may hold: ask again\n"),
--- a/src/upstream/as2.rs
+++ b/src/upstream/as2.rs
@@ -1,11 +1,11 @@
 //! The AS2 encoding of an attempt: a signed message to a partner, and what its receipt means.
+use super::platform;
 use super::pool::Pool;
-use super::{platform, Ending};
 use crate::as2::mdn::{self, Meaning};
 use crate::as2::smime::{self, Entity};
 use crate::as2::{Book, Partner};
 use crate::core::Attempt;
-use crate::exchange::Exchange;
+use crate::exchange::{AttemptResult, Exchange};
 use crate::Outcome;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -26,7 +26,7 @@
 /// Makes the call and waits for its receipt; dropping it closes its connection.
 pub async fn call(
     pool: Arc<Pool>, one: &Attempt, book: &Book, partner: &Partner, exchange: &Exchange,
-) -> Ending {
+) -> AttemptResult {
     let id = message_id(&one.context.name, &book.name);
     let (request, mic) = match request(one, book, partner, &id) {
         Ok(made) => made,
@@ -38,7 +38,7 @@
     // Known before the first byte goes out: a receipt may overtake the answer.
     let receipt = exchange.await_receipt(&id);
     let to = request.uri().clone();
-    let make = || exchange.may_send(one.id, one.attempt).then_some(request);
+    let make = || exchange.may_send(one.into()).then_some(request);
     let mut call = match pool.call(to, make, platform::listener(one, false, exchange)).await {
         Ok(call) => call,
         Err(fault) => return platform::broken(&partner.url, &fault),
@@ -105,10 +105,10 @@
 }
 
 /// Only a receipt that the partner signed, for this message and with its digest, is a delivery.
-fn judge(text: &[u8], id: &str, mic: &str, book: &Book, partner: &Partner) -> Ending {
+fn judge(text: &[u8], id: &str, mic: &str, book: &Book, partner: &Partner) -> AttemptResult {
     let fault = |why: &str, outcome: Outcome| {
         log::warn!("AS2: message {id} to {}: {why}", partner.name);
-        Ending::from(outcome)
+        AttemptResult::from(outcome)
     };
     let Some(entity) = smime::split(text) else { return fault("no receipt came", Outcome::Error) };
     let part = match smime::open(entity, &book.me, &partner.certificate) {
--- a/src/upstream/batch.rs
+++ b/src/upstream/batch.rs
@@ -2,10 +2,10 @@
 //! of them ended. Each keeps its own time and can be called off alone; what that means for the others is settled here.
 use super::platform::{self, ending};
 use super::pool::Pool;
-use super::{limit, tell, Ending};
+use super::{limit, tell};
 use crate::core::Attempt;
-use crate::exchange::Exchange;
-use crate::{MessageId, Outcome};
+use crate::exchange::{AttemptId, AttemptResult, Exchange};
+use crate::Outcome;
 use bytes::{BufMut, Bytes, BytesMut};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::header::HeaderMap;
@@ -22,9 +22,6 @@
 /// until its time is up.
 const REST_FOR: Duration = Duration::from_secs(1);
 
-/// Which try of which message.
-pub type Place = (MessageId, u32);
-
 /// One message of the call, until its end is told.
 struct Open<'a> {
     one: &'a Attempt,
@@ -34,7 +31,7 @@
 
 /// Carries out one call with several messages, and tells the end of each.
 pub async fn run(
-    pool: Arc<Pool>, attempts: Vec<Attempt>, exchange: Exchange, mut off: UnboundedReceiver<Place>,
+    pool: Arc<Pool>, attempts: Vec<Attempt>, exchange: Exchange, mut off: UnboundedReceiver<AttemptId>,
 ) {
     let now = Instant::now();
     let begin = |one| Open { one, until: now + limit(one), called_off: false };
@@ -54,7 +51,7 @@
             Some(place) = off.recv() => {
                 // Guards the others: what is called off alone does not end the call that carries them; its outcome comes with
                 // theirs, or once all are called off.
-                let here = |o: &&mut Open<'_>| (o.one.id, o.one.attempt) == place;
+                let here = |o: &&mut Open<'_>| AttemptId::from(o.one) == place;
                 open.iter_mut().filter(here).for_each(|o| o.called_off = true);
                 if open.iter().any(|o| !o.called_off) {
                     continue;
@@ -81,17 +78,17 @@
 /// How the messages of a call ended.
 struct Endings {
     /// Those of which the answer speaks, and those that did not go.
-    each: HashMap<String, Ending>,
+    each: HashMap<String, AttemptResult>,
     /// All others.
-    rest: Ending,
+    rest: AttemptResult,
 }
 
 impl Endings {
-    fn all(rest: Ending) -> Endings {
+    fn all(rest: AttemptResult) -> Endings {
         Endings { each: HashMap::new(), rest }
     }
 
-    fn of(&self, one: &Attempt) -> Ending {
+    fn of(&self, one: &Attempt) -> AttemptResult {
         *self.each.get(&one.context.name).unwrap_or(&self.rest)
     }
 }
@@ -108,7 +105,7 @@
     let make = || {
         // Each is asked anew, as in a call of its own, and journalled before the first byte.
         let (go, stay): (Vec<&Attempt>, Vec<&Attempt>) =
-            attempts.iter().partition(|one| exchange.may_send(one.id, one.attempt));
+            attempts.iter().partition(|one| exchange.may_send(AttemptId::from(*one)));
         unsent.extend(stay.iter().map(|one| (one.context.name.clone(), Outcome::NotSent.into())));
         if go.is_empty() {
             return None;
@@ -161,7 +158,7 @@
 }
 
 /// How each message ended, by its name; words that mean nothing are passed over.
-fn read(text: &[u8], headers: &HeaderMap) -> HashMap<String, Ending> {
+fn read(text: &[u8], headers: &HeaderMap) -> HashMap<String, AttemptResult> {
     let text = String::from_utf8_lossy(text);
     let report = ending(StatusCode::OK, headers).report;
     let one = |line: &str| {
@@ -174,7 +171,7 @@
             "used_up" => (Outcome::Skipped, false),
             _ => return None,
         };
-        Some((name.to_string(), Ending { outcome, over, report }))
+        Some((name.to_string(), AttemptResult { outcome, is_message_over: over, report }))
     };
     text.lines().filter_map(one).collect()
 }
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -9,9 +9,9 @@
 
 use crate::as2::Book;
 use crate::core::Attempt;
-use crate::exchange::{Exchange, UpstreamCommand};
+use crate::exchange::{AttemptId, AttemptResult, Exchange, UpstreamCommand};
 use crate::settings::Site;
-use crate::{EndpointId, LoadReport, Nanos, Outcome};
+use crate::{EndpointId, Nanos, Outcome};
 use pool::Pool;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,26 +20,12 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-/// How an attempt ended, whether the endpoint says that the message is over, and what it told of its limit.
-#[derive(Clone, Copy, Debug)]
-pub struct Ending {
-    pub outcome: Outcome,
-    pub over: bool,
-    pub report: Option<LoadReport>,
-}
-
-impl From<Outcome> for Ending {
-    fn from(outcome: Outcome) -> Ending {
-        Ending { outcome, over: false, report: None }
-    }
-}
-
 /// By what an attempt that is out is called off.
 enum Out {
     /// Its call carries it alone.
     Alone(AbortHandle),
     /// Among others.
-    Among(UnboundedSender<batch::Place>),
+    Among(UnboundedSender<AttemptId>),
 }
 
 impl Out {
@@ -57,7 +43,7 @@
     mut works: UnboundedReceiver<UpstreamCommand>,
 ) {
     let mut pools: BTreeMap<EndpointId, Arc<Pool>> = BTreeMap::new();
-    let mut out: BTreeMap<batch::Place, Out> = BTreeMap::new();
+    let mut out: BTreeMap<AttemptId, Out> = BTreeMap::new();
     let mut sweep = tokio::time::interval(pool::sweep(&site));
     loop {
         let work = tokio::select! {
@@ -81,25 +67,25 @@
                 let partner = book.as_ref().is_some_and(|b| b.at(&first.address).is_some());
                 if attempts.len() > 1 && !partner {
                     let (off, calls_off) = unbounded_channel();
-                    let places = attempts.iter().map(|one| (one.id, one.attempt));
+                    let places = attempts.iter().map(AttemptId::from);
                     out.extend(places.map(|place| (place, Out::Among(off.clone()))));
                     tokio::spawn(batch::run(pool.clone(), attempts, exchange.clone(), calls_off));
                     continue;
                 }
                 for one in attempts {
-                    let place = (one.id, one.attempt);
+                    let place = AttemptId::from(&one);
                     let task = tokio::spawn(attempt(pool.clone(), one, book.clone(), exchange.clone()));
                     out.insert(place, Out::Alone(task.abort_handle()));
                 }
             }
-            UpstreamCommand::CancelAttempt { id, attempt } => {
-                match out.remove(&(id, attempt)).filter(|call| !call.is_over()) {
+            UpstreamCommand::CancelAttempt(id) => {
+                match out.remove(&id).filter(|call| !call.is_over()) {
                     // Dropping the call closes its connection, which calls it off.
                     Some(Out::Alone(task)) => {
                         task.abort();
-                        exchange.attempt_ended(id, attempt, Outcome::Cancelled, false, None);
+                        exchange.attempt_ended(id, Outcome::Cancelled.into());
                     }
-                    Some(Out::Among(off)) => drop(off.send((id, attempt))),
+                    Some(Out::Among(off)) => drop(off.send(id)),
                     None => {}
                 }
             }
@@ -127,8 +113,8 @@
 }
 
 /// The one place where an attempt's end is told, alone in its call or among others.
-fn tell(exchange: &Exchange, one: &Attempt, ending: Ending) {
+fn tell(exchange: &Exchange, one: &Attempt, ending: AttemptResult) {
     let (message, dest) = (&one.context.name, one.context.dest);
     log::debug!(message, outcome:? = ending.outcome, "try" = one.attempt, dest, report:? = ending.report; "try ended");
-    exchange.attempt_ended(one.id, one.attempt, ending.outcome, ending.over, ending.report);
+    exchange.attempt_ended(one.into(), ending);
 }
--- a/src/upstream/platform.rs
+++ b/src/upstream/platform.rs
@@ -1,9 +1,8 @@
 //! The platform's encoding of an attempt: a call to an endpoint, and what its answer means.
 use super::pool::{Fault, Pool, Seat};
 use super::tap::{Listener, Watch};
-use super::Ending;
 use crate::core::Attempt;
-use crate::exchange::Exchange;
+use crate::exchange::{AttemptResult, Exchange};
 use crate::{DestinationId, LoadReport, Nanos, Outcome};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -28,7 +27,7 @@
 const WAIT_MOST: f64 = 3600.0;
 
 /// Makes the call; dropping it closes its connection.
-pub async fn call(pool: Arc<Pool>, one: &Attempt, exchange: &Exchange) -> Ending {
+pub async fn call(pool: Arc<Pool>, one: &Attempt, exchange: &Exchange) -> AttemptResult {
     let context = &one.context;
     let mut request = Request::post(format!("http://{}/v1/messages", one.address))
         .header("x-request-id", &context.name)
@@ -44,7 +43,7 @@
         }
     };
     let to = request.uri().clone();
-    let make = || exchange.may_send(one.id, one.attempt).then_some(request);
+    let make = || exchange.may_send(one.into()).then_some(request);
     let mut call = match pool.call(to, make, listener(one, false, exchange)).await {
         Ok(call) => call,
         Err(fault) => return broken(&one.address, &fault),
@@ -90,7 +89,7 @@
 
 /// What came of a call. Guards the truth of it against answers that are spoilt: the call has run, and where the
 /// first line says 200 it is a delivery, whatever comes behind.
-async fn judge(done: Result<(Response<Incoming>, Seat), Fault>, watch: &Watch, place: &str) -> Ending {
+async fn judge(done: Result<(Response<Incoming>, Seat), Fault>, watch: &Watch, place: &str) -> AttemptResult {
     match done {
         Ok((answer, _)) if answer.status() == StatusCode::SWITCHING_PROTOCOLS => spoilt(place, "it is a 101"),
         Ok((answer, seat)) => {
@@ -110,7 +109,7 @@
 }
 
 /// What it means that no head of an answer could be read.
-pub(super) fn no_head(watch: &Watch, place: &str, fault: &Fault) -> Ending {
+pub(super) fn no_head(watch: &Watch, place: &str, fault: &Fault) -> AttemptResult {
     if watch.heard() {
         return spoilt(place, &fault.to_string());
     }
@@ -128,7 +127,7 @@
     answer.headers().get(CONNECTION).is_some_and(|c| c.as_bytes().eq_ignore_ascii_case(b"close"))
 }
 
-pub(super) fn spoilt(place: &str, why: &str) -> Ending {
+pub(super) fn spoilt(place: &str, why: &str) -> AttemptResult {
     log::debug!("{place}: an answer that cannot be read: {why}");
     Outcome::UnreadableAnswer.into()
 }
@@ -142,7 +141,7 @@
 
 /// Never ran: no connection came up, or the request was handed back before it was written. After that the last
 /// byte may have gone out, so the call may have run.
-pub fn broken(place: &str, fault: &Fault) -> Ending {
+pub fn broken(place: &str, fault: &Fault) -> AttemptResult {
     log::debug!("{place}: {fault}");
     match fault {
         Fault::Connect(_) | Fault::Unwritten(_) => Outcome::ConnectFailed,
@@ -153,7 +152,7 @@
 }
 
 /// What an answer's head means.
-pub fn ending(status: StatusCode, headers: &HeaderMap) -> Ending {
+pub fn ending(status: StatusCode, headers: &HeaderMap) -> AttemptResult {
     let outcome = match status.as_u16() {
         200 => Outcome::Ok,
         429 => Outcome::Rejected(wait(headers)),
@@ -163,7 +162,7 @@
         _ => Outcome::Error,
     };
     let report = headers.get(REPORT).and_then(|r| report(r.to_str().ok()?));
-    Ending { outcome, over: status == StatusCode::GONE, report }
+    AttemptResult { outcome, is_message_over: status == StatusCode::GONE, report }
 }
 
 /// What an answer tells of its destination's limit: the share of it that is left, and the calls a second that it allows,
