--- a/src/callbacks.rs
+++ b/src/callbacks.rs
@@ -1,4 +1,6 @@
-//! Notices to the platform: what was taken on and is not delivered. Sent again until they are answered.
+//! Completion callbacks: tells the platform of accepted messages that were not delivered, and sends each callback again
+//! until the platform acknowledges it.
+#![warn(missing_docs)]
 use crate::core::Callback;
 use crate::exchange::Exchange;
 use crate::journal::Completion;
@@ -12,132 +14,205 @@
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::sync::watch;
-use tokio::task::JoinSet;
-use tokio::time::{sleep_until, Instant};
-
-/// How long a platform that answers at once is waited for before the same notice goes out once more, while the
-/// first is still listened to. A notice must be there 300 ms after its message's time, and a connection may fall
-/// silent: so three of them may, one after the other.
-const AGAIN_AFTER: Duration = Duration::from_millis(40);
-/// The longest such time: doubled with each attempt, for a platform that is slow or down.
-const AGAIN_MOST: Duration = Duration::from_secs(1);
-/// How long one attempt is listened to at the most.
-const LISTEN_FOR: Duration = Duration::from_secs(2);
-/// Batches on their way at once. Guards those that end later against one whose connections are silent: only when
-/// all are taken do notices wait, and then they travel together.
-const BATCHES_MOST: usize = 8;
-
-type Platform = Client<HttpConnector, Full<Bytes>>;
-
-/// The ways to the platform. The first attempt takes the connection that served last: it costs nothing, and comes
-/// through while new ones do not. Further ones have a new connection each. Guards against connections that fell
-/// silent while they stood idle: a pool would hand out one such after the other, until the time of a notice is over.
+use tokio::task::{JoinError, JoinSet};
+use tokio::time::{sleep_until, timeout, Instant};
+
+/// How long the first attempt is waited for before the same batch is sent once more, while the first is still listened to.
+/// A callback must arrive 300 ms after its message's deadline, and a connection may be dead: this leaves time for three of
+/// them in a row.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(40);
+/// The longest such delay. It doubles with each attempt, for a platform that is slow or down.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// After an answer that is no acknowledgement, the next attempt comes within the delay divided by this.
+const FAILED_ATTEMPT_DIVISOR: u32 = 3;
+/// How long the answer to one attempt is waited for.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Batches in flight at once. Guards later callbacks against a batch whose connections are dead: only when all batches are
+/// taken do callbacks wait, and then they travel together.
+const MAX_BATCHES_IN_FLIGHT: usize = 8;
+
+type PlatformClient = Client<HttpConnector, Full<Bytes>>;
+
+/// The HTTP clients for the platform. The first attempt of a batch takes the pooled connection, which costs nothing and works
+/// while new ones cannot be made; each retry opens a connection of its own. Guards against connections that died while they
+/// were idle: a pool would hand out one such after the other until the callback's time is up.
 #[derive(Clone)]
-struct Ways {
-    first: Platform,
-    further: Platform,
+struct PlatformClients {
+    pooled: PlatformClient,
+    unpooled: PlatformClient,
 }
 
-impl Ways {
-    fn open() -> Ways {
-        let way = |idle| Client::builder(TokioExecutor::new()).pool_max_idle_per_host(idle).build_http();
-        Ways { first: way(1), further: way(0) }
+impl PlatformClients {
+    fn new() -> PlatformClients {
+        PlatformClients { pooled: client(1), unpooled: client(0) }
     }
 }
 
-/// Sends notices as they come; those that come together travel together.
+fn client(max_idle_connections: usize) -> PlatformClient {
+    Client::builder(TokioExecutor::new()).pool_max_idle_per_host(max_idle_connections).build_http()
+}
+
+/// Sends callbacks as they come, for as long as the process runs; those that come together travel in one batch. `address` is
+/// the platform's, which may change.
 pub async fn run(
-    discovery: watch::Receiver<String>, exchange: Exchange, mut notices: UnboundedReceiver<Callback>,
+    address: watch::Receiver<String>, exchange: Exchange, mut callbacks: UnboundedReceiver<Callback>,
 ) {
-    let ways = Ways::open();
-    let mut under_way = JoinSet::new();
-    while let Some(first) = notices.recv().await {
+    let clients = PlatformClients::new();
+    let mut in_flight = JoinSet::new();
+    while let Some(first) = callbacks.recv().await {
         let mut batch = vec![first];
-        while let Ok(next) = notices.try_recv() {
-            batch.push(next);
-        }
-        while under_way.len() >= BATCHES_MOST && under_way.join_next().await.is_some() {}
-        while let Ok(next) = notices.try_recv() {
-            batch.push(next);
-        }
-        while under_way.try_join_next().is_some() {}
-        under_way.spawn(tell(ways.clone(), discovery.clone(), exchange.clone(), batch));
+        take_available(&mut callbacks, &mut batch);
+        while in_flight.len() >= MAX_BATCHES_IN_FLIGHT && in_flight.join_next().await.is_some() {}
+        // More may have come while the batch waited.
+        take_available(&mut callbacks, &mut batch);
+        while in_flight.try_join_next().is_some() {}
+        in_flight.spawn(deliver(clients.clone(), address.clone(), exchange.clone(), batch));
     }
 }
 
-/// Sends one batch until it is answered.
-async fn tell(ways: Ways, mut discovery: watch::Receiver<String>, exchange: Exchange, batch: Vec<Callback>) {
-    let text: Bytes = batch.iter().map(line).collect::<String>().into();
-    let begun = Instant::now();
-    let mut attempts = JoinSet::new();
-    let (mut patience, mut next) = (AGAIN_AFTER, begun);
-    let mut at = Arc::new(discovery.borrow_and_update().clone());
-    loop {
-        tokio::select! {
-            biased;
-            Some(done) = attempts.join_next() => match done {
-                Ok(Heard::Taken) => break,
-                // It would be refused again for ever.
-                Ok(Heard::Refused) => {
-                    log::error!("notices: the platform cannot read {text:?}");
-                    break;
-                }
-                Ok(Heard::Other(why)) => {
-                    log::warn!("notices: {why}, sent again");
-                    next = next.min(Instant::now() + patience / 3);
+fn take_available(callbacks: &mut UnboundedReceiver<Callback>, batch: &mut Vec<Callback>) {
+    while let Ok(callback) = callbacks.try_recv() {
+        batch.push(callback);
+    }
+}
+
+/// Delivers one batch and acknowledges its callbacks to the exchange.
+async fn deliver(
+    clients: PlatformClients, address: watch::Receiver<String>, exchange: Exchange, batch: Vec<Callback>,
+) {
+    let delivery = BatchDelivery::new(clients, address, &batch);
+    let started = delivery.started;
+    delivery.run().await;
+    for callback in &batch {
+        let elapsed_ms = started.elapsed().as_millis();
+        log::debug!("callback acknowledged for {}: {:?}, after {elapsed_ms} ms", callback.name, callback.end);
+        exchange.callback_acknowledged(callback.id);
+    }
+}
+
+/// The delivery of one batch: attempts that may overlap, until one is answered for good.
+struct BatchDelivery {
+    clients: PlatformClients,
+    /// The platform's address, which a reload changes.
+    address: watch::Receiver<String>,
+    current_address: Arc<String>,
+    body: Bytes,
+    started: Instant,
+    attempts: JoinSet<CallbackResponse>,
+    retry_delay: Duration,
+    next_attempt_at: Instant,
+}
+
+impl BatchDelivery {
+    fn new(
+        clients: PlatformClients, mut address: watch::Receiver<String>, batch: &[Callback],
+    ) -> BatchDelivery {
+        let current_address = Arc::new(address.borrow_and_update().clone());
+        let started = Instant::now();
+        BatchDelivery {
+            clients,
+            address,
+            current_address,
+            body: batch.iter().map(to_json_line).collect::<String>().into(),
+            started,
+            attempts: JoinSet::new(),
+            retry_delay: INITIAL_RETRY_DELAY,
+            next_attempt_at: started,
+        }
+    }
+
+    /// Runs until the platform has acknowledged the batch or says that it cannot read it.
+    async fn run(mut self) {
+        loop {
+            tokio::select! {
+                biased;
+                Some(response) = self.attempts.join_next() => {
+                    if self.is_final(response) {
+                        return;
+                    }
                 }
-                Err(_) => {}
-            },
-            // After a reload, a batch that is still to be answered goes to the new place at once.
-            Ok(()) = discovery.changed() => {
-                at = Arc::new(discovery.borrow_and_update().clone());
-                (patience, next) = (AGAIN_AFTER, Instant::now());
+                Ok(()) = self.address.changed() => self.address_changed(),
+                () = sleep_until(self.next_attempt_at) => self.start_attempt(),
             }
-            () = sleep_until(next) => {
-                if next > begun {
-                    log::warn!("notices: no answer after {} ms, sent once more", begun.elapsed().as_millis());
-                }
-                let way = if next > begun { &ways.further } else { &ways.first };
-                attempts.spawn(attempt(way.clone(), at.clone(), text.clone()));
-                next = Instant::now() + patience;
-                patience = (patience * 2).min(AGAIN_MOST);
+        }
+    }
+
+    /// Whether this response ends the delivery; otherwise the next attempt comes sooner.
+    fn is_final(&mut self, response: Result<CallbackResponse, JoinError>) -> bool {
+        match response {
+            Ok(CallbackResponse::Acknowledged) => true,
+            // It would be rejected again for ever.
+            Ok(CallbackResponse::Unreadable) => {
+                log::error!("callbacks: the platform cannot read {:?}; dropped", self.body);
+                true
+            }
+            Ok(CallbackResponse::Failed(reason)) => {
+                log::warn!("callbacks: {reason}; sending again");
+                let soon = Instant::now() + self.retry_delay / FAILED_ATTEMPT_DIVISOR;
+                self.next_attempt_at = self.next_attempt_at.min(soon);
+                false
             }
+            // The attempt panicked; the next one follows by itself.
+            Err(_) => false,
         }
     }
-    for notice in &batch {
-        log::debug!("told of {}: {:?}, after {} ms", notice.name, notice.end, begun.elapsed().as_millis());
-        exchange.callback_acknowledged(notice.id);
+
+    /// After a reload, a batch that is not acknowledged goes to the new address at once.
+    fn address_changed(&mut self) {
+        self.current_address = Arc::new(self.address.borrow_and_update().clone());
+        self.retry_delay = INITIAL_RETRY_DELAY;
+        self.next_attempt_at = Instant::now();
+    }
+
+    fn start_attempt(&mut self) {
+        let is_retry = self.next_attempt_at > self.started;
+        if is_retry {
+            let elapsed_ms = self.started.elapsed().as_millis();
+            log::warn!("callbacks: not acknowledged after {elapsed_ms} ms; sending once more");
+        }
+        let client = if is_retry { &self.clients.unpooled } else { &self.clients.pooled };
+        self.attempts.spawn(send(client.clone(), self.current_address.clone(), self.body.clone()));
+        self.next_attempt_at = Instant::now() + self.retry_delay;
+        self.retry_delay = (self.retry_delay * 2).min(MAX_RETRY_DELAY);
     }
 }
 
-/// What came of one attempt.
-enum Heard {
-    Taken,
-    Refused,
-    Other(String),
+/// The platform's response to one attempt.
+enum CallbackResponse {
+    /// 204: the batch has been taken in.
+    Acknowledged,
+    /// 400: the platform cannot read the batch.
+    Unreadable,
+    /// Any other answer, or none: what went wrong.
+    Failed(String),
 }
 
-async fn attempt(client: Platform, at: Arc<String>, text: Bytes) -> Heard {
-    let request = Request::post(format!("http://{at}/reports"))
+async fn send(client: PlatformClient, address: Arc<String>, body: Bytes) -> CallbackResponse {
+    let request = Request::post(format!("http://{address}/reports"))
         .header("content-type", "application/x-ndjson")
-        .body(Full::new(text));
-    let Ok(request) = request else { return Heard::Other(format!("{at} is no address")) };
-    match tokio::time::timeout(LISTEN_FOR, client.request(request)).await {
-        Ok(Ok(answer)) if answer.status() == StatusCode::NO_CONTENT => Heard::Taken,
-        Ok(Ok(answer)) if answer.status() == StatusCode::BAD_REQUEST => Heard::Refused,
-        Ok(Ok(answer)) => Heard::Other(format!("answered {}", answer.status())),
-        Ok(Err(e)) => Heard::Other(e.to_string()),
-        Err(_) => Heard::Other("no answer".to_string()),
+        .body(Full::new(body));
+    let Ok(request) = request else {
+        return CallbackResponse::Failed(format!("{address} is not a valid address"));
+    };
+    match timeout(RESPONSE_TIMEOUT, client.request(request)).await {
+        Ok(Ok(answer)) if answer.status() == StatusCode::NO_CONTENT => CallbackResponse::Acknowledged,
+        Ok(Ok(answer)) if answer.status() == StatusCode::BAD_REQUEST => CallbackResponse::Unreadable,
+        Ok(Ok(answer)) => CallbackResponse::Failed(format!("answered {}", answer.status())),
+        Ok(Err(e)) => CallbackResponse::Failed(e.to_string()),
+        Err(_) => CallbackResponse::Failed("no answer".to_string()),
     }
 }
 
-fn line(notice: &Callback) -> String {
-    let id = miniserde::json::to_string(&notice.name);
-    match notice.end {
+/// A callback as one line of the request's body (newline-delimited JSON).
+fn to_json_line(callback: &Callback) -> String {
+    let id = miniserde::json::to_string(&callback.name);
+    match callback.end {
         Completion::Deferred(Some(ms)) => {
             format!("{{\"id\":{id},\"status\":\"deferred\",\"again_ms\":{ms}}}\n")
         }
         Completion::Deferred(None) => format!("{{\"id\":{id},\"status\":\"deferred\"}}\n"),
-        _ => format!("{{\"id\":{id},\"status\":\"undeliverable\"}}\n"),
+        Completion::Undeliverable | Completion::Delivered | Completion::Withdrawn => {
+            format!("{{\"id\":{id},\"status\":\"undeliverable\"}}\n")
+        }
     }
 }
--- a/src/mgmt.rs
+++ b/src/mgmt.rs
@@ -1,6 +1,7 @@
-//! The operators' address: whether this process serves, what it counts, and endpoints taken out by hand. It has a
-//! thread of its own, so that no load on the path of requests delays an answer here, and no caller here holds up a
-//! message. Absent from the configuration, there is no listener and no thread.
+//! The management address for operators: readiness, metrics, and endpoints that are suspended by hand. It runs on a thread
+//! of its own, so that load on the request path delays no answer here, and no caller here delays a message. Where the
+//! configuration names no address, there is neither a listener nor a thread.
+#![warn(missing_docs)]
 use crate::core::SuspensionResult;
 use crate::exchange::{Exchange, Suspension};
 use crate::metrics::Metrics;
@@ -18,146 +19,195 @@
 use std::convert::Infallible;
 use std::io;
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::timeout;
 use tower::ServiceExt;
 
-/// Callers at once. Guards the descriptors: beyond it, the one that has been there longest makes way.
-const CALLERS_MOST: usize = 32;
-/// A caller writes its call at once: so long it may take for the head, and for all of it with its answer.
-const HEAD_FOR: Duration = Duration::from_secs(2);
-const CALL_FOR: Duration = Duration::from_secs(4);
-/// A head is a line and a few short ones.
-const HEAD_MOST: usize = 8 * 1024;
-/// The process has an answer to a call for an endpoint within this, or it says that it has none.
-const HAND_FOR: Duration = Duration::from_millis(900);
-/// After a caller that could not be taken in.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
-
-/// Whom calls for endpoints go to, and what is shown.
-type Serving = (Exchange, Arc<Metrics>);
-
-/// What the operators' address shows: nothing yet, until the process serves.
+/// Connections at once. Guards the file descriptors: beyond it, the oldest connection is closed.
+const MAX_CONNECTIONS: usize = 32;
+/// How long a caller may take for the head of its request. It writes it at once.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long a connection may last, from its accept to the end of its answer.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(4);
+/// Bytes of a request's head, which has a request line and a few short headers.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// How long the exchange may take to suspend or resume an endpoint, before the caller is told that it has not answered.
+const SUSPENSION_TIMEOUT: Duration = Duration::from_millis(900);
+/// Pause after an accept that failed, for descriptors to become free.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+
+/// What the management address works on while this process serves clients.
+#[derive(Clone)]
+struct Serving {
+    exchange: Exchange,
+    metrics: Arc<Metrics>,
+}
+
+/// The management address.
 #[derive(Clone)]
 pub struct ManagementServer {
+    /// Nothing while this process does not serve clients.
     serving: Arc<Mutex<Option<Serving>>>,
-    /// What is shown before that.
-    none: Arc<Metrics>,
+    /// What is shown while it does not.
+    empty_metrics: Arc<Metrics>,
 }
 
 impl ManagementServer {
-    /// Listens at this address, for a forwarder with these classes. The listener ends with the process.
+    /// Listens at this address, for a forwarder with these message classes. The listener ends with the process.
     ///
     /// # Errors
     ///
-    /// The address cannot be listened at, or no thread can be made.
-    pub fn start(at: SocketAddr, classes: &[String]) -> io::Result<ManagementServer> {
-        let mgmt = ManagementServer { serving: Arc::default(), none: Arc::new(Metrics::new(classes)) };
+    /// The address cannot be bound, or no thread or runtime can be created.
+    pub fn start(address: SocketAddr, classes: &[String]) -> io::Result<ManagementServer> {
+        let server =
+            ManagementServer { serving: Arc::default(), empty_metrics: Arc::new(Metrics::new(classes)) };
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        // Before the thread, so that who starts it hears of an address that is taken.
-        let listener = std::net::TcpListener::bind(at)?;
+        // Bound before the thread starts, so that the caller learns of an address that is in use.
+        let listener = std::net::TcpListener::bind(address)?;
         listener.set_nonblocking(true)?;
-        let routes = routes(mgmt.clone());
+        let routes = routes(server.clone());
         std::thread::Builder::new()
             .name("mgmt".to_string())
             .spawn(move || runtime.block_on(serve(listener, routes)))?;
-        log::info!("operators' address: {at}");
-        Ok(mgmt)
+        log::info!("management address: {address}");
+        Ok(server)
     }
 
-    /// From now on this process takes clients, or it does so no longer.
+    /// Sets the exchange by which this process serves clients from now on, or that it serves them no longer.
     pub fn set_serving(&self, exchange: Option<Exchange>) {
-        let serving = exchange.map(|e| (e.clone(), e.metrics()));
-        *self.serving.lock().unwrap_or_else(PoisonError::into_inner) = serving;
+        let serving = exchange.map(|exchange| {
+            let metrics = exchange.metrics();
+            Serving { exchange, metrics }
+        });
+        *self.lock() = serving;
     }
 
     fn serving(&self) -> Option<Serving> {
-        self.serving.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.lock().clone()
+    }
+
+    fn lock(&self) -> MutexGuard<'_, Option<Serving>> {
+        self.serving.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn routes(mgmt: ManagementServer) -> Router {
+fn routes(server: ManagementServer) -> Router {
     Router::new()
         .route("/v1/readyz", get(ready))
         .route("/v1/metrics", get(metrics))
-        .route("/v1/endpoints/{id}/suspend", post(|s, p| hand(s, p, Suspension::Suspend)))
-        .route("/v1/endpoints/{id}/resume", post(|s, p| hand(s, p, Suspension::Resume)))
-        .with_state(mgmt)
+        .route("/v1/endpoints/{id}/suspend", post(suspend))
+        .route("/v1/endpoints/{id}/resume", post(resume))
+        .with_state(server)
 }
 
-async fn ready(State(mgmt): State<ManagementServer>) -> StatusCode {
-    match mgmt.serving() {
+async fn ready(State(server): State<ManagementServer>) -> StatusCode {
+    match server.serving() {
         Some(_) => StatusCode::OK,
         None => StatusCode::SERVICE_UNAVAILABLE,
     }
 }
 
-async fn metrics(State(mgmt): State<ManagementServer>) -> Response {
-    let metrics = mgmt.serving().map_or(mgmt.none.clone(), |s| s.1);
+async fn metrics(State(server): State<ManagementServer>) -> Response {
+    let metrics = match server.serving() {
+        Some(serving) => serving.metrics,
+        None => server.empty_metrics.clone(),
+    };
     let text = miniserde::json::to_string(&metrics.show());
     ([(CONTENT_TYPE, "application/json")], text).into_response()
 }
 
-async fn hand(
-    State(mgmt): State<ManagementServer>, Path(id): Path<String>, suspension: Suspension,
-) -> Response {
-    let no = |status: StatusCode, why: &'static str| (status, why).into_response();
-    let Some((exchange, _)) = mgmt.serving() else {
-        return no(StatusCode::SERVICE_UNAVAILABLE, "this process does not serve; ask the one that does\n");
+async fn suspend(State(server): State<ManagementServer>, Path(uid): Path<String>) -> Response {
+    set_suspension(&server, uid, Suspension::Suspend).await
+}
+
+async fn resume(State(server): State<ManagementServer>, Path(uid): Path<String>) -> Response {
+    set_suspension(&server, uid, Suspension::Resume).await
+}
+
+async fn set_suspension(server: &ManagementServer, uid: String, suspension: Suspension) -> Response {
+    let Some(Serving { exchange, .. }) = server.serving() else {
+        let text = "this process does not serve; ask the one that does\n";
+        return (StatusCode::SERVICE_UNAVAILABLE, text).into_response();
     };
-    match timeout(HAND_FOR, exchange.set_suspension(id, suspension)).await {
-        Ok(Ok(SuspensionResult::Applied)) => StatusCode::NO_CONTENT.into_response(),
-        Ok(Ok(SuspensionResult::UnknownEndpoint)) => {
-            no(StatusCode::NOT_FOUND, "no such endpoint was ever listed here\n")
+    let Ok(result) = timeout(SUSPENSION_TIMEOUT, exchange.set_suspension(uid, suspension)).await else {
+        let text = "no answer in time; it may hold: ask again\n";
+        return (StatusCode::GATEWAY_TIMEOUT, text).into_response();
+    };
+    match result {
+        Ok(SuspensionResult::Applied) => StatusCode::NO_CONTENT.into_response(),
+        Ok(SuspensionResult::UnknownEndpoint) => {
+            (StatusCode::NOT_FOUND, "no such endpoint was ever listed here\n").into_response()
         }
-        Ok(Ok(SuspensionResult::LimitReached)) => {
-            no(StatusCode::CONFLICT, "too many are out by hand; call one back first\n")
+        Ok(SuspensionResult::LimitReached) => {
+            (StatusCode::CONFLICT, "too many are out by hand; call one back first\n").into_response()
         }
-        Ok(Ok(SuspensionResult::NotPersisted) | Err(_)) => {
-            no(StatusCode::SERVICE_UNAVAILABLE, "not written; see the log, ask again\n")
+        Ok(SuspensionResult::NotPersisted) | Err(_) => {
+            (StatusCode::SERVICE_UNAVAILABLE, "not written; see the log, ask again\n").into_response()
         }
-        Err(_) => no(StatusCode::GATEWAY_TIMEOUT, "no answer in time; it may hold: ask again\n"),
     }
 }
 
+/// Accepts connections for as long as the process runs.
 async fn serve(listener: std::net::TcpListener, routes: Router) {
     let listener = match TcpListener::from_std(listener) {
         Ok(listener) => listener,
-        Err(e) => return log::error!("the operators' address cannot be served: {e}; start anew"),
+        Err(e) => {
+            log::error!("the management address cannot be served: {e}; restart the process");
+            return;
+        }
     };
-    let mut callers = JoinSet::new();
-    let mut order: VecDeque<AbortHandle> = VecDeque::new();
+    let mut connections = Connections::default();
     loop {
         match listener.accept().await {
-            Ok((socket, _)) => {
-                while callers.try_join_next().is_some() {}
-                order.retain(|caller| !caller.is_finished());
-                if order.len() >= CALLERS_MOST {
-                    order.pop_front().into_iter().for_each(|longest| longest.abort());
-                }
-                order.push_back(callers.spawn(timeout(CALL_FOR, answer(socket, routes.clone()))));
-            }
+            Ok((socket, _)) => connections.add(socket, routes.clone()),
             Err(e) => {
-                log::warn!("an operator's call not taken in: {e}");
-                tokio::time::sleep(ACCEPT_AGAIN).await;
+                log::warn!("management connection not accepted: {e}");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
+            }
+        }
+    }
+}
+
+/// The open connections, at most [`MAX_CONNECTIONS`].
+#[derive(Default)]
+struct Connections {
+    tasks: JoinSet<Result<(), tokio::time::error::Elapsed>>,
+    /// The oldest first.
+    by_age: VecDeque<AbortHandle>,
+}
+
+impl Connections {
+    fn add(&mut self, socket: TcpStream, routes: Router) {
+        while self.tasks.try_join_next().is_some() {}
+        self.by_age.retain(|connection| !connection.is_finished());
+        if self.by_age.len() >= MAX_CONNECTIONS {
+            if let Some(oldest) = self.by_age.pop_front() {
+                oldest.abort();
             }
         }
+        let connection = timeout(CONNECTION_TIMEOUT, serve_connection(socket, routes));
+        self.by_age.push_back(self.tasks.spawn(connection));
     }
 }
 
-/// One call to a connection.
-async fn answer(socket: TcpStream, routes: Router) {
+/// Serves the one request of a connection.
+async fn serve_connection(socket: TcpStream, routes: Router) {
+    // Without it answers come later, and that is all.
     let _ = socket.set_nodelay(true);
     let service = service_fn(move |request: Request<_>| {
         let answer = routes.clone().oneshot(request);
         async move { Ok::<_, Infallible>(answer.await.into_response()) }
     });
     let mut server = http1::Builder::new();
-    server.timer(TokioTimer::new()).header_read_timeout(HEAD_FOR).max_buf_size(HEAD_MOST).keep_alive(false);
+    server
+        .timer(TokioTimer::new())
+        .header_read_timeout(HEAD_TIMEOUT)
+        .max_buf_size(MAX_HEAD_BYTES)
+        .keep_alive(false);
     if let Err(e) = server.serve_connection(TokioIo::new(socket), service).await {
-        log::debug!("an operator's connection: {e}");
+        log::debug!("management connection: {e}");
     }
 }
--- a/src/upstream/as2.rs
+++ b/src/upstream/as2.rs
@@ -1,5 +1,6 @@
-//! The AS2 encoding of an attempt: a signed message to a partner, and what its receipt means.
-use super::platform;
+//! The AS2 encoding of an attempt (RFC 4130): a signed message to a partner, and what its receipt (MDN) means.
+use super::connection::UpstreamRequest;
+use super::platform::{self, CallKind};
 use super::pool::Pool;
 use crate::as2::mdn::{self, Meaning};
 use crate::as2::smime::{self, Entity};
@@ -9,78 +10,81 @@
 use crate::Outcome;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
-use hyper::header::CONTENT_TYPE;
+use hyper::header::{HeaderMap, CONTENT_TYPE};
 use hyper::Request;
 use std::sync::Arc;
+use tokio::time::timeout;
 
-const RECEIPT_MOST: usize = 256 * 1024;
+/// Bytes of a receipt in an answer; a signed one has some ten thousand.
+const MAX_RECEIPT_BYTES: usize = 256 * 1024;
 
-type Fault = Box<dyn std::error::Error + Send + Sync>;
+type EncodeError = Box<dyn std::error::Error + Send + Sync>;
 
-/// The id that a message keeps in all its attempts, so that the partner knows a repeat.
-fn message_id(name: &str, us: &str) -> String {
+/// A request as it goes out, and what its receipt is compared with.
+struct SignedRequest {
+    request: UpstreamRequest,
+    /// The digest of the message (message integrity check, RFC 4130, section 7.3.1).
+    mic: String,
+}
+
+/// The id that a message has in all its attempts, by which the partner recognizes duplicates.
+fn message_id(name: &str, local_name: &str) -> String {
     let plain = |c: char| if c.is_ascii_alphanumeric() || "._-".contains(c) { c } else { '-' };
-    format!("<{}@{us}>", name.chars().map(plain).collect::<String>())
+    format!("<{}@{local_name}>", name.chars().map(plain).collect::<String>())
 }
 
-/// Makes the call and waits for its receipt; dropping it closes its connection.
-pub async fn call(
-    pool: Arc<Pool>, one: &Attempt, book: &Book, partner: &Partner, exchange: &Exchange,
+/// Makes the call and waits for its receipt. Dropping this future cancels it, which closes its connection.
+pub(super) async fn call(
+    pool: Arc<Pool>, attempt: &Attempt, book: &Book, partner: &Partner, exchange: &Exchange,
 ) -> AttemptResult {
-    let id = message_id(&one.context.name, &book.name);
-    let (request, mic) = match request(one, book, partner, &id) {
-        Ok(made) => made,
+    let id = message_id(&attempt.context.name, &book.name);
+    let SignedRequest { request, mic } = match encode(attempt, book, partner, &id) {
+        Ok(signed) => signed,
         Err(e) => {
-            log::error!("AS2: message {id} to {} cannot be made: {e}", partner.name);
+            log::error!("AS2: message {id} to {} cannot be encoded: {e}", partner.name);
             return Outcome::Skipped.into();
         }
     };
-    // Known before the first byte goes out: a receipt may overtake the answer.
-    let receipt = exchange.await_receipt(&id);
+    // Registered before the first byte is sent: a receipt may overtake the answer.
+    let later_receipt = exchange.await_receipt(&id);
     let to = request.uri().clone();
-    let make = || exchange.may_send(one.into()).then_some(request);
-    let mut call = match pool.call(to, make, platform::listener(one, false, exchange)).await {
+    let make_request = || exchange.may_send(attempt.into()).then_some(request);
+    let listener = platform::retry_after_listener(attempt, CallKind::Single, exchange);
+    let mut call = match pool.call(to, make_request, listener).await {
         Ok(call) => call,
-        Err(fault) => return platform::broken(&partner.url, &fault),
+        Err(error) => return platform::call_failed(&partner.url, &error),
     };
-    let (head, body, seat) = match call.head().await {
-        Ok((answer, seat)) => {
-            let (head, body) = answer.into_parts();
-            (head, body, seat)
-        }
-        Err(fault) => return platform::broken(&partner.url, &fault),
+    let (answer, connection) = match call.head().await {
+        Ok(answered) => answered,
+        Err(error) => return platform::call_failed(&partner.url, &error),
     };
+    let (head, body) = answer.into_parts();
     if !head.status.is_success() {
-        return platform::ending(head.status, &head.headers);
+        return platform::result_of_head(head.status, &head.headers);
     }
-    let received = if partner.later {
-        receipt.await.ok()
+    let receipt = if partner.later {
+        later_receipt.await.unwrap_or_default()
     } else {
-        let kind =
-            head.headers.get(CONTENT_TYPE).and_then(|t| t.to_str().ok()).unwrap_or_default().to_string();
-        match Limited::new(body, RECEIPT_MOST).collect().await {
-            Ok(text) => {
-                let _ = tokio::time::timeout(platform::LINGER, seat.settle()).await;
-                Some(as_text(&kind, &text.to_bytes()))
-            }
-            // Silent or gone before its receipt: it may have run.
-            Err(_) => return Outcome::Reset.into(),
-        }
+        let Ok(body) = Limited::new(body, MAX_RECEIPT_BYTES).collect().await else {
+            // Silent or gone before its receipt: the call may have run.
+            return Outcome::Reset.into();
+        };
+        let _ = timeout(platform::COMPLETION_GRACE_PERIOD, connection.release_when_ready()).await;
+        into_mime_entity(&head.headers, &body.to_bytes())
     };
-    judge(received.as_deref().unwrap_or_default(), &id, &mic, book, partner)
+    result_of_receipt(&receipt, &id, &mic, book, partner)
 }
 
-/// A received entity as one MIME text, its type in front.
-fn as_text(content_type: &str, body: &[u8]) -> Bytes {
+/// A body as one MIME entity, its content type in front.
+fn into_mime_entity(headers: &HeaderMap, body: &[u8]) -> Bytes {
+    let content_type = headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok()).unwrap_or_default();
     [format!("Content-Type: {content_type}\r\n\r\n").as_bytes(), body].concat().into()
 }
 
-fn request(
-    one: &Attempt, book: &Book, partner: &Partner, id: &str,
-) -> Result<(Request<Full<Bytes>>, String), Fault> {
+fn encode(attempt: &Attempt, book: &Book, partner: &Partner, id: &str) -> Result<SignedRequest, EncodeError> {
     let mut part =
         b"Content-Type: application/octet-stream\r\nContent-Transfer-Encoding: binary\r\n\r\n".to_vec();
-    part.extend_from_slice(&one.context.body);
+    part.extend_from_slice(&attempt.context.body);
     let mic = smime::mic(&part);
     let signed = smime::sign(&part, &book.me)?;
     let entity = if partner.encrypt { smime::encrypt(&signed, &partner.certificate)? } else { signed };
@@ -101,28 +105,30 @@
     if partner.later {
         request = request.header("receipt-delivery-option", &book.receipt_url);
     }
-    Ok((request.body(Full::new(body.into()))?, mic))
+    Ok(SignedRequest { request: request.body(Full::new(body.into()))?, mic })
 }
 
 /// Only a receipt that the partner signed, for this message and with its digest, is a delivery.
-fn judge(text: &[u8], id: &str, mic: &str, book: &Book, partner: &Partner) -> AttemptResult {
-    let fault = |why: &str, outcome: Outcome| {
-        log::warn!("AS2: message {id} to {}: {why}", partner.name);
+fn result_of_receipt(text: &[u8], id: &str, mic: &str, book: &Book, partner: &Partner) -> AttemptResult {
+    let failed = |reason: &str, outcome: Outcome| {
+        log::warn!("AS2: message {id} to {}: {reason}", partner.name);
         AttemptResult::from(outcome)
     };
-    let Some(entity) = smime::split(text) else { return fault("no receipt came", Outcome::Error) };
+    let Some(entity) = smime::split(text) else { return failed("no receipt came", Outcome::Error) };
     let part = match smime::open(entity, &book.me, &partner.certificate) {
         Ok(part) => part,
-        Err(why) => return fault(&format!("its receipt is not good: {}", why.words()), Outcome::Error),
+        Err(why) => return failed(&format!("its receipt is not good: {}", why.words()), Outcome::Error),
+    };
+    let Some(receipt) = mdn::read(&part) else {
+        return failed("its receipt cannot be read", Outcome::Error);
     };
-    match mdn::read(&part) {
-        None => fault("its receipt cannot be read", Outcome::Error),
-        Some(r) if r.message != id => fault("its receipt is for another message", Outcome::Error),
-        Some(r) => match r.meaning() {
-            Meaning::Processed if r.mic.as_deref() == Some(mic) => Outcome::Ok.into(),
-            Meaning::Processed => fault("its receipt has another digest", Outcome::Error),
-            Meaning::NeverRan => fault(&r.disposition, Outcome::Rejected(None)),
-            Meaning::MayHaveRun => fault(&r.disposition, Outcome::Error),
-        },
+    if receipt.message != id {
+        return failed("its receipt is for another message", Outcome::Error);
+    }
+    match receipt.meaning() {
+        Meaning::Processed if receipt.mic.as_deref() == Some(mic) => Outcome::Ok.into(),
+        Meaning::Processed => failed("its receipt has another digest", Outcome::Error),
+        Meaning::NeverRan => failed(&receipt.disposition, Outcome::Rejected(None)),
+        Meaning::MayHaveRun => failed(&receipt.disposition, Outcome::Error),
     }
 }
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -1,9 +1,15 @@
-//! Attempts on the wire: one task each, over pooled connections, one pool for each host.
+//! Attempts on the wire: calls to endpoints over pooled connections, one pool for each endpoint.
+//!
+//! - `platform`, `batch`, `as2`: how an attempt is encoded, and what its answer means
+//! - `pool`, `connection`: the connections to one endpoint
+//! - `monitored_stream`: what passes on a connection, below what hyper shows
+#![warn(missing_docs)]
 mod as2;
 mod batch;
+mod connection;
+mod monitored_stream;
 mod platform;
 mod pool;
-mod tap;
 #[cfg(test)]
 mod tests;
 
@@ -20,101 +26,154 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-/// By what an attempt that is out is called off.
-enum Out {
-    /// Its call carries it alone.
-    Alone(AbortHandle),
-    /// Among others.
-    Among(UnboundedSender<AttemptId>),
+/// The shortest time that an attempt gets.
+const MIN_ATTEMPT_TIMEOUT: Nanos = Nanos(1_000_000);
+
+/// Carries out the commands of the exchange, for as long as the process runs. `book` lists the AS2 partners, where there are
+/// any.
+pub async fn run(
+    site: Arc<Site>, book: Option<Arc<Book>>, exchange: Exchange,
+    mut commands: UnboundedReceiver<UpstreamCommand>,
+) {
+    let mut expiry_check = tokio::time::interval(pool::expiry_check_interval(&site));
+    let (pools, in_flight) = (BTreeMap::new(), BTreeMap::new());
+    let mut dispatcher = Dispatcher { site, book, exchange, pools, in_flight };
+    loop {
+        tokio::select! {
+            biased;
+            command = commands.recv() => match command {
+                Some(command) => dispatcher.execute(command),
+                None => return,
+            },
+            _ = expiry_check.tick() => dispatcher.pools.values().for_each(|pool| pool.close_expired()),
+        }
+    }
 }
 
-impl Out {
-    fn is_over(&self) -> bool {
+/// By what an attempt in flight is cancelled.
+enum InFlight {
+    /// It has a call of its own: the task of that call.
+    Single(AbortHandle),
+    /// Its call carries others as well: where that call takes cancellations.
+    Batch(UnboundedSender<AttemptId>),
+}
+
+impl InFlight {
+    fn is_finished(&self) -> bool {
         match self {
-            Out::Alone(task) => task.is_finished(),
-            Out::Among(off) => off.is_closed(),
+            InFlight::Single(task) => task.is_finished(),
+            InFlight::Batch(cancellations) => cancellations.is_closed(),
         }
     }
 }
 
-/// Carries out attempts as the exchange hands them over.
-pub async fn run(
-    site: Arc<Site>, book: Option<Arc<Book>>, exchange: Exchange,
-    mut works: UnboundedReceiver<UpstreamCommand>,
-) {
-    let mut pools: BTreeMap<EndpointId, Arc<Pool>> = BTreeMap::new();
-    let mut out: BTreeMap<AttemptId, Out> = BTreeMap::new();
-    let mut sweep = tokio::time::interval(pool::sweep(&site));
-    loop {
-        let work = tokio::select! {
-            biased;
-            work = works.recv() => work,
-            _ = sweep.tick() => {
-                pools.values().for_each(|p| p.trim());
-                continue;
-            }
-        };
-        let Some(work) = work else { return };
-        match work {
-            UpstreamCommand::Call(attempts) => {
-                let Some(first) = attempts.first() else { continue };
-                let new = || Arc::new(Pool::new(&site, first.address.clone()));
-                let pool = pools.entry(first.host).or_insert_with(new);
-                if pool.address != first.address {
-                    *pool = new();
-                }
-                out.retain(|_, call| !call.is_over());
-                let partner = book.as_ref().is_some_and(|b| b.at(&first.address).is_some());
-                if attempts.len() > 1 && !partner {
-                    let (off, calls_off) = unbounded_channel();
-                    let places = attempts.iter().map(AttemptId::from);
-                    out.extend(places.map(|place| (place, Out::Among(off.clone()))));
-                    tokio::spawn(batch::run(pool.clone(), attempts, exchange.clone(), calls_off));
-                    continue;
-                }
-                for one in attempts {
-                    let place = AttemptId::from(&one);
-                    let task = tokio::spawn(attempt(pool.clone(), one, book.clone(), exchange.clone()));
-                    out.insert(place, Out::Alone(task.abort_handle()));
+/// Starts calls, each in a task of its own, and cancels them.
+struct Dispatcher {
+    site: Arc<Site>,
+    book: Option<Arc<Book>>,
+    exchange: Exchange,
+    pools: BTreeMap<EndpointId, Arc<Pool>>,
+    in_flight: BTreeMap<AttemptId, InFlight>,
+}
+
+impl Dispatcher {
+    fn execute(&mut self, command: UpstreamCommand) {
+        match command {
+            UpstreamCommand::Call(attempts) => self.start_call(attempts),
+            UpstreamCommand::CancelAttempt(id) => self.cancel(id),
+            // Calls in flight go on, and close their connections when they end.
+            UpstreamCommand::CloseIdle(endpoint) => {
+                if let Some(pool) = self.pools.remove(&endpoint) {
+                    pool.close_all_idle();
                 }
             }
-            UpstreamCommand::CancelAttempt(id) => {
-                match out.remove(&id).filter(|call| !call.is_over()) {
-                    // Dropping the call closes its connection, which calls it off.
-                    Some(Out::Alone(task)) => {
-                        task.abort();
-                        exchange.attempt_ended(id, Outcome::Cancelled.into());
-                    }
-                    Some(Out::Among(off)) => drop(off.send(id)),
-                    None => {}
-                }
+        }
+    }
+
+    fn start_call(&mut self, attempts: Vec<Attempt>) {
+        let Some(first) = attempts.first() else { return };
+        let pool = self.pool(first.host, &first.address);
+        self.in_flight.retain(|_, call| !call.is_finished());
+        let is_as2 = self.book.as_ref().is_some_and(|book| book.at(&first.address).is_some());
+        if attempts.len() > 1 && !is_as2 {
+            self.start_batch(pool, attempts);
+            return;
+        }
+        for attempt in attempts {
+            self.start_single(pool.clone(), attempt);
+        }
+    }
+
+    /// The pool of this endpoint; a new one where the endpoint has moved to another address.
+    fn pool(&mut self, endpoint: EndpointId, address: &str) -> Arc<Pool> {
+        let new_pool = || Arc::new(Pool::new(&self.site, address.to_string()));
+        let pool = self.pools.entry(endpoint).or_insert_with(new_pool);
+        if pool.address != address {
+            *pool = new_pool();
+        }
+        pool.clone()
+    }
+
+    fn start_batch(&mut self, pool: Arc<Pool>, attempts: Vec<Attempt>) {
+        let (cancellations, cancellations_received) = unbounded_channel();
+        for attempt in &attempts {
+            self.in_flight.insert(attempt.into(), InFlight::Batch(cancellations.clone()));
+        }
+        tokio::spawn(batch::run(pool, attempts, self.exchange.clone(), cancellations_received));
+    }
+
+    fn start_single(&mut self, pool: Arc<Pool>, attempt: Attempt) {
+        let id = AttemptId::from(&attempt);
+        let task = tokio::spawn(run_single(pool, attempt, self.book.clone(), self.exchange.clone()));
+        self.in_flight.insert(id, InFlight::Single(task.abort_handle()));
+    }
+
+    fn cancel(&mut self, id: AttemptId) {
+        let Some(call) = self.in_flight.remove(&id) else { return };
+        if call.is_finished() {
+            return;
+        }
+        match call {
+            // Dropping the call closes its connection, by which the endpoint learns of it.
+            InFlight::Single(task) => {
+                task.abort();
+                self.exchange.attempt_ended(id, Outcome::Cancelled.into());
+            }
+            InFlight::Batch(cancellations) => {
+                // It has ended since then where nobody receives this.
+                let _ = cancellations.send(id);
             }
-            // Calls that are out go on, and close theirs when they end.
-            UpstreamCommand::CloseIdle(host) => pools.remove(&host).into_iter().for_each(|p| p.close()),
         }
     }
 }
 
-async fn attempt(pool: Arc<Pool>, one: Attempt, book: Option<Arc<Book>>, exchange: Exchange) {
-    let partner = book.as_ref().and_then(|b| Some((b, b.at(&one.address)?)));
-    let call = async {
-        match partner {
-            Some((book, partner)) => as2::call(pool, &one, book, partner, &exchange).await,
-            None => platform::call(pool, &one, &exchange).await,
+/// Makes the call of one attempt and reports how it ended.
+async fn run_single(pool: Arc<Pool>, attempt: Attempt, book: Option<Arc<Book>>, exchange: Exchange) {
+    let call = call_single(pool, &attempt, book.as_deref(), &exchange);
+    let result = timeout(attempt_timeout(&attempt), call).await.unwrap_or(Outcome::Timeout.into());
+    report(&exchange, &attempt, result);
+}
+
+async fn call_single(
+    pool: Arc<Pool>, attempt: &Attempt, book: Option<&Book>, exchange: &Exchange,
+) -> AttemptResult {
+    if let Some(book) = book {
+        if let Some(partner) = book.at(&attempt.address) {
+            return as2::call(pool, attempt, book, partner, exchange).await;
         }
-    };
-    let ending = timeout(limit(&one), call).await.unwrap_or(Outcome::Timeout.into());
-    tell(&exchange, &one, ending);
+    }
+    platform::call(pool, attempt, exchange).await
 }
 
-/// How long this attempt may take; 1 ms at the least.
-fn limit(one: &Attempt) -> Duration {
-    Duration::from_nanos(one.timeout.max(Nanos(1_000_000)).0)
+/// How long this attempt may take.
+fn attempt_timeout(attempt: &Attempt) -> Duration {
+    Duration::from_nanos(attempt.timeout.max(MIN_ATTEMPT_TIMEOUT).0)
 }
 
-/// The one place where an attempt's end is told, alone in its call or among others.
-fn tell(exchange: &Exchange, one: &Attempt, ending: AttemptResult) {
-    let (message, dest) = (&one.context.name, one.context.dest);
-    log::debug!(message, outcome:? = ending.outcome, "try" = one.attempt, dest, report:? = ending.report; "try ended");
-    exchange.attempt_ended(one.into(), ending);
+/// The one place where the end of an attempt is reported, whether it had a call of its own or not.
+fn report(exchange: &Exchange, attempt: &Attempt, result: AttemptResult) {
+    let (message, dest) = (&attempt.context.name, attempt.context.dest);
+    let AttemptResult { outcome, report, .. } = result;
+    log::debug!(message, outcome:?, "try" = attempt.attempt, dest, report:?; "attempt ended");
+    exchange.attempt_ended(attempt.into(), result);
 }
--- a/src/upstream/platform.rs
+++ b/src/upstream/platform.rs
@@ -1,6 +1,7 @@
 //! The platform's encoding of an attempt: a call to an endpoint, and what its answer means.
-use super::pool::{Fault, Pool, Seat};
-use super::tap::{Listener, Watch};
+use super::connection::UpstreamError;
+use super::monitored_stream::{CallMonitor, HeaderListener};
+use super::pool::{Call, Pool, PooledConnection};
 use crate::core::Attempt;
 use crate::exchange::{AttemptResult, Exchange};
 use crate::{DestinationId, LoadReport, Nanos, Outcome};
@@ -12,187 +13,221 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// An answer's body means nothing. It is read so far, for the connection to be used again.
-const BODY_MOST: usize = 64 * 1024;
-const BODY_FOR: Duration = Duration::from_millis(100);
-/// Once the first line says 200, the rest is waited for only so long: mostly it is there, and its connection is
+/// Bytes of an answer's body that are read. It means nothing, and is read for the connection to be used again.
+const MAX_BODY_BYTES: usize = 64 * 1024;
+/// How long an answer's body is read.
+const BODY_TIMEOUT: Duration = Duration::from_millis(100);
+/// How long the rest of an answer is waited for once its outcome is known. Mostly it is there, and then its connection is
 /// free for the next call before that is decided.
-pub const LINGER: Duration = Duration::from_millis(3);
-
-/// The header with a destination's word on its limit, and the largest figure in it that is believed.
-const REPORT: &str = "x-load";
-const REPORT_MOST: f64 = 1e6;
-
-/// The longest wait that is heeded as it is told, in seconds: past any message's time, and short enough to be waited out.
-const WAIT_MOST: f64 = 3600.0;
+pub(super) const COMPLETION_GRACE_PERIOD: Duration = Duration::from_millis(3);
+
+/// The header in which a destination reports its load.
+const LOAD_REPORT_HEADER: &str = "x-load";
+/// The largest value of a load report that is believed.
+const MAX_LOAD_VALUE: f64 = 1e6;
+/// The header of a 503 that says that the endpoint has no slot free and has not run the call.
+const NO_SLOT_HEADER: &str = "x-no-slot";
+
+/// The longest Retry-After that is heeded, in seconds: past any message's deadline, and short enough to be waited out.
+const MAX_RETRY_AFTER_SECS: f64 = 3600.0;
+
+/// How many messages a call carries.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum CallKind {
+    Single,
+    Batch,
+}
 
-/// Makes the call; dropping it closes its connection.
-pub async fn call(pool: Arc<Pool>, one: &Attempt, exchange: &Exchange) -> AttemptResult {
-    let context = &one.context;
-    let mut request = Request::post(format!("http://{}/v1/messages", one.address))
-        .header("x-request-id", &context.name)
-        .header("x-deadline", format!("{}m", one.timeout.0 / 1_000_000));
-    if !context.repeat_key.is_empty() {
-        request = request.header("idempotency-key", &context.repeat_key);
-    }
-    let request = match request.body(Full::new(context.body.clone())) {
+/// Makes the call of one attempt. Dropping this future cancels it, which closes its connection.
+pub(super) async fn call(pool: Arc<Pool>, attempt: &Attempt, exchange: &Exchange) -> AttemptResult {
+    let request = match encode(attempt) {
         Ok(request) => request,
         Err(e) => {
-            log::error!("try of {} cannot be put into words: {e}", context.name);
+            log::error!("attempt of {} cannot be encoded: {e}", attempt.context.name);
             return Outcome::Skipped.into();
         }
     };
     let to = request.uri().clone();
-    let make = || exchange.may_send(one.into()).then_some(request);
-    let mut call = match pool.call(to, make, listener(one, false, exchange)).await {
+    let make_request = || exchange.may_send(attempt.into()).then_some(request);
+    let listener = retry_after_listener(attempt, CallKind::Single, exchange);
+    let mut call = match pool.call(to, make_request, listener).await {
         Ok(call) => call,
-        Err(fault) => return broken(&one.address, &fault),
+        Err(error) => return call_failed(&attempt.address, &error),
     };
-    let watch = call.watch.clone();
-    let done = tokio::select! {
+    let monitor = call.monitor.clone();
+    let head = tokio::select! {
         biased;
-        done = call.head() => Some(done),
-        () = watch.settled() => timeout(LINGER, call.head()).await.ok(),
+        head = call.head() => Some(head),
+        () = monitor.answer_decided() => timeout(COMPLETION_GRACE_PERIOD, call.head()).await.ok(),
     };
-    match done {
-        Some(done) => judge(done, &watch, &one.address).await,
-        None if watch.says_ok() => {
-            tokio::spawn(timeout(BODY_FOR, async move {
-                let (answer, seat) = call.head().await?;
-                read_out(answer, seat).await
-            }));
+    match head {
+        Some(Ok((answer, connection))) => answered(answer, connection, &monitor, &attempt.address).await,
+        // The call has run: where its status line says 200 it is a delivery, whatever follows.
+        Some(Err(_)) if monitor.has_status_ok() => Outcome::Ok.into(),
+        Some(Err(error)) => head_failed(&monitor, &attempt.address, &error),
+        None if monitor.has_status_ok() => {
+            tokio::spawn(timeout(BODY_TIMEOUT, read_head_and_body(call)));
             Outcome::Ok.into()
         }
-        None => spoilt(&one.address, "its head does not end"),
+        None => unreadable_answer(&attempt.address, "its head does not end"),
     }
 }
 
-/// Hears the wait that an answer tells, line by line as its head comes, and passes it on at once. A wait belongs to the
-/// partner and not to the message: it counts also where the head never ends or cannot be read, and where nobody waits
-/// for the answer any more.
-pub fn listener(one: &Attempt, several: bool, exchange: &Exchange) -> Listener {
-    let (host, dest, exchange) = (one.host, DestinationId(one.context.dest), exchange.clone());
-    // An answer for several may turn some of them away.
-    let several = move |status| several && status == 200;
+fn encode(attempt: &Attempt) -> Result<Request<Full<bytes::Bytes>>, hyper::http::Error> {
+    let context = &attempt.context;
+    let mut request = Request::post(format!("http://{}/v1/messages", attempt.address))
+        .header("x-request-id", &context.name)
+        .header("x-deadline", format!("{}m", attempt.timeout.0 / 1_000_000));
+    if !context.repeat_key.is_empty() {
+        request = request.header("idempotency-key", &context.repeat_key);
+    }
+    request.body(Full::new(context.body.clone()))
+}
+
+/// Reports the Retry-After of an answer as its head comes, line by line. It belongs to the partner and not to the message, so
+/// it counts also where the head never ends or cannot be read, and where nobody waits for the answer any more.
+pub(super) fn retry_after_listener(attempt: &Attempt, kind: CallKind, exchange: &Exchange) -> HeaderListener {
+    let (host, dest, exchange) = (attempt.host, DestinationId(attempt.context.dest), exchange.clone());
     Box::new(move |status, line| {
-        let said = line.split_once(':').filter(|l| l.0.trim().eq_ignore_ascii_case(RETRY_AFTER.as_str()));
-        if let Some(wait) = said.filter(|_| turns_away(status) || several(status)).and_then(|l| span(l.1)) {
+        let Some((name, value)) = line.split_once(':') else { return };
+        if !name.trim().eq_ignore_ascii_case(RETRY_AFTER.as_str()) || !may_reject(status, kind) {
+            return;
+        }
+        if let Some(wait) = parse_retry_after(value) {
             exchange.retry_after_received(host, dest, wait);
         }
     })
 }
 
-/// Whether this status says that the call never ran, so that a wait beside it is the partner's word on when to come.
-fn turns_away(status: u16) -> bool {
-    matches!(status, 429 | 503)
-}
-
-/// What came of a call. Guards the truth of it against answers that are spoilt: the call has run, and where the
-/// first line says 200 it is a delivery, whatever comes behind.
-async fn judge(done: Result<(Response<Incoming>, Seat), Fault>, watch: &Watch, place: &str) -> AttemptResult {
-    match done {
-        Ok((answer, _)) if answer.status() == StatusCode::SWITCHING_PROTOCOLS => spoilt(place, "it is a 101"),
-        Ok((answer, seat)) => {
-            let mut ending = ending(answer.status(), answer.headers());
-            if ending.outcome == Outcome::Rejected(None) && watch.is_first() && closes(&answer) {
-                ending.outcome = Outcome::ConnectionLimit;
-            }
-            // Its body means nothing, and may never end. Guards against surplus connections: mostly it is there,
-            // and the next call finds this connection free instead of opening another.
-            let mut rest = tokio::spawn(timeout(BODY_FOR, read_out(answer, seat)));
-            let _ = timeout(LINGER, &mut rest).await;
-            ending
-        }
-        Err(_) if watch.says_ok() => Outcome::Ok.into(),
-        Err(e) => no_head(watch, place, &e),
+/// Whether an answer with this status may say that a message never ran, so that its Retry-After counts (RFC 9110, section
+/// 10.2.3). The answer to a batch may reject some of its messages.
+fn may_reject(status: u16, kind: CallKind) -> bool {
+    match status {
+        429 | 503 => true,
+        200 => kind == CallKind::Batch,
+        _ => false,
     }
 }
 
-/// What it means that no head of an answer could be read.
-pub(super) fn no_head(watch: &Watch, place: &str, fault: &Fault) -> AttemptResult {
-    if watch.heard() {
-        return spoilt(place, &fault.to_string());
+/// What an answer means whose head could be read.
+async fn answered(
+    answer: Response<Incoming>, connection: PooledConnection, monitor: &CallMonitor, address: &str,
+) -> AttemptResult {
+    if answer.status() == StatusCode::SWITCHING_PROTOCOLS {
+        return unreadable_answer(address, "it is a 101");
     }
-    // Found closed before the first byte went out: that is no word on its endpoint, only on a connection.
-    if watch.unsent() {
-        log::debug!("{place}: {fault}: not sent");
+    let mut result = result_of_head(answer.status(), answer.headers());
+    // A new connection that ends with a rejection without Retry-After: the endpoint holds as many connections as it takes.
+    let is_rejected = result.outcome == Outcome::Rejected(None);
+    if is_rejected && monitor.is_first_on_connection() && closes_connection(&answer) {
+        result.outcome = Outcome::ConnectionLimit;
+    }
+    // The body means nothing, and may never end. Guards against surplus connections: mostly it is there, and then the next
+    // call finds this connection free instead of opening another.
+    let mut body = tokio::spawn(timeout(BODY_TIMEOUT, read_body(answer, connection)));
+    let _ = timeout(COMPLETION_GRACE_PERIOD, &mut body).await;
+    result
+}
+
+/// What it means that the head of an answer could not be read.
+pub(super) fn head_failed(monitor: &CallMonitor, address: &str, error: &UpstreamError) -> AttemptResult {
+    if monitor.has_answer_bytes() {
+        return unreadable_answer(address, &error.to_string());
+    }
+    // Found closed before the first byte was written: that says nothing about the endpoint, only about a connection.
+    if monitor.is_unwritten() {
+        log::debug!("{address}: {error}: not sent");
         return Outcome::Skipped.into();
     }
-    broken(place, fault)
+    call_failed(address, error)
 }
 
-/// Whether its connection ends with this answer. On a new one, beside a refusal without a wait, that is the word of
-/// an endpoint that holds as many connections as it takes.
-fn closes(answer: &Response<Incoming>) -> bool {
+/// Whether the connection ends with this answer (RFC 9112, section 9.6).
+fn closes_connection(answer: &Response<Incoming>) -> bool {
     answer.headers().get(CONNECTION).is_some_and(|c| c.as_bytes().eq_ignore_ascii_case(b"close"))
 }
 
-pub(super) fn spoilt(place: &str, why: &str) -> AttemptResult {
-    log::debug!("{place}: an answer that cannot be read: {why}");
+/// An answer came that cannot be read: the call may have run.
+pub(super) fn unreadable_answer(address: &str, reason: &str) -> AttemptResult {
+    log::debug!("{address}: unreadable answer: {reason}");
     Outcome::UnreadableAnswer.into()
 }
 
-/// Reads an answer's body, for the connection to be used again. One that is too long closes it.
-async fn read_out(answer: Response<Incoming>, seat: Seat) -> Result<(), Fault> {
-    let _ = Limited::new(answer.into_body(), BODY_MOST).collect().await;
-    seat.settle().await;
+async fn read_head_and_body(mut call: Call) -> Result<(), UpstreamError> {
+    let (answer, connection) = call.head().await?;
+    read_body(answer, connection).await;
     Ok(())
 }
 
-/// Never ran: no connection came up, or the request was handed back before it was written. After that the last
-/// byte may have gone out, so the call may have run.
-pub fn broken(place: &str, fault: &Fault) -> AttemptResult {
-    log::debug!("{place}: {fault}");
-    match fault {
-        Fault::Connect(_) | Fault::Unwritten(_) => Outcome::ConnectFailed,
-        Fault::Unsent => Outcome::NotSent,
-        Fault::Broken(_) => Outcome::Reset,
-    }
-    .into()
+/// Reads an answer's body, for the connection to be used again. One that is too long closes it.
+async fn read_body(answer: Response<Incoming>, connection: PooledConnection) {
+    let _ = Limited::new(answer.into_body(), MAX_BODY_BYTES).collect().await;
+    connection.release_when_ready().await;
 }
 
-/// What an answer's head means.
-pub fn ending(status: StatusCode, headers: &HeaderMap) -> AttemptResult {
+/// What it means that a call failed. It never ran where no connection came up, or where the request was handed back before it
+/// was written. After that its last byte may have been sent, so it may have run.
+pub(super) fn call_failed(address: &str, error: &UpstreamError) -> AttemptResult {
+    log::debug!("{address}: {error}");
+    let outcome = match error {
+        UpstreamError::Connect(_) | UpstreamError::NotWritten(_) => Outcome::ConnectFailed,
+        UpstreamError::NotSent => Outcome::NotSent,
+        UpstreamError::Broken(_) => Outcome::Reset,
+    };
+    outcome.into()
+}
+
+/// What the head of an answer means.
+pub(super) fn result_of_head(status: StatusCode, headers: &HeaderMap) -> AttemptResult {
     let outcome = match status.as_u16() {
         200 => Outcome::Ok,
-        429 => Outcome::Rejected(wait(headers)),
-        503 if headers.contains_key("x-no-slot") => Outcome::Skipped,
-        503 => Outcome::Rejected(wait(headers)),
+        429 => Outcome::Rejected(retry_after(headers)),
+        503 if headers.contains_key(NO_SLOT_HEADER) => Outcome::Skipped,
+        503 => Outcome::Rejected(retry_after(headers)),
         504 | 410 => Outcome::Skipped,
         _ => Outcome::Error,
     };
-    let report = headers.get(REPORT).and_then(|r| report(r.to_str().ok()?));
-    AttemptResult { outcome, is_message_over: status == StatusCode::GONE, report }
+    AttemptResult { outcome, is_message_over: status == StatusCode::GONE, report: load_report(headers) }
 }
 
-/// What an answer tells of its destination's limit: the share of it that is left, and the calls a second that it allows,
-/// 0 for none. Guards the paces against what no endpoint can mean: it counts as no report.
-fn report(said: &str) -> Option<LoadReport> {
-    let field = |name: &str| {
-        let fields = said.split(',').filter_map(|f| f.split_once('='));
-        let value = fields.filter(|f| f.0.trim() == name).map(|f| f.1).next()?;
-        value.trim().parse::<f64>().ok().filter(|v| (0.0..=REPORT_MOST).contains(v))
-    };
-    Some(LoadReport { left: field("x0")?, limit: field("x1")? })
+fn load_report(headers: &HeaderMap) -> Option<LoadReport> {
+    let value = headers.get(LOAD_REPORT_HEADER)?.to_str().ok()?;
+    parse_load_report(value)
+}
+
+/// A destination's load report: the share of its limit that is left, and the calls a second that it allows, 0 for none.
+/// Guards the pacing against values that no endpoint can mean: then it counts as no report.
+fn parse_load_report(value: &str) -> Option<LoadReport> {
+    Some(LoadReport { left: load_value(value, "x0")?, limit: load_value(value, "x1")? })
+}
+
+/// The value of this field in a list of the form `x0=0.4,x1=25`.
+fn load_value(list: &str, name: &str) -> Option<f64> {
+    let mut fields = list.split(',').filter_map(|field| field.split_once('='));
+    let (_, value) = fields.find(|(field, _)| field.trim() == name)?;
+    let value = value.trim().parse::<f64>().ok()?;
+    (0.0..=MAX_LOAD_VALUE).contains(&value).then_some(value)
 }
 
-/// The wait that an answer tells. Guards against what no endpoint can mean: one that is no number, or not ahead, is
-/// none, and a longer one than an hour is an hour, or a slip would shut a partner out until the next restart.
-pub(super) fn wait(headers: &HeaderMap) -> Option<Nanos> {
-    span(headers.get(RETRY_AFTER)?.to_str().unwrap_or_default())
+/// The Retry-After of an answer, as the platform writes it: in seconds, with a fraction (RFC 9110, section 10.2.3 knows whole
+/// seconds).
+pub(super) fn retry_after(headers: &HeaderMap) -> Option<Nanos> {
+    parse_retry_after(headers.get(RETRY_AFTER)?.to_str().unwrap_or_default())
 }
 
-fn span(said: &str) -> Option<Nanos> {
-    let said = said.trim();
-    match said.parse::<f64>() {
-        Ok(secs) if secs > WAIT_MOST => {
-            log::warn!(said; "told to wait longer than {WAIT_MOST} s: taken for that");
-            Some(Nanos::from_secs(WAIT_MOST))
+/// Guards against values that no endpoint can mean: what is no number or not positive is none, and what is longer than an
+/// hour is an hour, or a slip would shut a partner out until the next restart.
+fn parse_retry_after(value: &str) -> Option<Nanos> {
+    let value = value.trim();
+    match value.parse::<f64>() {
+        Ok(secs) if secs > MAX_RETRY_AFTER_SECS => {
+            log::warn!(value; "retry-after is longer than {MAX_RETRY_AFTER_SECS} s: taken for that");
+            Some(Nanos::from_secs(MAX_RETRY_AFTER_SECS))
         }
         Ok(secs) if secs > 0.0 => Some(Nanos::from_secs(secs)),
         Ok(0.0) => None,
         Ok(_) | Err(_) => {
-            log::warn!(said; "told to wait for no time that can be read: taken for none");
+            log::warn!(value; "retry-after is no time that can be waited: ignored");
             None
         }
     }
--- a/src/upstream/platform/tests.rs
+++ b/src/upstream/platform/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `platform`.
+//! What load reports and Retry-After headers mean.
 use super::*;
 use rstest::rstest;
 
@@ -13,26 +13,28 @@
 #[case("x0=0.4", None)]
 #[case("x0=0.4,x1=", None)]
 #[case("", None)]
-fn a_report_that_cannot_be_meant_is_none(#[case] said: &str, #[case] expected: Option<(f64, f64)>) {
-    assert_eq!(report(said), expected.map(|(left, limit)| LoadReport { left, limit }));
+fn a_load_report_with_impossible_values_is_ignored(
+    #[case] value: &str, #[case] expected: Option<(f64, f64)>,
+) {
+    assert_eq!(parse_load_report(value), expected.map(|(left, limit)| LoadReport { left, limit }));
 }
 
 #[rstest]
 #[case("0.3", Some(0.3))]
 #[case("3600", Some(3600.0))]
-#[case("86400", Some(WAIT_MOST))]
-#[case("inf", Some(WAIT_MOST))]
-#[case("1e300", Some(WAIT_MOST))]
+#[case("86400", Some(MAX_RETRY_AFTER_SECS))]
+#[case("inf", Some(MAX_RETRY_AFTER_SECS))]
+#[case("1e300", Some(MAX_RETRY_AFTER_SECS))]
 #[case("0", None)]
 #[case("-2", None)]
 #[case("-inf", None)]
 #[case("NaN", None)]
 #[case("soon", None)]
 #[case("", None)]
-fn a_told_wait_is_bounded(#[case] said: &str, #[case] secs: Option<f64>) {
+fn a_retry_after_is_bounded(#[case] value: &str, #[case] secs: Option<f64>) {
     let mut headers = HeaderMap::new();
-    headers.insert(RETRY_AFTER, said.parse().expect("a header"));
-    assert_eq!(wait(&headers), secs.map(Nanos::from_secs));
-    let outcome = ending(StatusCode::TOO_MANY_REQUESTS, &headers).outcome;
+    headers.insert(RETRY_AFTER, value.parse().expect("a header"));
+    assert_eq!(retry_after(&headers), secs.map(Nanos::from_secs));
+    let outcome = result_of_head(StatusCode::TOO_MANY_REQUESTS, &headers).outcome;
     assert_eq!(outcome, Outcome::Rejected(secs.map(Nanos::from_secs)));
 }
--- a/src/upstream/tests.rs
+++ b/src/upstream/tests.rs
@@ -1,7 +1,8 @@
 //! Connections to an endpoint, in an order that the tests force: the runtime has one thread, so what a test does between
-//! two awaits happens before the connection's task, or the runtime itself, can hear of it.
-use super::platform::no_head;
-use super::pool::{Call, Fault, Pool};
+//! two awaits happens before the connection's task, or the runtime itself, can learn of it.
+use super::connection::UpstreamError;
+use super::platform::head_failed;
+use super::pool::{Call, Pool};
 use crate::settings::Site;
 use crate::{Nanos, Outcome, Settings};
 use http_body_util::Full;
@@ -23,7 +24,7 @@
     Site { module, classes: names(), tenants: names(), zones: names(), kinds: names(), connect_timeout }
 }
 
-async fn call(pool: &Arc<Pool>) -> Result<Call, Fault> {
+async fn call(pool: &Arc<Pool>) -> Result<Call, UpstreamError> {
     let to: Uri = format!("http://{}/v1/messages", pool.address).parse().expect("an address");
     let request = Request::post(to.clone()).body(Full::new("body".into())).expect("a request");
     pool.clone().call(to, || Some(request), Box::new(|_, _| {})).await
@@ -33,46 +34,46 @@
 fn serve_one(listener: TcpListener) -> TcpStream {
     let (mut socket, _) = listener.accept().expect("a connection");
     socket.set_read_timeout(Some(Duration::from_secs(15))).expect("a time-out");
-    let mut heard = Vec::new();
-    while !heard.ends_with(b"body") {
+    let mut received = Vec::new();
+    while !received.ends_with(b"body") {
         let mut byte = [0];
         socket.read_exact(&mut byte).expect("a call");
-        heard.push(byte[0]);
+        received.push(byte[0]);
     }
     socket.write_all(ANSWER).expect("written");
     socket
 }
 
-/// What comes on a connection that stands idle, or its end, in the instant in which it is picked for a call: nothing of
-/// the call is written, it has surely not run, and nothing that came is taken for its answer.
+/// Bytes come on an idle connection, or its end, in the instant in which it is picked for a call: nothing of the call is
+/// written, it has surely not run, and nothing that came is taken for its answer.
 #[rstest]
 #[case::half_a_line(b"HTTP/1.1 20", false)]
 #[case::a_line(b"HTTP/1.1 200 OK\r\n", false)]
 #[case::an_answer(ANSWER, false)]
-#[case::its_end(b"", true)]
-#[case::an_answer_and_its_end(ANSWER, true)]
+#[case::end_of_stream(b"", true)]
+#[case::an_answer_and_end_of_stream(ANSWER, true)]
 #[tokio::test]
 async fn a_call_is_not_written_to_a_connection_that_was_not_quiet(
-    #[case] said: &'static [u8], #[case] ends: bool,
+    #[case] unsolicited: &'static [u8], #[case] ends: bool,
 ) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let pool = Arc::new(Pool::new(&site(), listener.local_addr().expect("its address").to_string()));
     let endpoint = spawn_blocking(move || serve_one(listener));
     let mut first = call(&pool).await.expect("a connection");
-    let (answer, seat) = first.head().await.expect("an answer");
+    let (answer, connection) = first.head().await.expect("an answer");
     drop(answer);
-    seat.settle().await;
+    connection.release_when_ready().await;
     let mut endpoint = endpoint.await.expect("the endpoint");
-    endpoint.write_all(said).expect("written");
+    endpoint.write_all(unsolicited).expect("written");
     if ends {
         endpoint.shutdown(Shutdown::Write).expect("shut");
     }
-    let mut second = call(&pool).await.expect("the connection that stands");
-    let watch = second.watch.clone();
+    let mut second = call(&pool).await.expect("the idle connection");
+    let monitor = second.monitor.clone();
     let head = timeout(Duration::from_secs(5), second.head()).await.expect("it does not wait for an answer");
-    let fault = head.err().expect("no answer");
-    assert!(!watch.says_ok() && !watch.heard());
-    assert_eq!(no_head(&watch, "the endpoint", &fault).outcome, Outcome::Skipped);
+    let error = head.err().expect("no answer");
+    assert!(!monitor.has_status_ok() && !monitor.has_answer_bytes());
+    assert_eq!(head_failed(&monitor, "the endpoint", &error).outcome, Outcome::Skipped);
     drop(second);
     drop(pool);
     let read = spawn_blocking(move || {
--- a/tests/batch.rs
+++ b/tests/batch.rs
@@ -174,8 +174,8 @@
 fn what_waits_for_longer_than_a_payout_s_call_leaves_it_alone() {
     let s = scene(|_, _| Reply::Hold(String::new()));
     s.together(&[("payout", "p"), ("stats", "q")]);
-    s.daemon.wait_log("try ended message=q outcome=Timeout");
-    assert!(!s.daemon.log().contains("try ended message=p"), "a payout may use all of its time");
+    s.daemon.wait_log("attempt ended message=q outcome=Timeout");
+    assert!(!s.daemon.log().contains("attempt ended message=p"), "a payout may use all of its time");
 }
 
 /// A call with several gives its slot up once all of them are called off, and not for one of them.
@@ -203,7 +203,7 @@
     let elsewhere = elsewhere.replace("dest=7", "dest=8");
     assert_eq!(s.daemon.ask(elsewhere.as_bytes()).map(|h| h.status()), Some(202));
     other.wait_id("o");
-    let ended = |id: &str, log: &str| log.contains(&format!("try ended message={id} outcome="));
+    let ended = |id: &str, log: &str| log.contains(&format!("attempt ended message={id} outcome="));
     let log = s.daemon.log();
     assert!(["a", "b", "c"].iter().all(|id| ended(id, &log)), "its slot was free before its call had ended");
 }
--- a/tests/forwarder.rs
+++ b/tests/forwarder.rs
@@ -311,8 +311,8 @@
     assert_eq!(daemon.hand_in("payout", "h1"), 202);
     disco.wait_text("h1");
     assert_eq!(daemon.hand_in("payout", "h2"), 202);
-    daemon.wait_log("told of h2");
-    assert!(!daemon.log().contains("told of h1"));
+    daemon.wait_log("callback acknowledged for h2");
+    assert!(!daemon.log().contains("callback acknowledged for h1"));
 }
 
 /// The connection that served last may have fallen silent: a notice goes out again on a new one, and soon.
@@ -329,7 +329,7 @@
     let daemon = setup(&disco, known).start();
     for id in ["o1", "o2", "o3"] {
         assert_eq!(daemon.hand_in("payout", id), 202);
-        daemon.wait_log(&format!("told of {id}"));
+        daemon.wait_log(&format!("callback acknowledged for {id}"));
     }
     let posts: Vec<_> = disco.heard().into_iter().filter(|h| h.text().contains("o2")).collect();
     assert_eq!(posts.len(), 2, "once on the silent one, once on a new one");
--- a/tests/late.rs
+++ b/tests/late.rs
@@ -36,7 +36,7 @@
         std::thread::yield_now();
     }
     daemon.wait_log("first byte message=b try=0");
-    daemon.wait_log("try ended message=b outcome=Ok");
+    daemon.wait_log("attempt ended message=b outcome=Ok");
 }
 
 /// Serves all calls on this connection, and tells of each.
@@ -81,7 +81,7 @@
     other.wait_id("b");
     assert!(is_quiet(&second), "nothing was sent to the endpoint that drains");
     answer(&first, "200 OK", "");
-    daemon.wait_log("try ended message=a outcome=Ok");
+    daemon.wait_log("attempt ended message=a outcome=Ok");
     daemon.wait_log("first byte message=b try=0");
 }
 
@@ -107,5 +107,5 @@
     };
     assert_eq!(call_b.id(), "b");
     disco.wait_text(r#"{"id":"a","status":"undeliverable"}"#);
-    daemon.wait_log("try ended message=b outcome=Ok");
+    daemon.wait_log("attempt ended message=b outcome=Ok");
 }
--- a/tests/mgmt.rs
+++ b/tests/mgmt.rs
@@ -149,5 +149,5 @@
     let daemon = setup(&disco, known).start();
     let threads = std::fs::read_dir(format!("/proc/{}/task", daemon.pid())).expect("it runs").count();
     assert_eq!(threads, 1, "no thread for them");
-    assert!(!daemon.log().contains("operators' address"));
+    assert!(!daemon.log().contains("management address"));
 }
--- a/tests/stand/mod.rs
+++ b/tests/stand/mod.rs
@@ -593,7 +593,7 @@
 pub fn told_meanwhile(daemon: &Daemon, first: TcpStream, endpoint: &mut Narrow) -> TcpStream {
     let wait = WAIT.as_secs_f64();
     answer(&first, "429 Later", &format!("Retry-After: {wait}\r\nConnection: close\r\n"));
-    daemon.wait_log("try ended message=a outcome=Rejected(Some");
+    daemon.wait_log("attempt ended message=a outcome=Rejected(Some");
     endpoint.open();
     let second = endpoint.accept();
     daemon.wait_log("decided anew message=b");
--- a/tests/waits.rs
+++ b/tests/waits.rs
@@ -36,7 +36,7 @@
     answer(&next, "200 OK", "");
     // The wait begins when it is written; that a call may pass within 100 ms of that is not used here.
     assert!(after >= Duration::from_millis(2390), "b came {after:?} after the wait was told");
-    daemon.wait_log("try ended message=b outcome=Ok");
+    daemon.wait_log("attempt ended message=b outcome=Ok");
 }
 
 fn write(mut socket: &TcpStream, text: &str) -> Instant {
@@ -56,7 +56,7 @@
     if more.is_empty() {
         socket.shutdown(Shutdown::Both).expect("it stood");
     }
-    daemon.wait_log("try ended message=a");
+    daemon.wait_log("attempt ended message=a");
     heeded(&endpoint, &daemon, told);
 }
 
@@ -78,7 +78,7 @@
     // The partner has read all that is sent: the call is given up.
     assert_eq!(socket.read(&mut [0]).expect("no reset"), 0);
     let told = write(&socket, &format!("{WORD}content-length: 0\r\n\r\n"));
-    daemon.wait_log("try ended message=a outcome=Timeout");
+    daemon.wait_log("attempt ended message=a outcome=Timeout");
     daemon.wait_log("told to wait");
     heeded(&endpoint, &daemon, told);
 }
@@ -94,7 +94,7 @@
     let next = endpoint.accept();
     assert_eq!(call(&next).id(), "b");
     answer(&next, "200 OK", "");
-    daemon.wait_log("try ended message=b outcome=Ok");
+    daemon.wait_log("attempt ended message=b outcome=Ok");
     // It was closed some time after it was given up: what is written there comes to nobody.
     let until = Instant::now() + PATIENCE;
     while socket.write_all(b"HTTP").is_ok() {
