--- a/src/backoff.rs
+++ b/src/backoff.rs
@@ -1,64 +1,64 @@
-//! How long to pause before a place that all forwarders ask is asked again: exponential, with jitter and a
-//! cap. Holds no clock; its random numbers come from the seed of the start.
+//! Backoff for a server that all forwarders poll: exponential, with full jitter and a cap. Reads no clock; its random
+//! numbers come from a seed.
+#![warn(missing_docs)]
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 
-/// The window of the first pause: as short as it was when two or three forwarders asked.
-const FIRST: Duration = Duration::from_millis(200);
-/// Asks a second that all forwarders together make of a place that takes none of them. Far under what one that
-/// serves lists takes, so that it comes back under them.
-const ASKS: f64 = 20.0;
-/// The longest window where few ask: the shortest that is of use.
-const LEAST: Duration = Duration::from_secs(1);
+/// The window of the first delay: short, for two or three forwarders.
+const INITIAL_WINDOW: Duration = Duration::from_millis(200);
+/// Polls a second that all forwarders together make of a server that answers none of them. Far below what a server of lists
+/// can answer, so that it recovers under them.
+const MAX_POLLS_PER_SEC: f64 = 20.0;
+/// The longest window where there are few forwarders: shorter ones are of no use.
+const MIN_LONGEST_WINDOW: Duration = Duration::from_secs(1);
 
-/// The pauses of one forwarder.
+/// The delays of one forwarder.
 #[derive(Debug)]
 pub struct Backoff {
     random: StdRng,
+    /// The next delay is a random part of this.
     window: Duration,
     longest_window: Duration,
-    /// The window in which all forwarders ask once.
-    all: Duration,
+    /// The time in which all forwarders poll once, at [`MAX_POLLS_PER_SEC`].
+    poll_period: Duration,
 }
 
 impl Backoff {
-    /// For one of so many forwarders that ask the same place, none of which may pause for longer than `longest`. One alone
-    /// is no herd.
-    pub fn new(forwarders: usize, longest: Duration, seed: u64) -> Backoff {
-        let all = (forwarders.saturating_sub(1) as f64 / ASKS).min(longest.as_secs_f64());
-        let all = Duration::from_secs_f64(all);
+    /// The delays of one of this many forwarders that poll the same server, none longer than `max_delay`. One forwarder alone
+    /// does not wait for others.
+    pub fn new(forwarders: usize, max_delay: Duration, seed: u64) -> Backoff {
+        let others = forwarders.saturating_sub(1) as f64;
+        let poll_period = Duration::from_secs_f64((others / MAX_POLLS_PER_SEC).min(max_delay.as_secs_f64()));
         Backoff {
             random: StdRng::seed_from_u64(seed),
-            window: FIRST,
-            longest_window: (all * 2).max(LEAST).min(longest),
-            all,
+            window: INITIAL_WINDOW,
+            longest_window: (poll_period * 2).max(MIN_LONGEST_WINDOW).min(max_delay),
+            poll_period,
         }
     }
 
-    /// The pause before all forwarders ask a place that has not failed: after a start, or when it has moved.
-    /// Guards a place that they would overrun: those that start together come one by one, within `most`.
-    pub fn initial_delay(&mut self, most: Duration) -> Duration {
-        let all = self.all.min(most);
-        self.part_of(all)
+    /// The delay before the first poll of a server that has not failed: after a start, or when its address has changed. Guards
+    /// a server that all forwarders would overload: those that start together poll one by one, within `max_delay`.
+    pub fn initial_delay(&mut self, max_delay: Duration) -> Duration {
+        self.random_part_of(self.poll_period.min(max_delay))
     }
 
-    /// A random part of this time.
-    fn part_of(&mut self, time: Duration) -> Duration {
-        time.mul_f64(self.random.random::<f64>())
-    }
-
-    /// The next pause. Guards against a herd: any time in the window is as likely, so those that failed at the same
-    /// moment come back spread over it.
+    /// The delay after a failure. Guards against a thundering herd: any time in the window is as likely, so forwarders that
+    /// failed at the same moment come back spread over it.
     pub fn next_delay(&mut self) -> Duration {
-        let pause = self.part_of(self.window);
+        let delay = self.random_part_of(self.window);
         self.window = (self.window * 2).min(self.longest_window);
-        pause
+        delay
     }
 
-    /// It was answered.
+    /// The server has answered: the next delay is short again.
     pub fn reset(&mut self) {
-        self.window = FIRST;
+        self.window = INITIAL_WINDOW;
+    }
+
+    fn random_part_of(&mut self, time: Duration) -> Duration {
+        time.mul_f64(self.random.random::<f64>())
     }
 }
 
--- a/src/backoff/tests.rs
+++ b/src/backoff/tests.rs
@@ -1,73 +1,76 @@
-//! Pauses of many that ask the same place.
+//! Delays of many forwarders that poll the same server.
 use super::*;
 use rstest::rstest;
 
-/// A bound that no herd here reaches.
-const LONG: Duration = Duration::from_secs(30);
+/// A bound that no number of forwarders here reaches.
+const MAX_DELAY: Duration = Duration::from_secs(30);
 
-/// Asks a second over `for_s` seconds of `many` forwarders that fail together, each ask refused at once.
-fn refused(many: usize, longest: Duration, for_s: usize) -> Vec<usize> {
-    let mut asks = vec![0; for_s];
-    for n in 0..many {
-        let mut backoff = Backoff::new(many, longest, n as u64);
+/// Polls a second over `secs` seconds of forwarders that fail together, each poll refused at once.
+fn refused_polls(forwarders: usize, max_delay: Duration, secs: usize) -> Vec<usize> {
+    let mut polls = vec![0; secs];
+    for n in 0..forwarders {
+        let mut backoff = Backoff::new(forwarders, max_delay, n as u64);
         let mut at = backoff.next_delay().as_secs_f64();
-        while at < for_s as f64 {
-            asks[at as usize] += 1;
+        while at < secs as f64 {
+            polls[at as usize] += 1;
             at += backoff.next_delay().as_secs_f64();
         }
     }
-    asks
+    polls
 }
 
 #[rstest]
 #[case::of_100(100, 10)]
 #[case::of_300(300, 30)]
-fn many_that_are_refused_together_thin_out(#[case] many: usize, #[case] after_s: usize) {
-    let asks = refused(many, LONG, after_s + 50);
-    let later = &asks[after_s..];
-    assert!(later.iter().all(|a| *a < 50), "{asks:?}");
+fn polls_of_many_that_are_refused_together_thin_out(#[case] forwarders: usize, #[case] after_secs: usize) {
+    let polls = refused_polls(forwarders, MAX_DELAY, after_secs + 50);
+    let later = &polls[after_secs..];
+    assert!(later.iter().all(|count| *count < 50), "{polls:?}");
     let mean = later.iter().sum::<usize>() / later.len();
     assert!((10..=40).contains(&mean), "{mean} a second: neither a flood nor silence");
 }
 
 #[test]
-fn two_ask_again_soon() {
-    let asks = refused(2, LONG, 60);
-    assert!(asks.iter().sum::<usize>() > 100, "{asks:?}");
-    assert!(asks.iter().all(|a| *a < 30), "{asks:?}");
+fn two_forwarders_poll_again_soon() {
+    let polls = refused_polls(2, MAX_DELAY, 60);
+    assert!(polls.iter().sum::<usize>() > 100, "{polls:?}");
+    assert!(polls.iter().all(|count| *count < 30), "{polls:?}");
 }
 
 #[test]
-fn a_hundred_that_start_together_ask_one_by_one() {
-    let mut asks = [0; 100];
+fn a_hundred_that_start_together_poll_one_by_one() {
+    let mut polls = [0; 100];
     for n in 0..100 {
-        asks[Backoff::new(100, LONG, n).initial_delay(LONG).as_millis() as usize / 50] += 1;
+        polls[Backoff::new(100, MAX_DELAY, n).initial_delay(MAX_DELAY).as_millis() as usize / 50] += 1;
     }
-    assert!(asks.iter().all(|a| *a <= 8), "at most so many in 50 ms: {asks:?}");
-    assert!(Backoff::new(2, LONG, 7).initial_delay(LONG) <= Duration::from_millis(50), "two hardly wait");
-    assert_eq!(Backoff::new(1, LONG, 7).initial_delay(LONG), Duration::ZERO);
+    assert!(polls.iter().all(|count| *count <= 8), "at most so many in 50 ms: {polls:?}");
+    assert!(
+        Backoff::new(2, MAX_DELAY, 7).initial_delay(MAX_DELAY) <= Duration::from_millis(50),
+        "two hardly wait"
+    );
+    assert_eq!(Backoff::new(1, MAX_DELAY, 7).initial_delay(MAX_DELAY), Duration::ZERO);
 }
 
 #[test]
-fn absurd_numbers_of_forwarders_give_bounded_pauses() {
-    for many in [0, 1, 1000, usize::MAX] {
-        let mut backoff = Backoff::new(many, LONG, 7);
-        assert!(backoff.initial_delay(LEAST) <= LEAST);
-        let pauses: Vec<Duration> = (0..100).map(|_| backoff.next_delay()).collect();
-        assert!(pauses.iter().all(|p| *p <= LONG), "{many}: {pauses:?}");
-        assert!(pauses[20..].iter().any(|p| *p > LEAST / 4), "{many}: {pauses:?}");
+fn extreme_numbers_of_forwarders_give_bounded_delays() {
+    for forwarders in [0, 1, 1000, usize::MAX] {
+        let mut backoff = Backoff::new(forwarders, MAX_DELAY, 7);
+        assert!(backoff.initial_delay(MIN_LONGEST_WINDOW) <= MIN_LONGEST_WINDOW);
+        let delays: Vec<Duration> = (0..100).map(|_| backoff.next_delay()).collect();
+        assert!(delays.iter().all(|delay| *delay <= MAX_DELAY), "{forwarders}: {delays:?}");
+        assert!(delays[20..].iter().any(|delay| *delay > MIN_LONGEST_WINDOW / 4), "{forwarders}: {delays:?}");
         backoff.reset();
-        assert!(backoff.next_delay() <= FIRST);
+        assert!(backoff.next_delay() <= INITIAL_WINDOW);
     }
 }
 
-/// What discovery has counts as told a fixed time after it can be reached: no pause is longer than the bound.
+/// The list has to be known a fixed time after discovery can be reached: no delay is longer than the bound.
 #[test]
-fn no_pause_is_longer_than_its_bound() {
-    let longest = Duration::from_millis(2600);
+fn no_delay_is_longer_than_its_bound() {
+    let max_delay = Duration::from_millis(2600);
     for seed in 0..300 {
-        let mut backoff = Backoff::new(300, longest, seed);
-        assert!((0..50).all(|_| backoff.next_delay() <= longest));
-        assert!(backoff.initial_delay(Duration::MAX) <= longest);
+        let mut backoff = Backoff::new(300, max_delay, seed);
+        assert!((0..50).all(|_| backoff.next_delay() <= max_delay));
+        assert!(backoff.initial_delay(Duration::MAX) <= max_delay);
     }
 }
--- a/src/discovery/values/tests.rs
+++ b/src/discovery/list_parser/tests.rs
@@ -1,26 +1,28 @@
-//! What is said, cut anywhere.
+//! What comes on a watch, cut anywhere.
 use super::*;
 use proptest::prelude::*;
 use rstest::rstest;
 
-/// All that is said when the text comes in these pieces.
-fn said<'a>(pieces: impl IntoIterator<Item = &'a [u8]>) -> Result<Vec<Option<u64>>, Endless> {
-    let (mut values, mut said) = (Values::default(), Vec::new());
+/// The events of a text that comes in these pieces: the version of a list, or nothing for a keep-alive.
+fn events<'a>(pieces: impl IntoIterator<Item = &'a [u8]>) -> Result<Vec<Option<u64>>, ListTooLong> {
+    let mut parser = ListParser::default();
+    let mut events = Vec::new();
     for piece in pieces {
-        values.push(piece);
-        while let Some(one) = values.next()? {
-            said.push(match one {
-                Said::Nothing => None,
-                Said::List(update) => Some(update.rev),
+        parser.push(piece);
+        while let Some(event) = parser.next()? {
+            events.push(match event {
+                WatchEvent::KeepAlive => None,
+                WatchEvent::List(update) => Some(update.rev),
             });
         }
-        assert!(values.bytes.len() <= VALUE_MOST + piece.len(), "{} bytes are kept", values.bytes.len());
+        let buffered = parser.bytes.len();
+        assert!(buffered <= MAX_VALUE_BYTES + piece.len(), "{buffered} bytes are buffered");
     }
-    Ok(said)
+    Ok(events)
 }
 
-fn revs(said: Vec<Option<u64>>) -> Vec<u64> {
-    said.into_iter().flatten().collect()
+fn versions(events: Vec<Option<u64>>) -> Vec<u64> {
+    events.into_iter().flatten().collect()
 }
 
 fn list(rev: u64, indent: bool) -> String {
@@ -36,7 +38,7 @@
 
 proptest! {
     #[test]
-    fn lists_are_whole_at_any_cut_indented_or_not_and_with_noise_between(
+    fn lists_are_complete_at_any_cut_indented_or_not_and_with_noise_between(
         parts in prop::collection::vec(0..7u8, 1..8), cuts in prop::collection::vec(1..200usize, 1..12),
     ) {
         let (mut text, mut expected) = (String::new(), Vec::new());
@@ -61,35 +63,35 @@
             pieces.push(piece);
             (rest, at) = (more, at + 1);
         }
-        prop_assert_eq!(revs(said(pieces).expect("an end")), expected);
+        prop_assert_eq!(versions(events(pieces).expect("an end")), expected);
     }
 }
 
 #[rstest]
 #[case::glued(format!("{}{}", list(1, false), list(2, true)), vec![1, 2])]
-#[case::half_then_whole(format!("{}\n{}\n", &list(1, false)[..60], list(2, false)), vec![2])]
-#[case::half_indented_then_whole(format!("{}\n{}\n", &list(1, true)[..60], list(2, true)), vec![2])]
+#[case::half_then_complete(format!("{}\n{}\n", &list(1, false)[..60], list(2, false)), vec![2])]
+#[case::half_indented_then_complete(format!("{}\n{}\n", &list(1, true)[..60], list(2, true)), vec![2])]
 #[case::a_field_too_many(list(3, true).replacen("\"rev\"", "\"more\": [{}], \"rev\"", 1) + "\n", vec![3])]
 #[case::no_text(format!("\u{feff}\n{}", list(4, false)), vec![4])]
-fn odd_texts(#[case] text: String, #[case] expected: Vec<u64>) {
-    assert_eq!(revs(said([text.as_bytes()]).expect("an end")), expected);
-    assert_eq!(revs(said(text.as_bytes().chunks(1)).expect("an end")), expected, "a byte at a time");
+fn unusual_texts_are_read(#[case] text: String, #[case] expected: Vec<u64>) {
+    assert_eq!(versions(events([text.as_bytes()]).expect("an end")), expected);
+    assert_eq!(versions(events(text.as_bytes().chunks(1)).expect("an end")), expected, "a byte at a time");
 }
 
 #[test]
-fn what_never_ends_is_not_kept() {
-    let open = [br#"{"rev":1,"all":true,"targets":["#.as_slice(), &vec![b' '; VALUE_MOST]];
-    assert_eq!(said(open), Err(Endless));
-    // No object: passed over as it comes.
-    let noise = vec![b'x'; VALUE_MOST];
+fn a_value_without_end_is_not_buffered() {
+    let open = [br#"{"rev":1,"all":true,"targets":["#.as_slice(), &vec![b' '; MAX_VALUE_BYTES]];
+    assert_eq!(events(open), Err(ListTooLong));
+    // No object: skipped as it comes.
+    let noise = vec![b'x'; MAX_VALUE_BYTES];
     let end = format!("\n{}", list(9, true));
-    assert_eq!(revs(said([&noise[..], &noise, &noise, end.as_bytes()]).expect("an end")), [9]);
+    assert_eq!(versions(events([&noise[..], &noise, &noise, end.as_bytes()]).expect("an end")), [9]);
 }
 
 #[test]
-fn a_long_list_in_small_pieces_is_read_few_times() {
+fn a_long_list_in_small_pieces_is_parsed_few_times() {
     let target = &list(1, true)[40..200];
-    assert!(!may_end(target.as_bytes()), "{target}");
-    assert!(may_end(b"}\n  ]\n}"), "its end");
-    assert!(may_end(b"}{"), "another one behind it");
+    assert!(!may_end_list(target.as_bytes()), "{target}");
+    assert!(may_end_list(b"}\n  ]\n}"), "its end");
+    assert!(may_end_list(b"}{"), "another one behind it");
 }
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,57 +1,65 @@
-//! The watch on discovery, which fills the upstream group.
+//! The watch on discovery, which fills the endpoint list.
 //!
-//! `follow` keeps the watch open, `timing` bounds its pauses, `values` reads what is said on it as values, not as lines.
-mod follow;
+//! - `watcher`: keeps the watch open
+//! - `timing`: the bound on the list's staleness, and the delays that keep it
+//! - `list_parser`: reads what comes on the watch as JSON values, not as lines
+#![warn(missing_docs)]
+mod list_parser;
 #[cfg(test)]
 mod tests;
 mod timing;
-mod values;
+mod watcher;
 
 use crate::backoff::Backoff;
 use crate::core::Endpoint;
 use crate::exchange::{EndpointUpdate, Exchange};
 use crate::settings::{GroupUpdate, Site, Target};
 use crate::EndpointState;
-use follow::{Follower, Start, Tcp};
 use std::sync::Arc;
+use timing::Pollers;
 use tokio::sync::watch;
+use watcher::{TcpConnector, WatchStart, Watcher};
 
-/// What is known of the list.
+/// What is known of the endpoint list.
 pub struct EndpointListState {
+    /// The version of the list in use.
     pub version: u64,
-    /// It has had a line, so that messages can be sent.
+    /// The list has named an endpoint, so messages can be sent.
     pub can_serve: bool,
-    /// Where the version is told.
+    /// Where the version is published.
     pub published_version: watch::Sender<u64>,
 }
 
-/// Watches for as long as the process runs; each new watch goes on from the version last held.
+/// Watches the list at this address, which may change, for as long as the process runs. Each new watch goes on from the
+/// version in use. `seed` is for the jitter of its backoff.
 pub async fn run(
-    site: Arc<Site>, mut held: EndpointListState, address: watch::Receiver<String>, exchange: Exchange,
+    site: Arc<Site>, mut state: EndpointListState, address: watch::Receiver<String>, exchange: Exchange,
     seed: u64,
 ) {
-    let backoff = Backoff::new(site.askers(), timing::longest_pause(site.askers() > 1), seed);
-    let start = Start { version: held.version, may_wait: held.can_serve, shared: site.askers() > 1 };
-    let follower = Follower::new(Tcp, address, start, backoff);
-    follower
+    let forwarders = site.askers();
+    let pollers = Pollers::of(forwarders);
+    let backoff = Backoff::new(forwarders, pollers.max_backoff(), seed);
+    let start = WatchStart { version: state.version, can_serve: state.can_serve, pollers };
+    let watcher = Watcher::new(TcpConnector, address, start, backoff);
+    watcher
         .run(|update| {
-            take(update, &site, &exchange, &mut held);
-            held.version
+            apply_update(&update, &site, &exchange, &mut state);
+            state.version
         })
         .await;
 }
 
-fn take(update: GroupUpdate, site: &Site, exchange: &Exchange, held: &mut EndpointListState) {
+fn apply_update(update: &GroupUpdate, site: &Site, exchange: &Exchange, state: &mut EndpointListState) {
     // Guards against a discovery that has lost its own list: nothing could be sent at all until it has it back.
-    if held.can_serve && update.all && update.targets.is_empty() {
-        log::warn!("discovery: passed over a whole list without a line; the old one stands");
+    if state.can_serve && update.all && update.targets.is_empty() {
+        log::warn!("discovery: ignored a complete list without endpoints; the old one stays in use");
         return;
     }
-    held.version = update.rev;
-    held.published_version.send_replace(held.version);
-    held.can_serve |= !update.targets.is_empty();
-    log::info!(lines = update.targets.len(); "upstream group: version {}", held.version);
-    let endpoints = endpoints(site, &update);
+    state.version = update.rev;
+    state.published_version.send_replace(state.version);
+    state.can_serve |= !update.targets.is_empty();
+    log::info!(lines = update.targets.len(); "upstream group: version {}", state.version);
+    let endpoints = endpoints(site, update);
     exchange.update_endpoints(match update.all {
         true => EndpointUpdate::Complete(endpoints),
         false => EndpointUpdate::Changes(endpoints),
@@ -60,25 +68,31 @@
 
 /// The endpoints that an update names.
 pub fn endpoints(site: &Site, update: &GroupUpdate) -> Vec<Endpoint> {
-    update.targets.iter().map(|t| member(site, t)).collect()
+    update.targets.iter().map(|target| endpoint(site, target)).collect()
 }
 
-fn member(site: &Site, t: &Target) -> Endpoint {
-    let place = |names: &[String], name: &Option<String>| {
-        names.iter().position(|n| Some(n) == name.as_ref()).unwrap_or(0)
-    };
+fn endpoint(site: &Site, target: &Target) -> Endpoint {
     Endpoint {
-        uid: t.uid.clone(),
-        address: t.endpoint.clone(),
-        zone: place(&site.zones, &t.az),
-        kind: place(&site.kinds, &t.model),
-        dest: t.pod_group,
-        state: match t.state.as_str() {
-            "Ready" => EndpointState::Running,
-            "Gone" => EndpointState::Removed,
-            // Guards drains against words that are not known: nothing new goes where it may not be wanted.
-            _ => EndpointState::Draining,
-        },
-        rate: t.capacity_hint.unwrap_or(0.0),
+        uid: target.uid.clone(),
+        address: target.endpoint.clone(),
+        zone: index_of(&site.zones, target.az.as_ref()),
+        kind: index_of(&site.kinds, target.model.as_ref()),
+        dest: target.pod_group,
+        state: state(&target.state),
+        rate: target.capacity_hint.unwrap_or(0.0),
+    }
+}
+
+/// Where this name stands in the configuration; the first entry for one that is missing or unknown.
+fn index_of(names: &[String], name: Option<&String>) -> usize {
+    names.iter().position(|known| Some(known) == name).unwrap_or(0)
+}
+
+fn state(name: &str) -> EndpointState {
+    match name {
+        "Ready" => EndpointState::Running,
+        "Gone" => EndpointState::Removed,
+        // Guards drains against states that are not known: nothing new is sent where it may not be wanted.
+        _ => EndpointState::Draining,
     }
 }
--- a/src/discovery/timing.rs
+++ b/src/discovery/timing.rs
@@ -1,67 +1,107 @@
-//! How long the list may go without being asked for: one formula over all pauses, delays and time-outs.
+//! The bound on how stale the endpoint list may be, and one formula over all delays and timeouts that keeps it.
 //!
-//! Whatever discovery has to tell counts as told [`TOLD_AFTER`] after a watch fell silent, and so long after discovery
-//! had it and could be reached, whatever became of earlier calls. So from the moment in which an ask is owed, a pause, a
-//! few asks that stay silent, and one that is answered have to fit in: `worst_case`.
+//! A change counts as known [`STALENESS_BOUND`] after a watch fell silent, or after discovery had it and could be reached,
+//! whatever became of earlier polls. So from the moment in which a poll is due, a backoff, a few polls that stay silent, and
+//! one that is answered have to fit in: `worst_case`.
 use std::time::Duration;
 
-/// What a watch has not brought counts as told so long after it fell silent, and what discovery has so long after it
-/// could be reached.
-pub const TOLD_AFTER: Duration = Duration::from_secs(6);
+/// How long after a watch fell silent, or after discovery could be reached, its list has to be known.
+pub(super) const STALENESS_BOUND: Duration = Duration::from_secs(6);
 /// The same after the address of discovery has changed.
-pub const TOLD_AFTER_MOVE: Duration = Duration::from_secs(4);
-/// While nothing changes, a watch says so at this interval.
-pub const KEEPALIVE: Duration = Duration::from_secs(2);
-/// By so much a word may be late before its watch is taken for broken.
-const KEEPALIVE_SLACK: Duration = Duration::from_millis(500);
+pub(super) const MOVE_STALENESS_BOUND: Duration = Duration::from_secs(4);
+/// How often a watch sends an empty line while nothing changes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// How late such a line may be before its watch counts as broken.
+const KEEPALIVE_TOLERANCE: Duration = Duration::from_millis(500);
 
-/// While nothing has been heard, a further watch is opened after this interval; the earlier ones go on.
-pub const ASK_INTERVAL: Duration = Duration::from_secs(1);
-/// So many asks in a row may stay silent, and one more still be answered in time.
-const SILENT_ASKS: u32 = 2;
-/// So long the one that is answered may take: a lost first packet goes out again after a second.
-const ANSWER_WITHIN: Duration = Duration::from_millis(1200);
-/// For this process to act on what it has read, on a core that it shares with others.
-const MARGIN: Duration = Duration::from_millis(200);
-/// An ask that has heard nothing for so long is given up. Bounds how many are under way at once.
-pub const ASK_TIMEOUT: Duration = Duration::from_secs(3);
+/// Interval at which further watches are opened while nothing is received; the earlier ones go on.
+pub(super) const POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Polls in a row that may stay silent with one more still answered in time.
+const MAX_SILENT_POLLS: u32 = 2;
+/// How long the answer to a poll may take: a lost first packet is sent again after a second.
+const POLL_ANSWER_TIME: Duration = Duration::from_millis(1200);
+/// Time for this process to act on what it has read, on a core that it shares with others.
+const PROCESSING_MARGIN: Duration = Duration::from_millis(200);
+/// A poll that has received nothing for this long is given up. Bounds how many are in flight at once.
+pub(super) const POLL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The longest time from the moment in which an ask is owed until its answer has been acted on: it starts after a pause,
-/// and so many asks before the one that is answered stay silent.
-const fn worst_case(pause: Duration, silent_asks: u32) -> Duration {
-    pause
-        .saturating_add(ASK_INTERVAL.saturating_mul(silent_asks))
-        .saturating_add(ANSWER_WITHIN)
-        .saturating_add(MARGIN)
+/// The longest time from the moment in which a poll is due until its answer has been acted on: it starts after a delay, and
+/// this many polls before the one that is answered stay silent.
+const fn worst_case(delay: Duration, silent_polls: u32) -> Duration {
+    delay
+        .saturating_add(POLL_INTERVAL.saturating_mul(silent_polls))
+        .saturating_add(POLL_ANSWER_TIME)
+        .saturating_add(PROCESSING_MARGIN)
 }
 
-/// Silence from which a watch is taken for broken.
-pub const SILENCE: Duration = TOLD_AFTER.saturating_sub(worst_case(Duration::ZERO, SILENT_ASKS));
-/// The longest pause before an ask, at the start and after asks that failed.
-pub const LONGEST_PAUSE: Duration = SILENCE;
-/// The longest pause before the first ask at a new address.
-pub const LONGEST_MOVE_PAUSE: Duration = TOLD_AFTER_MOVE.saturating_sub(worst_case(Duration::ZERO, 1));
+/// Silence after which a watch counts as broken.
+pub(super) const SILENCE_TIMEOUT: Duration =
+    STALENESS_BOUND.saturating_sub(worst_case(Duration::ZERO, MAX_SILENT_POLLS));
+/// The longest delay before a poll, at the start and after polls that failed.
+pub(super) const MAX_BACKOFF: Duration = SILENCE_TIMEOUT;
+/// The longest delay before the first poll at a new address.
+pub(super) const MAX_MOVE_DELAY: Duration =
+    MOVE_STALENESS_BOUND.saturating_sub(worst_case(Duration::ZERO, 1));
 
-/// Where several forwarders ask one place on request, the bounds are longer than the formula allows, and known to be: with
-/// pauses inside it a hundred asked more often than their discovery could answer, which then answered nobody
-/// (docs/design/terms.md). The longest spread of their first asks, of those after a move, and the longest pause.
-pub const SHARED_FIRST_PAUSE: Duration = Duration::from_secs(5);
-pub const SHARED_MOVE_PAUSE: Duration = Duration::from_secs(3);
-pub const SHARED_LONGEST_PAUSE: Duration = Duration::from_secs(30);
+/// Over how long many forwarders spread their first polls.
+///
+/// Where many poll one discovery server, these bounds are longer than the formula allows, and known to be: with delays inside
+/// it a hundred polled more often than their discovery could answer, which then answered nobody (docs/design/terms.md).
+pub(super) const SHARED_START_SPREAD: Duration = Duration::from_secs(5);
+/// Over how long many forwarders spread their first polls at a new address.
+pub(super) const SHARED_MOVE_SPREAD: Duration = Duration::from_secs(3);
+/// The longest backoff where many forwarders poll one server.
+const SHARED_MAX_BACKOFF: Duration = Duration::from_secs(30);
 
-/// The longest pause of a forwarder.
-pub fn longest_pause(shared: bool) -> Duration {
-    if shared {
-        SHARED_LONGEST_PAUSE
-    } else {
-        LONGEST_PAUSE
+/// How many forwarders poll the same discovery server.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Pollers {
+    /// This forwarder alone, whose list is pushed to an agent beside it.
+    One,
+    /// Several, which must not poll at the same moment.
+    Many,
+}
+
+impl Pollers {
+    /// For this number of forwarders.
+    pub(super) fn of(forwarders: usize) -> Pollers {
+        if forwarders > 1 {
+            Pollers::Many
+        } else {
+            Pollers::One
+        }
+    }
+
+    /// The longest backoff of one of them.
+    pub(super) fn max_backoff(self) -> Duration {
+        match self {
+            Pollers::One => MAX_BACKOFF,
+            Pollers::Many => SHARED_MAX_BACKOFF,
+        }
+    }
+
+    /// The longest delay before the first poll after a start.
+    pub(super) fn max_start_delay(self) -> Duration {
+        match self {
+            Pollers::One => MAX_BACKOFF,
+            Pollers::Many => SHARED_START_SPREAD,
+        }
+    }
+
+    /// The longest delay before the first poll at a new address.
+    pub(super) fn max_move_delay(self) -> Duration {
+        match self {
+            Pollers::One => MAX_MOVE_DELAY,
+            Pollers::Many => SHARED_MOVE_SPREAD,
+        }
     }
 }
 
-const _: () = assert!(worst_case(SILENCE, SILENT_ASKS).as_millis() <= TOLD_AFTER.as_millis());
-const _: () = assert!(worst_case(LONGEST_PAUSE, SILENT_ASKS).as_millis() <= TOLD_AFTER.as_millis());
-const _: () = assert!(worst_case(LONGEST_MOVE_PAUSE, 1).as_millis() <= TOLD_AFTER_MOVE.as_millis());
+const _: () =
+    assert!(worst_case(SILENCE_TIMEOUT, MAX_SILENT_POLLS).as_millis() <= STALENESS_BOUND.as_millis());
+const _: () = assert!(worst_case(MAX_BACKOFF, MAX_SILENT_POLLS).as_millis() <= STALENESS_BOUND.as_millis());
+const _: () = assert!(worst_case(MAX_MOVE_DELAY, 1).as_millis() <= MOVE_STALENESS_BOUND.as_millis());
 const _: () = assert!(
-    SILENCE.as_millis() >= KEEPALIVE.saturating_add(KEEPALIVE_SLACK).as_millis(),
-    "a word may be late"
+    SILENCE_TIMEOUT.as_millis() >= KEEPALIVE_INTERVAL.saturating_add(KEEPALIVE_TOLERANCE).as_millis(),
+    "a keep-alive line may be late"
 );
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -46,7 +46,7 @@
     let endpoint = Server::always("200 OK");
     let disco = discovery(list(3, &[]));
     let daemon = setup(&disco, list(1, &[(7, endpoint.addr)])).start();
-    daemon.wait_log("the old one stands");
+    daemon.wait_log("the old one stays in use");
     assert_eq!(daemon.hand_in("stats", "still"), 202);
     endpoint.wait_id("still");
 }
@@ -145,7 +145,7 @@
         (false, _) => say("204 No Content", "", ""),
     });
     let daemon = setup(&disco, known).start();
-    daemon.wait_log("a list without end");
+    daemon.wait_log("endpoint list longer than");
     assert_eq!(daemon.hand_in("stats", "meanwhile"), 202);
     old.wait_id("meanwhile");
     daemon.wait_log("upstream group: version 3");
