--- a/src/callbacks.rs
+++ b/src/callbacks.rs
@@ -85,7 +85,11 @@
     delivery.run().await;
     for callback in &batch {
         let elapsed_ms = started.elapsed().as_millis();
-        log::debug!("callback acknowledged for {}: {:?}, after {elapsed_ms} ms", callback.name, callback.end);
+        log::debug!(
+            "callback acknowledged for {}: {:?}, after {elapsed_ms} ms",
+            callback.name,
+            callback.completion
+        );
         exchange.callback_acknowledged(callback.id);
     }
 }
@@ -206,7 +210,7 @@
 /// A callback as one line of the request's body (newline-delimited JSON).
 fn to_json_line(callback: &Callback) -> String {
     let id = miniserde::json::to_string(&callback.name);
-    match callback.end {
+    match callback.completion {
         Completion::Deferred(Some(ms)) => {
             format!("{{\"id\":{id},\"status\":\"deferred\",\"again_ms\":{ms}}}\n")
         }
--- a/src/core/takeover.rs
+++ b/src/core/takeover.rs
@@ -91,11 +91,11 @@
         self.take_out(id);
         let how = match outcome {
             Outcome::Ok => LateOutcome::Delivered,
-            _ if over => LateOutcome::Over,
+            _ if over => LateOutcome::Final,
             outcome if outcome.never_ran() => LateOutcome::NeverRan,
             _ => LateOutcome::MayHaveRun,
         };
-        sent.then_some(Record::LateOutcome { id: id.0, at, how })
+        sent.then_some(Record::LateOutcome { id: id.0, at, outcome: how })
     }
 
     /// A wait that was told after the journal was let go.
@@ -111,7 +111,7 @@
     pub(super) fn leave_to_elder(&mut self, ids: &[MessageId]) {
         self.elders.out.extend(ids);
         for id in ids {
-            if let Some(key) = self.held.get(id).and_then(|h| h.context.key) {
+            if let Some(key) = self.held.get(id).and_then(|h| h.context.ordering_key) {
                 self.elders.behind.entry(key).or_default();
                 self.elders.keys.insert(*id, key);
             }
@@ -121,7 +121,7 @@
 
     /// Whether the module hears of this message only later, since one of its key is still out at the elder.
     pub(super) fn stands_behind(&mut self, id: MessageId) -> bool {
-        let key = self.held.get(&id).and_then(|h| h.context.key);
+        let key = self.held.get(&id).and_then(|h| h.context.ordering_key);
         let Some(line) = key.and_then(|k| self.elders.behind.get_mut(&k)) else { return false };
         line.push(id);
         true
@@ -131,7 +131,9 @@
     pub(super) fn elder_said(&mut self, records: Vec<Record>) {
         for record in records {
             match record {
-                Record::LateOutcome { id, at, how } => self.elder_ended(MessageId(id), Some(at), how),
+                Record::LateOutcome { id, at, outcome: how } => {
+                    self.elder_ended(MessageId(id), Some(at), how)
+                }
                 Record::Observed { uid, at, kind, values } => self.elder_saw(&uid, Nanos(at), kind, values),
                 // Nothing else belongs there.
                 other => log::warn!("passed over what the process before left: {other:?}"),
@@ -157,7 +159,7 @@
         let context = h.context.clone();
         log::debug!(message = context.name, how:?; "heard of a call of the process before");
         let may_have_run = match how {
-            LateOutcome::Delivered | LateOutcome::Over => {
+            LateOutcome::Delivered | LateOutcome::Final => {
                 self.ran(id, true);
                 let end = if how == LateOutcome::Delivered {
                     self.delivered(&context)
--- a/src/discovery/list_parser.rs
+++ b/src/discovery/list_parser.rs
@@ -1,6 +1,6 @@
 //! Cuts what discovery sends into values as they come: lists, over one line or many, and the empty lines between them.
 //! Works wherever the bytes are cut. What is no list is skipped, up to the end of its line; memory is bounded.
-use crate::settings::GroupUpdate;
+use crate::settings::EndpointListUpdate;
 use serde::de::IgnoredAny;
 use serde_json::{Deserializer, Error};
 
@@ -19,7 +19,7 @@
     /// An empty line: nothing has changed.
     KeepAlive,
     /// The list, or changes of it.
-    List(GroupUpdate),
+    List(EndpointListUpdate),
 }
 
 /// What one step through the bytes came to.
@@ -92,7 +92,7 @@
     }
 
     fn parse_list(&mut self) -> Step {
-        let mut stream = Deserializer::from_slice(&self.bytes).into_iter::<GroupUpdate>();
+        let mut stream = Deserializer::from_slice(&self.bytes).into_iter::<EndpointListUpdate>();
         let parsed = stream.next();
         let length = stream.byte_offset();
         match parsed {
--- a/src/discovery/list_parser/tests.rs
+++ b/src/discovery/list_parser/tests.rs
@@ -12,7 +12,7 @@
         while let Some(event) = parser.next()? {
             events.push(match event {
                 WatchEvent::KeepAlive => None,
-                WatchEvent::List(update) => Some(update.rev),
+                WatchEvent::List(update) => Some(update.revision),
             });
         }
         let buffered = parser.bytes.len();
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -13,7 +13,7 @@
 use crate::backoff::Backoff;
 use crate::core::Endpoint;
 use crate::exchange::{EndpointUpdate, Exchange};
-use crate::settings::{GroupUpdate, Site, Target};
+use crate::settings::{DeploymentSettings, EndpointListUpdate, ListedEndpoint};
 use crate::EndpointState;
 use std::sync::Arc;
 use timing::Pollers;
@@ -33,10 +33,10 @@
 /// Watches the list at this address, which may change, for as long as the process runs. Each new watch goes on from the
 /// version in use. `seed` is for the jitter of its backoff.
 pub async fn run(
-    site: Arc<Site>, mut state: EndpointListState, address: watch::Receiver<String>, exchange: Exchange,
-    seed: u64,
+    site: Arc<DeploymentSettings>, mut state: EndpointListState, address: watch::Receiver<String>,
+    exchange: Exchange, seed: u64,
 ) {
-    let forwarders = site.askers();
+    let forwarders = site.polling_forwarders();
     let pollers = Pollers::of(forwarders);
     let backoff = Backoff::new(forwarders, pollers.max_backoff(), seed);
     let start = WatchStart { version: state.version, can_serve: state.can_serve, pollers };
@@ -49,37 +49,40 @@
         .await;
 }
 
-fn apply_update(update: &GroupUpdate, site: &Site, exchange: &Exchange, state: &mut EndpointListState) {
+fn apply_update(
+    update: &EndpointListUpdate, site: &DeploymentSettings, exchange: &Exchange,
+    state: &mut EndpointListState,
+) {
     // Guards against a discovery that has lost its own list: nothing could be sent at all until it has it back.
-    if state.can_serve && update.all && update.targets.is_empty() {
+    if state.can_serve && update.complete && update.endpoints.is_empty() {
         log::warn!("discovery: ignored a complete list without endpoints; the old one stays in use");
         return;
     }
-    state.version = update.rev;
+    state.version = update.revision;
     state.published_version.send_replace(state.version);
-    state.can_serve |= !update.targets.is_empty();
-    log::info!(lines = update.targets.len(); "upstream group: version {}", state.version);
+    state.can_serve |= !update.endpoints.is_empty();
+    log::info!(lines = update.endpoints.len(); "upstream group: version {}", state.version);
     let endpoints = endpoints(site, update);
-    exchange.update_endpoints(match update.all {
+    exchange.update_endpoints(match update.complete {
         true => EndpointUpdate::Complete(endpoints),
         false => EndpointUpdate::Changes(endpoints),
     });
 }
 
 /// The endpoints that an update names.
-pub fn endpoints(site: &Site, update: &GroupUpdate) -> Vec<Endpoint> {
-    update.targets.iter().map(|target| endpoint(site, target)).collect()
+pub fn endpoints(site: &DeploymentSettings, update: &EndpointListUpdate) -> Vec<Endpoint> {
+    update.endpoints.iter().map(|listed| endpoint(site, listed)).collect()
 }
 
-fn endpoint(site: &Site, target: &Target) -> Endpoint {
+fn endpoint(site: &DeploymentSettings, listed: &ListedEndpoint) -> Endpoint {
     Endpoint {
-        uid: target.uid.clone(),
-        address: target.endpoint.clone(),
-        zone: index_of(&site.zones, target.az.as_ref()),
-        kind: index_of(&site.kinds, target.model.as_ref()),
-        dest: target.pod_group,
-        state: state(&target.state),
-        rate: target.capacity_hint.unwrap_or(0.0),
+        uid: listed.uid.clone(),
+        address: listed.address.clone(),
+        zone: index_of(&site.zones, listed.zone.as_ref()),
+        kind: index_of(&site.kinds, listed.kind.as_ref()),
+        dest: listed.destination,
+        state: state(&listed.state),
+        rate: listed.rate.unwrap_or(0.0),
     }
 }
 
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -130,8 +130,8 @@
     let known = Arc::new(Mutex::new(Vec::new()));
     let seen = known.clone();
     let watcher = Watcher::new(stand_in, address, start, backoff).run(move |update| {
-        seen.lock().expect("lock").push((update.rev, begun.elapsed()));
-        update.rev
+        seen.lock().expect("lock").push((update.revision, begun.elapsed()));
+        update.revision
     });
     let watching = tokio::spawn(watcher);
     if let Some(at) = moves_at {
--- a/src/discovery/watcher.rs
+++ b/src/discovery/watcher.rs
@@ -3,7 +3,7 @@
 use super::list_parser::{ListParser, ListTooLong, WatchEvent};
 use super::timing::{Pollers, POLL_INTERVAL, POLL_TIMEOUT, SILENCE_TIMEOUT};
 use crate::backoff::Backoff;
-use crate::settings::GroupUpdate;
+use crate::settings::EndpointListUpdate;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
 use hyper::body::Incoming;
@@ -127,7 +127,7 @@
 
     /// Follows the list for as long as the process runs. `apply` applies each update and returns the version in use from then
     /// on; each new watch goes on from that.
-    pub(super) async fn run(mut self, mut apply: impl FnMut(GroupUpdate) -> u64) {
+    pub(super) async fn run(mut self, mut apply: impl FnMut(EndpointListUpdate) -> u64) {
         loop {
             match self.next_event().await {
                 WatcherEvent::AddressChanged => self.address_changed(),
--- a/src/exchange/command.rs
+++ b/src/exchange/command.rs
@@ -1,7 +1,7 @@
 //! The messages of the exchange: commands to its task, and commands from it to the server side.
 use crate::core::{Answer, Attempt, Endpoint, EndpointObservation, Input, SuspensionResult};
 use crate::request::RequestContext;
-use crate::takeover::Late;
+use crate::takeover::LateOutcomeWriter;
 use crate::{EndpointId, LoadReport, MessageId, Outcome};
 use bytes::Bytes;
 use tokio::sync::oneshot;
@@ -25,7 +25,7 @@
     /// Whether client connections stay open.
     SetClientConnections(ClientConnections),
     /// The journal belongs to another process from now on; outcomes of calls in flight go to `late`.
-    ReleaseJournal { late: Late, reply: oneshot::Sender<()> },
+    ReleaseJournal { late: LateOutcomeWriter, reply: oneshot::Sender<()> },
 }
 
 /// An update of the endpoint list.
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -23,7 +23,7 @@
 use crate::journal::Record;
 use crate::metrics::Metrics;
 use crate::request::RequestContext;
-use crate::takeover::Late;
+use crate::takeover::LateOutcomeWriter;
 use crate::{DestinationId, EndpointId, MessageId, Nanos};
 use bytes::Bytes;
 use command::Command;
@@ -78,11 +78,11 @@
 
     /// Applies an update of the endpoint list.
     pub fn update_endpoints(&self, update: EndpointUpdate) {
-        let (complete, members) = match update {
+        let (complete, endpoints) = match update {
             EndpointUpdate::Complete(endpoints) => (true, endpoints),
             EndpointUpdate::Changes(endpoints) => (false, endpoints),
         };
-        self.send(Command::Input(Input::Endpoints { complete, members }));
+        self.send(Command::Input(Input::Endpoints { complete, endpoints }));
     }
 
     /// Whether an attempt that has its connection may still be sent. Every transport asks once, right before the first byte:
@@ -131,7 +131,7 @@
 
     /// The metrics for operators. They are counted from the first call on.
     pub fn metrics(&self) -> Arc<Metrics> {
-        self.core.lock().metrics(clock::now())
+        self.core.lock().enable_metrics(clock::now())
     }
 
     /// Registers an attempt that waits for the asynchronous AS2 receipt (MDN) of this message, which arrives on a client
@@ -159,7 +159,7 @@
 
     /// Releases the journal to a successor, and writes to `late` what this process knows and what becomes of its calls in
     /// flight. Once this returns, it does not write the journal, accepts no request and starts no attempt.
-    pub async fn release_journal(&self, late: Late) {
+    pub async fn release_journal(&self, late: LateOutcomeWriter) {
         // Where the task has ended there is nothing left to release.
         let _ = self.request(|reply| Command::ReleaseJournal { late, reply }).await;
     }
--- a/src/exchange/task.rs
+++ b/src/exchange/task.rs
@@ -6,7 +6,7 @@
 use super::{AttemptId, Outputs};
 use crate::clock;
 use crate::core::{Answer, Callback, Core, Input, Output, SuspensionResult};
-use crate::takeover::Late;
+use crate::takeover::LateOutcomeWriter;
 use crate::MessageId;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -53,7 +53,7 @@
     as2_receipts: UnboundedSender<Callback>,
     close_signal: watch::Sender<bool>,
     /// Set once the journal belongs to another process: outcomes of calls in flight go here.
-    late: Option<Late>,
+    late: Option<LateOutcomeWriter>,
     /// Applied after all inputs of their step, an endpoint list among them, so that they find the endpoints it adds.
     suspensions: Vec<SuspensionRequest>,
     shutdown: Option<Shutdown>,
@@ -201,12 +201,14 @@
     }
 
     /// Releases the journal. Inputs that came before are applied first, while it still belongs to this process.
-    fn release_journal(&mut self, mut late: Late, reply: oneshot::Sender<()>, inputs: &mut Vec<Input>) {
+    fn release_journal(
+        &mut self, mut late: LateOutcomeWriter, reply: oneshot::Sender<()>, inputs: &mut Vec<Input>,
+    ) {
         let now = clock::now();
         let outputs = self.core.lock().step(now, std::mem::take(inputs));
         inputs.extend(self.execute(outputs));
         for record in self.core.lock().release_journal(now) {
-            late.add(&record);
+            late.append(&record);
         }
         self.late = Some(late);
         let _ = reply.send(());
@@ -258,7 +260,7 @@
 
 /// Applies inputs once the journal belongs to another process: outcomes and retry-after times go to `late`, and requests
 /// are rejected.
-fn after_release(core: &mut Core, late: &mut Late, inputs: Vec<Input>) -> Vec<Output> {
+fn after_release(core: &mut Core, late: &mut LateOutcomeWriter, inputs: Vec<Input>) -> Vec<Output> {
     let now = clock::now();
     let mut outputs = Vec::new();
     for input in inputs {
@@ -268,11 +270,11 @@
             }
             Input::AttemptEnded { id, attempt, outcome, over, .. } => {
                 let record = core.late_outcome(id, attempt, outcome, over);
-                record.iter().for_each(|record| late.add(record));
+                record.iter().for_each(|record| late.append(record));
             }
             Input::RetryAfter { host, wait, .. } => {
                 let record = core.late_retry_after(now, host, wait);
-                record.iter().for_each(|record| late.add(record));
+                record.iter().for_each(|record| late.append(record));
             }
             // The successor learns of these itself.
             Input::Endpoints { .. }
--- a/src/mgmt.rs
+++ b/src/mgmt.rs
@@ -115,7 +115,7 @@
         Some(serving) => serving.metrics,
         None => server.empty_metrics.clone(),
     };
-    let text = miniserde::json::to_string(&metrics.show());
+    let text = miniserde::json::to_string(&metrics.snapshot());
     ([(CONTENT_TYPE, "application/json")], text).into_response()
 }
 
--- a/src/peers/look.rs
+++ b/src/peers/inspect.rs
@@ -1,10 +1,10 @@
 //! `micaladder fleet`: asks a member for its view of the fleet, on the connection that members use and with a certificate
 //! of the same kind.
-use super::dial::Dial;
-use super::link::{self, End, Me};
-use super::trust::{Files, Trust};
+use super::connect::Connector;
+use super::credentials::{CredentialFiles, Credentials};
+use super::session::{self, LocalIdentity, SessionEnd};
 use crate::flags;
-use crate::fleet::view::View;
+use crate::fleet::view::FleetView;
 use std::io::Write;
 use std::net::{IpAddr, Ipv4Addr};
 use std::process::ExitCode;
@@ -16,14 +16,23 @@
 const NOBODY: u8 = 3;
 
 /// What of a view is news to one who watches: not its ages.
-fn gist(view: &View) -> impl PartialEq {
+fn gist(view: &FleetView) -> impl PartialEq {
     let lines = view.members.iter().map(|m| {
-        (m.name.clone(), m.address.clone(), m.life, m.state, m.counts, m.config.clone(), m.list, m.epoch)
+        (
+            m.name.clone(),
+            m.address.clone(),
+            m.incarnation,
+            m.state,
+            m.counted,
+            m.settings_digest.clone(),
+            m.list_version,
+            m.settings_epoch,
+        )
     });
-    (view.of.clone(), view.digest.clone(), view.agreed, view.side, lines.collect::<Vec<_>>())
+    (view.observer.clone(), view.digest.clone(), view.agreed, view.side, lines.collect::<Vec<_>>())
 }
 
-fn text(view: &View, json: bool) -> String {
+fn text(view: &FleetView, json: bool) -> String {
     match json {
         // Writing it to memory fails for no view.
         true => serde_json::to_string(view).unwrap_or_default() + "\n",
@@ -32,8 +41,8 @@
 }
 
 /// Shows the fleet once, or each time that it has changed.
-pub async fn run(flags: &flags::Look, watch: Option<Duration>) -> ExitCode {
-    let trust = match Files::of(&flags.papers).map(Trust::new) {
+pub async fn run(flags: &flags::FleetQueryFlags, watch: Option<Duration>) -> ExitCode {
+    let trust = match CredentialFiles::from_flags(&flags.identity).map(Credentials::new) {
         Some(Ok(trust)) => Arc::new(trust),
         Some(Err(fault)) => {
             eprintln!("{fault}");
@@ -41,14 +50,14 @@
         }
         None => return ExitCode::from(WRONG_FLAGS),
     };
-    let me = Me { name: "fleet".into(), group: flags.papers.group.clone(), fleet: None };
-    let dial = Dial { from: IpAddr::V4(Ipv4Addr::UNSPECIFIED), trust, me };
+    let me = LocalIdentity { name: "fleet".into(), group: flags.identity.group.clone(), fleet: None };
+    let dial = Connector { from: IpAddr::V4(Ipv4Addr::UNSPECIFIED), trust, me };
     let (mut last, mut agreed) = (None, None);
     let mut shut = false;
     loop {
         let mut why = Vec::new();
         for at in &flags.ask {
-            let take = |view: View| {
+            let take = |view: FleetView| {
                 let fresh = gist(&view);
                 if last.as_ref() != Some(&fresh) {
                     // A pipe that is closed wants no more.
@@ -58,10 +67,10 @@
                 watch.is_some() && !shut
             };
             let asked =
-                async { link::look(dial.to(*at).await?, &dial.me, take, watch.unwrap_or_default()).await };
+                async { session::look(dial.to(*at).await?, &dial.me, take, watch.unwrap_or_default()).await };
             match asked.await {
                 Ok(()) => break,
-                Err(End::Over(e) | End::Shun(e)) => why.push(format!("{at}: {e}")),
+                Err(SessionEnd::Closed(e) | SessionEnd::Rejected(e)) => why.push(format!("{at}: {e}")),
             }
         }
         let ends = watch.is_none() || shut || agreed.is_none();
--- a/src/upstream/as2.rs
+++ b/src/upstream/as2.rs
@@ -2,9 +2,9 @@
 use super::connection::UpstreamRequest;
 use super::platform::{self, CallKind};
 use super::pool::Pool;
-use crate::as2::mdn::{self, Meaning};
+use crate::as2::mdn::{self, DispositionOutcome};
 use crate::as2::smime::{self, Entity};
-use crate::as2::{Book, Partner};
+use crate::as2::{As2Settings, Partner};
 use crate::core::Attempt;
 use crate::exchange::{AttemptResult, Exchange};
 use crate::Outcome;
@@ -35,10 +35,10 @@
 
 /// Makes the call and waits for its receipt. Dropping this future cancels it, which closes its connection.
 pub(super) async fn call(
-    pool: Arc<Pool>, attempt: &Attempt, book: &Book, partner: &Partner, exchange: &Exchange,
+    pool: Arc<Pool>, attempt: &Attempt, settings: &As2Settings, partner: &Partner, exchange: &Exchange,
 ) -> AttemptResult {
-    let id = message_id(&attempt.context.name, &book.name);
-    let SignedRequest { request, mic } = match encode(attempt, book, partner, &id) {
+    let id = message_id(&attempt.context.name, &settings.name);
+    let SignedRequest { request, mic } = match encode(attempt, settings, partner, &id) {
         Ok(signed) => signed,
         Err(e) => {
             log::error!("AS2: message {id} to {} cannot be encoded: {e}", partner.name);
@@ -62,7 +62,7 @@
     if !head.status.is_success() {
         return platform::result_of_head(head.status, &head.headers);
     }
-    let receipt = if partner.later {
+    let receipt = if partner.is_mdn_asynchronous() {
         later_receipt.await.unwrap_or_default()
     } else {
         let Ok(body) = Limited::new(body, MAX_RECEIPT_BYTES).collect().await else {
@@ -72,7 +72,7 @@
         let _ = timeout(platform::COMPLETION_GRACE_PERIOD, connection.release_when_ready()).await;
         into_mime_entity(&head.headers, &body.to_bytes())
     };
-    result_of_receipt(&receipt, &id, &mic, book, partner)
+    result_of_receipt(&receipt, &id, &mic, settings, partner)
 }
 
 /// A body as one MIME entity, its content type in front.
@@ -81,54 +81,65 @@
     [format!("Content-Type: {content_type}\r\n\r\n").as_bytes(), body].concat().into()
 }
 
-fn encode(attempt: &Attempt, book: &Book, partner: &Partner, id: &str) -> Result<SignedRequest, EncodeError> {
+fn encode(
+    attempt: &Attempt, settings: &As2Settings, partner: &Partner, id: &str,
+) -> Result<SignedRequest, EncodeError> {
     let mut part =
         b"Content-Type: application/octet-stream\r\nContent-Transfer-Encoding: binary\r\n\r\n".to_vec();
     part.extend_from_slice(&attempt.context.body);
-    let mic = smime::mic(&part);
-    let signed = smime::sign(&part, &book.me)?;
+    let mic = smime::message_integrity_check(&part);
+    let signed = smime::sign(&part, &settings.identity)?;
     let entity = if partner.encrypt { smime::encrypt(&signed, &partner.certificate)? } else { signed };
     let Entity { content_type, body } = entity;
     let mut request = Request::post(&partner.url)
         .header("as2-version", "1.2")
-        .header("as2-from", &book.name)
+        .header("as2-from", &settings.name)
         .header("as2-to", &partner.name)
         .header("message-id", id)
         .header("mime-version", "1.0")
         .header("subject", "message")
         .header(CONTENT_TYPE, content_type)
-        .header("disposition-notification-to", &book.receipt_url)
+        .header("disposition-notification-to", &settings.mdn_url)
         .header(
             "disposition-notification-options",
             "signed-receipt-protocol=required, pkcs7-signature; signed-receipt-micalg=required, sha-256",
         );
-    if partner.later {
-        request = request.header("receipt-delivery-option", &book.receipt_url);
+    if partner.is_mdn_asynchronous() {
+        request = request.header("receipt-delivery-option", &settings.mdn_url);
     }
     Ok(SignedRequest { request: request.body(Full::new(body.into()))?, mic })
 }
 
 /// Only a receipt that the partner signed, for this message and with its digest, is a delivery.
-fn result_of_receipt(text: &[u8], id: &str, mic: &str, book: &Book, partner: &Partner) -> AttemptResult {
+fn result_of_receipt(
+    text: &[u8], id: &str, mic: &str, settings: &As2Settings, partner: &Partner,
+) -> AttemptResult {
     let failed = |reason: &str, outcome: Outcome| {
         log::warn!("AS2: message {id} to {}: {reason}", partner.name);
         AttemptResult::from(outcome)
     };
-    let Some(entity) = smime::split(text) else { return failed("no receipt came", Outcome::Error) };
-    let part = match smime::open(entity, &book.me, &partner.certificate) {
+    let Some(entity) = smime::parse_entity(text) else { return failed("no receipt came", Outcome::Error) };
+    let part = match smime::decrypt_and_verify(entity, &settings.identity, &partner.certificate) {
         Ok(part) => part,
-        Err(why) => return failed(&format!("its receipt is not good: {}", why.words()), Outcome::Error),
+        Err(why) => {
+            return failed(
+                &format!("its receipt is not good: {}", why.disposition_modifier()),
+                Outcome::Error,
+            )
+        }
     };
-    let Some(receipt) = mdn::read(&part) else {
+    let Some(receipt) = mdn::parse(&part) else {
         return failed("its receipt cannot be read", Outcome::Error);
     };
-    if receipt.message != id {
+    if receipt.original_message_id != id {
         return failed("its receipt is for another message", Outcome::Error);
     }
-    match receipt.meaning() {
-        Meaning::Processed if receipt.mic.as_deref() == Some(mic) => Outcome::Ok.into(),
-        Meaning::Processed => failed("its receipt has another digest", Outcome::Error),
-        Meaning::NeverRan => failed(&receipt.disposition, Outcome::Rejected(None)),
-        Meaning::MayHaveRun => failed(&receipt.disposition, Outcome::Error),
+    match receipt.outcome() {
+        DispositionOutcome::Processed if receipt.received_content_mic.as_deref() == Some(mic) => {
+            Outcome::Ok.into()
+        }
+        DispositionOutcome::Processed => failed("its receipt has another digest", Outcome::Error),
+        DispositionOutcome::NotProcessed => failed(&receipt.disposition, Outcome::Rejected(None)),
+        DispositionOutcome::MayBeProcessed => failed(&receipt.disposition, Outcome::Error),
     }
 }
--- a/src/upstream/batch.rs
+++ b/src/upstream/batch.rs
@@ -99,13 +99,13 @@
         let expired: Vec<Pending<'_>> = self.pending.extract_if(.., |p| p.deadline <= now).collect();
         // Guards the order by key: the next message of an expired one may not be sent while the call is still in flight on an
         // open connection.
-        let has_ordering_key = expired.iter().any(|pending| pending.attempt.context.key.is_some());
+        let has_ordering_key = expired.iter().any(|pending| pending.attempt.context.ordering_key.is_some());
         for pending in expired {
             report(self.exchange, pending.attempt, Outcome::Timeout.into());
         }
         // Guards messages that must not run twice: cancelling the call forfeits them, so the deadline of another is no reason
         // to.
-        let must_go_on = self.pending.iter().any(|pending| pending.attempt.once);
+        let must_go_on = self.pending.iter().any(|pending| pending.attempt.at_most_once);
         let is_finished = has_ordering_key || !must_go_on;
         if is_finished {
             self.end_all(Outcome::Cancelled);
@@ -213,7 +213,7 @@
     let mut body = BytesMut::new();
     for attempt in attempts {
         let context = &attempt.context;
-        let key = if context.repeat_key.is_empty() { "-" } else { &context.repeat_key };
+        let key = if context.idempotency_key.is_empty() { "-" } else { &context.idempotency_key };
         body.put_slice(format!("{} {key} {}\r\n", context.name, context.body.len()).as_bytes());
         body.put_slice(&context.body);
         body.put_slice(b"\r\n");
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -13,10 +13,10 @@
 #[cfg(test)]
 mod tests;
 
-use crate::as2::Book;
+use crate::as2::As2Settings;
 use crate::core::Attempt;
 use crate::exchange::{AttemptId, AttemptResult, Exchange, UpstreamCommand};
-use crate::settings::Site;
+use crate::settings::DeploymentSettings;
 use crate::{EndpointId, Nanos, Outcome};
 use pool::Pool;
 use std::collections::BTreeMap;
@@ -29,15 +29,15 @@
 /// The shortest time that an attempt gets.
 const MIN_ATTEMPT_TIMEOUT: Nanos = Nanos(1_000_000);
 
-/// Carries out the commands of the exchange, for as long as the process runs. `book` lists the AS2 partners, where there are
+/// Carries out the commands of the exchange, for as long as the process runs. `as2_settings` names the AS2 partners, where there are
 /// any.
 pub async fn run(
-    site: Arc<Site>, book: Option<Arc<Book>>, exchange: Exchange,
+    site: Arc<DeploymentSettings>, as2_settings: Option<Arc<As2Settings>>, exchange: Exchange,
     mut commands: UnboundedReceiver<UpstreamCommand>,
 ) {
     let mut expiry_check = tokio::time::interval(pool::expiry_check_interval(&site));
     let (pools, in_flight) = (BTreeMap::new(), BTreeMap::new());
-    let mut dispatcher = Dispatcher { site, book, exchange, pools, in_flight };
+    let mut dispatcher = Dispatcher { site, as2_settings, exchange, pools, in_flight };
     loop {
         tokio::select! {
             biased;
@@ -69,8 +69,8 @@
 
 /// Starts calls, each in a task of its own, and cancels them.
 struct Dispatcher {
-    site: Arc<Site>,
-    book: Option<Arc<Book>>,
+    site: Arc<DeploymentSettings>,
+    as2_settings: Option<Arc<As2Settings>>,
     exchange: Exchange,
     pools: BTreeMap<EndpointId, Arc<Pool>>,
     in_flight: BTreeMap<AttemptId, InFlight>,
@@ -94,7 +94,10 @@
         let Some(first) = attempts.first() else { return };
         let pool = self.pool(first.host, &first.address);
         self.in_flight.retain(|_, call| !call.is_finished());
-        let is_as2 = self.book.as_ref().is_some_and(|book| book.at(&first.address).is_some());
+        let is_as2 = self
+            .as2_settings
+            .as_ref()
+            .is_some_and(|as2_settings| as2_settings.partner_at(&first.address).is_some());
         if attempts.len() > 1 && !is_as2 {
             self.start_batch(pool, attempts);
             return;
@@ -124,7 +127,7 @@
 
     fn start_single(&mut self, pool: Arc<Pool>, attempt: Attempt) {
         let id = AttemptId::from(&attempt);
-        let task = tokio::spawn(run_single(pool, attempt, self.book.clone(), self.exchange.clone()));
+        let task = tokio::spawn(run_single(pool, attempt, self.as2_settings.clone(), self.exchange.clone()));
         self.in_flight.insert(id, InFlight::Single(task.abort_handle()));
     }
 
@@ -148,18 +151,20 @@
 }
 
 /// Makes the call of one attempt and reports how it ended.
-async fn run_single(pool: Arc<Pool>, attempt: Attempt, book: Option<Arc<Book>>, exchange: Exchange) {
-    let call = call_single(pool, &attempt, book.as_deref(), &exchange);
+async fn run_single(
+    pool: Arc<Pool>, attempt: Attempt, as2_settings: Option<Arc<As2Settings>>, exchange: Exchange,
+) {
+    let call = call_single(pool, &attempt, as2_settings.as_deref(), &exchange);
     let result = timeout(attempt_timeout(&attempt), call).await.unwrap_or(Outcome::Timeout.into());
     report(&exchange, &attempt, result);
 }
 
 async fn call_single(
-    pool: Arc<Pool>, attempt: &Attempt, book: Option<&Book>, exchange: &Exchange,
+    pool: Arc<Pool>, attempt: &Attempt, as2_settings: Option<&As2Settings>, exchange: &Exchange,
 ) -> AttemptResult {
-    if let Some(book) = book {
-        if let Some(partner) = book.at(&attempt.address) {
-            return as2::call(pool, attempt, book, partner, exchange).await;
+    if let Some(as2_settings) = as2_settings {
+        if let Some(partner) = as2_settings.partner_at(&attempt.address) {
+            return as2::call(pool, attempt, as2_settings, partner, exchange).await;
         }
     }
     platform::call(pool, attempt, exchange).await
--- a/src/upstream/platform.rs
+++ b/src/upstream/platform.rs
@@ -78,8 +78,8 @@
     let mut request = Request::post(format!("http://{}/v1/messages", attempt.address))
         .header("x-request-id", &context.name)
         .header("x-deadline", format!("{}m", attempt.timeout.0 / 1_000_000));
-    if !context.repeat_key.is_empty() {
-        request = request.header("idempotency-key", &context.repeat_key);
+    if !context.idempotency_key.is_empty() {
+        request = request.header("idempotency-key", &context.idempotency_key);
     }
     request.body(Full::new(context.body.clone()))
 }
--- a/src/upstream/pool.rs
+++ b/src/upstream/pool.rs
@@ -6,7 +6,7 @@
     UpstreamError, UpstreamRequest,
 };
 use super::monitored_stream::{CallMonitor, HeaderListener};
-use crate::settings::Site;
+use crate::settings::DeploymentSettings;
 use hyper::body::Incoming;
 use hyper::{Response, Uri};
 use hyper_util::client::legacy::connect::HttpConnector;
@@ -133,7 +133,7 @@
 
 /// How often [`Pool::close_expired`] is to be called, so that idle connections are closed before the endpoint's machine
 /// closes them.
-pub(super) fn expiry_check_interval(site: &Site) -> Duration {
+pub(super) fn expiry_check_interval(site: &DeploymentSettings) -> Duration {
     let idle_timeout = site.module.connection_idle_timeout.secs();
     Duration::from_secs_f64(idle_timeout * (1.0 - IDLE_TIME_SHARE)).max(MIN_EXPIRY_CHECK_INTERVAL)
 }
@@ -147,7 +147,7 @@
 
 impl Pool {
     /// An empty pool for the endpoint at this address.
-    pub(super) fn new(site: &Site, address: String) -> Pool {
+    pub(super) fn new(site: &DeploymentSettings, address: String) -> Pool {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(Duration::from_nanos(site.connect_timeout.0)));
