--- /dev/null
+++ b/tests/journal_compatibility.rs
@@ -0,0 +1,277 @@
+//! A lasting folder written by an earlier version (commit b204e6b) is read, continued and written byte for byte alike.
+mod stand;
+use micaladder::fleet::members::Member;
+use micaladder::fleet::memory::Memory;
+use micaladder::journal::{AcceptedMessage, Completion, Folder, Journal, LateOutcome, Record};
+use micaladder::takeover::SharedFolder;
+use rstest::rstest;
+use stand::*;
+use std::path::{Path, PathBuf};
+
+/// Bytes that the folder may hold, as the fixture's writer set it.
+const CAPACITY: u64 = 3_000_000;
+/// 2026-12-01, 00:00 UTC, in Unix nanoseconds.
+const STARTED: u64 = 1_796_083_200_000_000_000;
+/// 2100-01-01, 00:00 UTC, in Unix nanoseconds: far enough that a daemon still delivers what is pending.
+const DEADLINE: u64 = 4_102_444_800_000_000_000;
+
+fn fixture(part: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/folder-b204e6b").join(part)
+}
+
+/// A copy that a test may change: the fixture itself stays as it was written.
+fn copy(part: &str) -> tempfile::TempDir {
+    let folder = tempfile::tempdir().expect("a folder");
+    copy_files(part, folder.path());
+    folder
+}
+
+fn copy_files(part: &str, to: &Path) {
+    for entry in std::fs::read_dir(fixture(part)).expect("the fixture") {
+        let from = entry.expect("an entry").path();
+        let name = from.file_name().expect("a file name");
+        std::fs::copy(&from, to.join(name)).expect("copied");
+    }
+}
+
+fn bytes(folder: &Path, file: &str) -> Vec<u8> {
+    std::fs::read(folder.join(file)).expect("a file")
+}
+
+fn accepted(id: u64, class: u32, name: &str) -> AcceptedMessage {
+    AcceptedMessage {
+        id,
+        name: name.into(),
+        origin: String::new(),
+        class,
+        tenant: 0,
+        key: None,
+        dest: 7,
+        deadline: DEADLINE,
+        idempotency_key: String::new(),
+        body: format!("body of {name}: süß ✓").into_bytes().into(),
+    }
+}
+
+fn long_body() -> Vec<u8> {
+    (0..20_000u32).map(|n| (n * 7 % 251) as u8).collect()
+}
+
+/// Every kind of record that stands in the journal.
+fn state_records() -> Vec<Record> {
+    let started = |id, at, before| Record::AttemptStarted { id, at, zone: 0, before };
+    let completed = |id, completion| Record::Completed { id, at: STARTED + 5_000_000_000, completion };
+    vec![
+        Record::Accepted(AcceptedMessage { body: Vec::new().into(), ..accepted(1, 1, "pending-empty") }),
+        Record::Accepted(AcceptedMessage {
+            key: Some(0xdead_beef_0123_4567),
+            idempotency_key: "invoice-17".into(),
+            body: long_body().into(),
+            ..accepted(2, 0, "pending-long")
+        }),
+        Record::Accepted(accepted(3, 1, "retried")),
+        started(3, STARTED, 0),
+        Record::AttemptEnded { id: 3, may_have_run: false },
+        started(3, STARTED + 1_000_000_000, 2),
+        Record::AttemptEnded { id: 3, may_have_run: true },
+        Record::Accepted(accepted(4, 2, "late-delivered")),
+        started(4, STARTED + 2_000_000_000, 1),
+        Record::Accepted(accepted(5, 2, "late-never-ran")),
+        started(5, STARTED + 2_000_000_001, 0),
+        Record::Accepted(accepted(6, 2, "late-may-have-run")),
+        started(6, STARTED + 2_000_000_002, 0),
+        Record::Accepted(accepted(7, 2, "late-final")),
+        started(7, STARTED + 2_000_000_003, 0),
+        Record::Accepted(accepted(10, 2, "delivered")),
+        completed(10, Completion::Delivered),
+        Record::Accepted(accepted(11, 2, "withdrawn")),
+        completed(11, Completion::Withdrawn),
+        Record::Accepted(accepted(12, 2, "undeliverable")),
+        completed(12, Completion::Undeliverable),
+        Record::Accepted(accepted(13, 2, "deferred")),
+        completed(13, Completion::Deferred(None)),
+        Record::Accepted(accepted(14, 2, "deferred-again")),
+        completed(14, Completion::Deferred(Some(1_500))),
+        Record::Accepted(accepted(15, 2, "undeliverable-heard")),
+        completed(15, Completion::Undeliverable),
+        Record::CallbackAcknowledged { id: 15 },
+        Record::Deduplicated {
+            name: "past-delivered".into(),
+            idempotency_key: "invoice-16".into(),
+            until: DEADLINE,
+            delivered: true,
+        },
+        Record::Deduplicated {
+            name: "past-undeliverable".into(),
+            idempotency_key: String::new(),
+            until: DEADLINE,
+            delivered: false,
+        },
+        Record::Suspended { uid: "uid-out".into(), suspended: true },
+        Record::Suspended { uid: "uid-back".into(), suspended: true },
+        Record::Suspended { uid: "uid-back".into(), suspended: false },
+    ]
+}
+
+/// Every kind of record that stands in the file `late`, with each kind of observation.
+fn late_records() -> Vec<Record> {
+    let late = |id, at, outcome| Record::LateOutcome { id, at, outcome };
+    let observed =
+        |kind, values| Record::Observed { uid: "7".into(), at: STARTED + 3_000_000_000, kind, values };
+    vec![
+        observed(0, [STARTED, 1]),
+        observed(1, [STARTED, 0]),
+        observed(2, [0.25f64.to_bits(), 0.0625f64.to_bits()]),
+        observed(3, [STARTED + 4_000_000_000, 0]),
+        observed(4, [12.5f64.to_bits(), 0]),
+        observed(5, [8.0f64.to_bits(), 0]),
+        late(4, STARTED + 2_000_000_000, LateOutcome::Delivered),
+        late(5, STARTED + 2_000_000_001, LateOutcome::NeverRan),
+        late(6, STARTED + 2_000_000_002, LateOutcome::MayHaveRun),
+        late(7, STARTED + 2_000_000_003, LateOutcome::Final),
+    ]
+}
+
+/// Each field at its limits, and texts of several scripts in each text field.
+fn extreme_records() -> Vec<Record> {
+    vec![
+        Record::Accepted(AcceptedMessage {
+            id: u64::MAX,
+            name: "überweisung-ß-日本語-🦀".into(),
+            origin: "bänk:ключ".into(),
+            class: u32::MAX,
+            tenant: u32::MAX,
+            key: Some(0),
+            dest: u64::MAX,
+            deadline: u64::MAX,
+            idempotency_key: "schlüssel-✓".into(),
+            body: vec![0, 255, 13, 10, 0].into(),
+        }),
+        Record::Accepted(AcceptedMessage { key: Some(u64::MAX), name: String::new(), ..accepted(0, 0, "") }),
+        Record::AttemptStarted { id: u64::MAX, at: u64::MAX, zone: u32::MAX, before: u32::MAX },
+        Record::AttemptStarted { id: 0, at: 0, zone: 1, before: 0 },
+        Record::AttemptEnded { id: 0, may_have_run: true },
+        Record::Completed { id: u64::MAX, at: 0, completion: Completion::Deferred(Some(u64::MAX)) },
+        Record::Completed { id: u64::MAX, at: 0, completion: Completion::Deferred(Some(0)) },
+        Record::CallbackAcknowledged { id: 0 },
+        Record::Deduplicated {
+            name: "größe".into(),
+            idempotency_key: "ключ".into(),
+            until: u64::MAX,
+            delivered: false,
+        },
+        Record::Suspended { uid: "узел-7".into(), suspended: true },
+        Record::LateOutcome { id: u64::MAX, at: u64::MAX, outcome: LateOutcome::Final },
+        Record::Observed { uid: String::new(), at: 0, kind: u8::MAX, values: [u64::MAX, 0] },
+    ]
+}
+
+#[rstest]
+#[case::state("state", state_records())]
+#[case::extremes("extremes", extreme_records())]
+fn each_record_of_an_old_journal_is_read_and_the_journal_continued(
+    #[case] part: &str, #[case] written: Vec<Record>,
+) {
+    let folder = copy(part);
+    let (mut journal, records) = Journal::open(folder.path(), CAPACITY).expect("it opens");
+    assert_eq!(records, written);
+    let appended = Record::AttemptEnded { id: 3, may_have_run: true };
+    journal.append(&appended).expect("appended");
+    drop(journal);
+    let (_, records) = Journal::open(folder.path(), CAPACITY).expect("it opens again");
+    assert_eq!(records, [written, vec![appended]].concat());
+    let old = bytes(&fixture(part), "journal");
+    assert_eq!(bytes(folder.path(), "journal")[..old.len()], old[..], "what stood there is untouched");
+}
+
+#[rstest]
+#[case::state("state", state_records())]
+#[case::extremes("extremes", extreme_records())]
+fn the_same_records_are_written_as_the_same_bytes(#[case] part: &str, #[case] records: Vec<Record>) {
+    let folder = tempfile::tempdir().expect("a folder");
+    let (mut journal, _) = Journal::open(folder.path(), CAPACITY).expect("it opens");
+    records.iter().for_each(|record| journal.append(record).expect("appended"));
+    assert!(bytes(folder.path(), "journal") == bytes(&fixture(part), "journal"), "appended");
+    journal.compact(records.into_iter()).expect("compacted");
+    assert!(bytes(folder.path(), "journal") == bytes(&fixture(part), "journal"), "compacted");
+}
+
+#[test]
+fn an_old_journal_that_ends_within_a_record_is_read_up_to_it() {
+    let folder = copy("state");
+    let old = bytes(folder.path(), "journal");
+    std::fs::write(folder.path().join("journal"), &old[..old.len() - 1]).expect("written");
+    let (_, records) = Journal::open(folder.path(), CAPACITY).expect("it opens");
+    let written = state_records();
+    assert_eq!(records, written[..written.len() - 1]);
+}
+
+#[test]
+fn late_outcomes_of_an_old_process_are_read_and_written_alike() {
+    let folder = copy("state");
+    let shared = SharedFolder::open(folder.path()).expect("the folder");
+    let mut reader = shared.open_late_outcomes().expect("the file");
+    assert_eq!(reader.read(), (late_records(), true));
+    // Its shared lock would keep the writer out.
+    drop(reader);
+    let mut writer = shared.create_late_outcomes().expect("the lock");
+    late_records().iter().for_each(|record| writer.append(record));
+    assert_eq!(bytes(folder.path(), "late"), bytes(&fixture("state"), "late"));
+}
+
+#[test]
+fn an_old_snapshot_of_the_fleet_is_read_and_written_alike() {
+    let open = |folder: &Path| {
+        let disk = Folder::open(folder).expect("the folder");
+        Memory::open(Box::new(disk), CAPACITY)
+    };
+    let member = |name: &str, address: &str, incarnation| Member {
+        address: address.parse().expect("an address"),
+        name: name.into(),
+        incarnation,
+    };
+    let members = [member("n1", "127.0.0.1:7001", 12), member("größe", "[::1]:7002", 1)];
+    let agreed = ["n0", "n1", "größe"].map(String::from).into();
+    let seconds = STARTED / 1_000_000_000;
+    let old = copy("state");
+    let mut snapshot = open(old.path());
+    let seen: Vec<_> = snapshot.seen().iter().map(|s| (s.name.as_str(), s.address, s.at)).collect();
+    assert_eq!(seen, members.each_ref().map(|m| (m.name.as_str(), m.address, seconds)));
+    assert_eq!(snapshot.agreed(), &agreed);
+    assert_eq!(snapshot.begin(1), 5_001);
+    let new = tempfile::tempdir().expect("a folder");
+    let mut snapshot = open(new.path());
+    snapshot.begin(5_000);
+    snapshot.note(&members, &agreed, seconds);
+    assert_eq!(bytes(new.path(), "fleet"), bytes(&fixture("state"), "fleet"));
+}
+
+/// The real program on an old folder: what is pending is delivered with its own body, what was out at the old process ends
+/// by its late outcome, owed callbacks go out, and completed messages are answered from the deduplication cache.
+#[test]
+fn a_daemon_that_starts_on_an_old_folder_goes_on_where_the_old_one_stopped() {
+    let endpoint = Server::always("200 OK");
+    let known = list(1, &[(7, endpoint.addr)]);
+    let disco = discovery(known.clone());
+    let mut daemon = setup(&disco, known).start();
+    daemon.kill();
+    copy_files("state", &daemon.folder.join("state"));
+    daemon.start_again();
+    for id in ["pending-empty", "pending-long", "retried", "late-never-ran"] {
+        endpoint.wait_id(id);
+    }
+    for id in ["undeliverable", "late-may-have-run"] {
+        disco.wait_text(&format!(r#"{{"id":"{id}","status":"undeliverable"}}"#));
+    }
+    disco.wait_text(r#"{"id":"deferred","status":"deferred"}"#);
+    disco.wait_text(r#"{"id":"deferred-again","status":"deferred","again_ms":1500}"#);
+    assert_eq!(daemon.hand_in("payout", "past-delivered"), 200);
+    for id in
+        ["late-delivered", "late-may-have-run", "late-final", "delivered", "withdrawn", "past-delivered"]
+    {
+        assert!(endpoint.heard().iter().all(|h| h.id() != id), "{id} was sent again");
+    }
+    assert_eq!(disco.different(r#""id":"undeliverable-heard""#), 0);
+    let long = endpoint.wait_id("pending-long");
+    assert_eq!(long.body, long_body());
+}
