--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -40,7 +40,7 @@
     }
     fn records(&self) -> Vec<Record> {
         let held = self.files().held.get("journal").cloned().unwrap_or_default();
-        journal::replay(&held).0
+        journal::replay(&held).records
     }
     fn size(&self) -> usize {
         self.files().held.values().map(|f| f.len().next_multiple_of(512)).sum()
--- a/src/journal/disk.rs
+++ b/src/journal/disk.rs
@@ -1,34 +1,67 @@
-//! What the journal asks of the folder in which it lies, and nothing more: a test's can fail at each of it.
+//! The few file operations that the journal needs, behind traits: a test can make each of them fail.
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, ErrorKind, Write};
 use std::path::{Path, PathBuf};
 
-/// A folder of files.
+/// A folder of files, named by their file names alone.
 pub trait Disk: Send {
-    /// The whole of a file; none if there is no such file.
+    /// Reads a whole file; `None` if there is no such file.
+    ///
+    /// # Errors
+    ///
+    /// The file is there and cannot be read.
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>>;
-    /// Opens a file at its end; made if it is not there.
+    /// Opens a file for appending; creates it if it does not exist.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be opened or created.
     fn open_append(&self, name: &str) -> io::Result<Box<dyn FileWriter>>;
-    /// Opens a file that is empty, whatever it held.
+    /// Creates an empty file for appending, in place of one that may exist.
+    ///
+    /// # Errors
+    ///
+    /// The old file cannot be removed, or the new one not created.
     fn create(&self, name: &str) -> io::Result<Box<dyn FileWriter>>;
-    /// Puts a file in the place of another, in one step.
+    /// Renames a file, atomically replacing one that has the new name.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be renamed; both files are as before.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
+    /// Removes a file.
+    ///
+    /// # Errors
+    ///
+    /// There is no such file, or it cannot be removed.
     fn remove(&self, name: &str) -> io::Result<()>;
 }
 
-/// The end of an open file. It stays the same file whatever name it gets.
+/// A file that is open for appending. It stays the same file when it is renamed.
 pub trait FileWriter: Send {
-    /// Adds bytes. Where this fails, any part of them may have been written.
+    /// Appends bytes.
+    ///
+    /// # Errors
+    ///
+    /// The write failed; any part of the bytes may have been written.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
-    /// Shortens the file to this size.
+    /// Truncates the file to this many bytes.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be truncated.
     fn truncate(&mut self, size: u64) -> io::Result<()>;
 }
 
-/// A folder of the file system.
+/// A folder of the file system, as a [`Disk`].
 pub struct Folder(PathBuf);
 
 impl Folder {
-    /// Makes the folder where it is not there.
+    /// Opens the folder; creates it if it does not exist.
+    ///
+    /// # Errors
+    ///
+    /// The folder cannot be created.
     pub fn open(path: &Path) -> io::Result<Folder> {
         fs::create_dir_all(path)?;
         Ok(Folder(path.to_path_buf()))
@@ -46,7 +79,7 @@
         Ok(Box::new(OpenOptions::new().create(true).append(true).open(self.0.join(name))?))
     }
     fn create(&self, name: &str) -> io::Result<Box<dyn FileWriter>> {
-        // Truncating and appending do not go together; what an earlier attempt left is taken away first.
+        // `OpenOptions` does not allow truncating together with appending: an earlier file is removed first.
         match self.remove(name) {
             Err(e) if e.kind() != ErrorKind::NotFound => Err(e),
             _ => self.open_append(name),
@@ -69,68 +102,73 @@
     }
 }
 
-/// The lasting folder as a disk; in a build for tests one that may fail.
+/// Opens the lasting folder as a disk; in a debug build, one that a test can make fail.
+///
+/// # Errors
+///
+/// The folder cannot be created.
 pub fn open_disk(folder: &Path) -> io::Result<Box<dyn Disk>> {
     let folder = Folder::open(folder)?;
     #[cfg(debug_assertions)]
-    let disk = Faulty::over(folder);
+    let disk = FaultyFolder::wrap(folder);
     #[cfg(not(debug_assertions))]
     let disk = Box::new(folder);
     Ok(disk)
 }
 
-/// A folder that fails as a file says, one word for each thing that fails now (`append`, `cut`, `create`,
-/// `rename`, `remove`). For the tests that start the real program: release builds do not hold it.
+/// A folder whose operations fail while a file names them (`append`, `cut`, `create`, `rename`, `remove`). For tests that
+/// start the real program: release builds do not contain it.
 #[cfg(debug_assertions)]
-pub struct Faulty {
+pub struct FaultyFolder {
     folder: Folder,
     faults: PathBuf,
 }
 
 #[cfg(debug_assertions)]
-impl Faulty {
-    /// Where `MICALADDER_DISK_FAULTS` names a file.
-    pub fn over(folder: Folder) -> Box<dyn Disk> {
+impl FaultyFolder {
+    /// The folder itself, unless `MICALADDER_DISK_FAULTS` names a file of faults.
+    pub fn wrap(folder: Folder) -> Box<dyn Disk> {
         match std::env::var("MICALADDER_DISK_FAULTS") {
-            Ok(faults) => Box::new(Faulty { folder, faults: faults.into() }),
+            Ok(faults) => Box::new(FaultyFolder { folder, faults: faults.into() }),
             Err(_) => Box::new(folder),
         }
     }
 }
 
 #[cfg(debug_assertions)]
-fn strike(faults: &Path, what: &str) -> io::Result<()> {
-    let now = fs::read_to_string(faults).unwrap_or_default();
-    match now.split_whitespace().any(|w| w == what) {
-        true => Err(io::Error::new(ErrorKind::StorageFull, format!("a test lets {what} fail"))),
-        false => Ok(()),
+fn inject_fault(faults: &Path, operation: &str) -> io::Result<()> {
+    let failing = fs::read_to_string(faults).unwrap_or_default();
+    if failing.split_whitespace().any(|name| name == operation) {
+        let text = format!("a test lets {operation} fail");
+        return Err(io::Error::new(ErrorKind::StorageFull, text));
     }
+    Ok(())
 }
 
 #[cfg(debug_assertions)]
 struct FaultyWriter {
-    tail: Box<dyn FileWriter>,
+    writer: Box<dyn FileWriter>,
     faults: PathBuf,
 }
 
 #[cfg(debug_assertions)]
-impl Disk for Faulty {
+impl Disk for FaultyFolder {
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>> {
         self.folder.read(name)
     }
     fn open_append(&self, name: &str) -> io::Result<Box<dyn FileWriter>> {
-        Ok(Box::new(FaultyWriter { tail: self.folder.open_append(name)?, faults: self.faults.clone() }))
+        Ok(Box::new(FaultyWriter { writer: self.folder.open_append(name)?, faults: self.faults.clone() }))
     }
     fn create(&self, name: &str) -> io::Result<Box<dyn FileWriter>> {
-        strike(&self.faults, "create")?;
-        Ok(Box::new(FaultyWriter { tail: self.folder.create(name)?, faults: self.faults.clone() }))
+        inject_fault(&self.faults, "create")?;
+        Ok(Box::new(FaultyWriter { writer: self.folder.create(name)?, faults: self.faults.clone() }))
     }
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
-        strike(&self.faults, "rename")?;
+        inject_fault(&self.faults, "rename")?;
         self.folder.rename(from, to)
     }
     fn remove(&self, name: &str) -> io::Result<()> {
-        strike(&self.faults, "remove")?;
+        inject_fault(&self.faults, "remove")?;
         self.folder.remove(name)
     }
 }
@@ -138,14 +176,14 @@
 #[cfg(debug_assertions)]
 impl FileWriter for FaultyWriter {
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-        strike(&self.faults, "append").inspect_err(|_| {
-            // As a disk that fills up does: the first bytes still go in.
-            let _ = self.tail.append(&bytes[..bytes.len() / 2]);
+        inject_fault(&self.faults, "append").inspect_err(|_| {
+            // As on a disk that fills up: the first bytes are still written.
+            let _ = self.writer.append(&bytes[..bytes.len() / 2]);
         })?;
-        self.tail.append(bytes)
+        self.writer.append(bytes)
     }
     fn truncate(&mut self, size: u64) -> io::Result<()> {
-        strike(&self.faults, "cut")?;
-        self.tail.truncate(size)
+        inject_fault(&self.faults, "cut")?;
+        self.writer.truncate(size)
     }
 }
--- /dev/null
+++ b/src/takeover/lock.rs
@@ -0,0 +1,81 @@
+//! The lasting folder as two processes share it, and the locks that say which of them does what.
+use super::TakeoverError;
+use std::fs::{File, OpenOptions, TryLockError};
+use std::io;
+use std::path::{Path, PathBuf};
+
+/// The lasting folder, as far as it is part of a takeover.
+#[derive(Clone)]
+pub struct SharedFolder(PathBuf);
+
+/// A lock that this process holds until this is dropped, or the process ends in whatever way.
+pub struct FolderLock(#[allow(dead_code, reason = "the lock lives as long as the open file")] File);
+
+/// Which lock.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LockName {
+    /// That of the journal's owner.
+    Owner,
+    /// That of the process that asks to become the owner.
+    Next,
+}
+
+impl LockName {
+    fn file_name(self) -> &'static str {
+        match self {
+            LockName::Owner => "owner",
+            LockName::Next => "next",
+        }
+    }
+}
+
+/// Whether the lock was acquired; `false` while another process holds it.
+pub(super) fn acquired(result: Result<(), TryLockError>) -> io::Result<bool> {
+    match result {
+        Ok(()) => Ok(true),
+        Err(TryLockError::WouldBlock) => Ok(false),
+        Err(TryLockError::Error(error)) => Err(error),
+    }
+}
+
+impl SharedFolder {
+    /// Opens the folder at this path; creates it if it does not exist.
+    ///
+    /// # Errors
+    ///
+    /// The folder cannot be created.
+    pub fn open(path: &Path) -> Result<SharedFolder, TakeoverError> {
+        let error = |source| TakeoverError { path: path.to_path_buf(), problem: "no folder", source };
+        std::fs::create_dir_all(path).map_err(error)?;
+        Ok(SharedFolder(path.to_path_buf()))
+    }
+
+    pub(super) fn path_of(&self, file_name: &str) -> PathBuf {
+        self.0.join(file_name)
+    }
+
+    pub(super) fn open_file(&self, file_name: &str) -> Result<File, TakeoverError> {
+        let path = self.path_of(file_name);
+        let opened = OpenOptions::new().create(true).read(true).append(true).open(&path);
+        opened.map_err(|source| TakeoverError { path, problem: "cannot be opened", source })
+    }
+
+    /// Acquires a lock; `None` while another process holds it.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be opened or locked.
+    pub fn try_lock(&self, name: LockName) -> Result<Option<FolderLock>, TakeoverError> {
+        let path = self.path_of(name.file_name());
+        let file = self.open_file(name.file_name())?;
+        let error = |source| TakeoverError { path, problem: "cannot be locked", source };
+        let is_ours = acquired(file.try_lock()).map_err(error)?;
+        Ok(is_ours.then_some(FolderLock(file)))
+    }
+
+    /// Whether another process holds the lock. One whose file does not exist or cannot be opened is held by none.
+    pub fn is_locked(&self, name: LockName) -> bool {
+        let Ok(file) = File::open(self.path_of(name.file_name())) else { return false };
+        matches!(acquired(file.try_lock_shared()), Ok(false))
+    }
+}
--- a/src/takeover/state.rs
+++ b/src/takeover/state.rs
@@ -1,16 +1,16 @@
-//! Whose turn it is: what one process does about the folder that it shares with another, from what it sees. Sans I/O:
-//! the daemon drives it with locks of the kernel's, the model (`crates/lab/tests/handover.rs`) with all interleavings of
-//! two processes.
+//! The state machine of a takeover: what one process does about the folder that it shares with another, from what it
+//! observes. Sans I/O: the daemon drives it with file locks of the kernel, the model (`crates/lab/tests/takeover.rs`) with
+//! all interleavings of two processes.
 use crate::interface::Nanos;
 use std::time::Duration;
 
-/// How long client connections may take to end before the journal is let go; what comes on those that are left is
-/// refused then. With the times between two looks at the locks it stays under the 400 ms that a client waits for its
-/// answer, which is how long one may stand in the queue of the process that does not own the journal yet.
+/// How long client connections may take to drain before the journal is released; what comes on those that are left is
+/// rejected then. With the times between two polls of the locks it stays under the 400 ms that a client waits for its
+/// answer, which is how long one may wait in the accept queue of the process that does not own the journal yet.
 pub const DRAIN_TIMEOUT: Nanos = Nanos(150_000_000);
-/// The time between two looks at the locks, of a process that waits for something; and of one that serves,
-/// which looks all its life and mostly in vain.
+/// The time between two polls of the locks, in a process that waits for a change of them.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// The same in a process that serves: it polls for as long as it runs, mostly in vain.
 pub const SERVING_POLL_INTERVAL: Duration = Duration::from_millis(50);
 const _: () = assert!(
     SERVING_POLL_INTERVAL.as_nanos() + 2 * POLL_INTERVAL.as_nanos() + (DRAIN_TIMEOUT.0 as u128) < 300_000_000,
@@ -20,63 +20,64 @@
 /// Where a process stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum State {
-    /// It does not own the journal, and waits for it.
+    /// It waits for the owner's lock.
     WaitingForLock,
-    /// It owns the journal and takes clients.
+    /// It owns the journal and accepts clients.
     Serving,
-    /// It owns the journal, takes on what still comes on connections that it has, and takes no new ones.
+    /// It owns the journal, serves the connections that it has, and accepts no new ones.
     Draining {
         /// Since when.
         since: Nanos,
     },
-    /// It has let the journal go, and waits for the ends of its calls.
+    /// It has released the journal, and waits for its calls in flight to end.
     Released,
 }
 
-/// What it sees.
+/// What a process observes of the locks and of itself.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Observed {
-    /// The owner's lock was free, and is now its own. Looked at in `Waiting` alone.
+    /// The owner's lock was free, and this process holds it now. Only meaningful in [`State::WaitingForLock`].
     pub lock_acquired: bool,
-    /// Another process asks for the folder.
+    /// Another process asks to take the folder over.
     pub takeover_requested: bool,
     /// Client connections are open.
     pub clients_connected: bool,
-    /// It has calls out.
+    /// Calls to endpoints are in flight.
     pub calls_in_flight: bool,
-    /// What it owes cannot be handed on now: the journal cannot be written, or an earlier process's calls are still out.
+    /// The journal must not be released now: it cannot be written, or calls of the predecessor are still in flight.
     pub release_blocked: bool,
 }
 
-/// What it is to do.
+/// What a process is to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Read the journal, take clients.
+    /// Read the journal and accept clients.
     StartServing,
-    /// Take no new client connections, and end those that are between requests.
+    /// Accept no new client connections, and close those that are between requests.
     StopAccepting,
-    /// Take clients again.
+    /// Accept clients again.
     ResumeAccepting,
-    /// Write what it knows into `late` and hold it; then take nothing on any more, start no attempt, let the owner's lock go.
+    /// Write what is known into `late` and keep its lock; then accept nothing, start no attempt, and release the owner's
+    /// lock.
     Release,
-    /// Let `late` go, and forget all: the journal is another's.
+    /// Release `late` and drop all state: the journal belongs to another process.
     Reset,
 }
 
-/// One process's turn.
+/// The takeover as one process sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct StateMachine {
-    /// Where it stands.
+    /// Where the process stands.
     pub state: State,
 }
 
 impl StateMachine {
-    /// A process that has just started, or has been forgotten.
+    /// For a process that has just started, or has dropped its state after a release.
     pub fn new() -> StateMachine {
         StateMachine { state: State::WaitingForLock }
     }
 
-    /// How long until the next look.
+    /// The time until the next step.
     pub fn poll_interval(&self) -> Duration {
         match self.state {
             State::Serving => SERVING_POLL_INTERVAL,
@@ -84,26 +85,27 @@
         }
     }
 
-    /// Looks, and says what is to be done now; nothing changes by itself in between.
+    /// Takes what is observed, and returns what is to be done now. Nothing changes between two steps.
     pub fn step(&mut self, now: Nanos, observed: Observed) -> Option<Action> {
-        let (stage, what) = match self.state {
-            State::WaitingForLock if observed.lock_acquired => (State::Serving, Action::StartServing),
-            // Guards what is owed: a journal that cannot be written is not handed on.
-            State::Serving if observed.takeover_requested && !observed.release_blocked => {
-                (State::Draining { since: now }, Action::StopAccepting)
-            }
-            // A new one that does not come up, or a disk that fails, leaves this one serving.
-            State::Draining { .. } if !observed.takeover_requested || observed.release_blocked => {
-                (State::Serving, Action::ResumeAccepting)
-            }
-            State::Draining { since } if !observed.clients_connected || now - since >= DRAIN_TIMEOUT => {
-                (State::Released, Action::Release)
+        let (next, action) = self.transition(now, observed)?;
+        self.state = next;
+        Some(action)
+    }
+
+    fn transition(&self, now: Nanos, observed: Observed) -> Option<(State, Action)> {
+        // Guards what is owed: a journal that cannot be written is not handed to another process.
+        let may_release = observed.takeover_requested && !observed.release_blocked;
+        match self.state {
+            State::WaitingForLock => observed.lock_acquired.then_some((State::Serving, Action::StartServing)),
+            State::Serving => may_release.then_some((State::Draining { since: now }, Action::StopAccepting)),
+            // A successor that does not start, or a disk that fails, leaves this process serving.
+            State::Draining { .. } if !may_release => Some((State::Serving, Action::ResumeAccepting)),
+            State::Draining { since } => {
+                let drained = !observed.clients_connected || now - since >= DRAIN_TIMEOUT;
+                drained.then_some((State::Released, Action::Release))
             }
-            State::Released if !observed.calls_in_flight => (State::WaitingForLock, Action::Reset),
-            State::WaitingForLock | State::Serving | State::Draining { .. } | State::Released => return None,
-        };
-        self.state = stage;
-        Some(what)
+            State::Released => (!observed.calls_in_flight).then_some((State::WaitingForLock, Action::Reset)),
+        }
     }
 }
 
