--- a/src/takeover/mod.rs
+++ b/src/takeover/mod.rs
@@ -1,7 +1,7 @@
 //! Takeover (hot restart): two processes share one lasting folder, and one at a time owns the journal. The successor asks
 //! for the folder, the predecessor releases the journal and finishes its calls in flight, and the successor reads how they
 //! ended. `state` decides; `lock` and `late_outcomes` are the files. Each file is locked by the kernel for one process, and
-//! a kill releases the lock. Design: `docs/design/handover.md`.
+//! a kill releases the lock. Design: `docs/design/takeover.md`.
 //!
 //! | file | which process has its lock |
 //! | --- | --- |
--- a/tests/journal_compatibility.rs
+++ b/tests/journal_compatibility.rs
@@ -1,7 +1,7 @@
 //! A lasting folder written by an earlier version (commit b204e6b) is read, continued and written byte for byte alike.
 mod stand;
-use micaladder::fleet::members::Member;
-use micaladder::fleet::memory::Memory;
+use micaladder::fleet::member::Member;
+use micaladder::fleet::snapshot::SnapshotStore;
 use micaladder::journal::{AcceptedMessage, Completion, Folder, Journal, LateOutcome, Record};
 use micaladder::takeover::SharedFolder;
 use rstest::rstest;
@@ -223,7 +223,7 @@
 fn an_old_snapshot_of_the_fleet_is_read_and_written_alike() {
     let open = |folder: &Path| {
         let disk = Folder::open(folder).expect("the folder");
-        Memory::open(Box::new(disk), CAPACITY)
+        SnapshotStore::open(Box::new(disk), CAPACITY)
     };
     let member = |name: &str, address: &str, incarnation| Member {
         address: address.parse().expect("an address"),
@@ -235,14 +235,15 @@
     let seconds = STARTED / 1_000_000_000;
     let old = copy("state");
     let mut snapshot = open(old.path());
-    let seen: Vec<_> = snapshot.seen().iter().map(|s| (s.name.as_str(), s.address, s.at)).collect();
+    let seen: Vec<_> =
+        snapshot.known_members().iter().map(|s| (s.name.as_str(), s.address, s.last_seen)).collect();
     assert_eq!(seen, members.each_ref().map(|m| (m.name.as_str(), m.address, seconds)));
-    assert_eq!(snapshot.agreed(), &agreed);
-    assert_eq!(snapshot.begin(1), 5_001);
+    assert_eq!(snapshot.agreed_fleet(), &agreed);
+    assert_eq!(snapshot.begin_incarnation(1), 5_001);
     let new = tempfile::tempdir().expect("a folder");
     let mut snapshot = open(new.path());
-    snapshot.begin(5_000);
-    snapshot.note(&members, &agreed, seconds);
+    snapshot.begin_incarnation(5_000);
+    snapshot.record(&members, &agreed, seconds);
     assert_eq!(bytes(new.path(), "fleet"), bytes(&fixture("state"), "fleet"));
 }
 
