--- a/tests/batch.rs
+++ b/tests/batch.rs
@@ -1,4 +1,5 @@
-//! Several messages for one endpoint in one call, where its kind takes them: how each ends, and what is asked of the whole.
+//! Several messages for one endpoint in one call, where its kind takes them: how each ends, and what is required of the
+//! complete answer.
 mod stand;
 use rstest::rstest;
 use stand::*;
@@ -13,7 +14,7 @@
     body: Vec<u8>,
 }
 
-/// The messages of a call, read as the platform's page has them.
+/// The messages of a call, parsed as the platform's protocol page specifies.
 fn parts(call: &Heard) -> Vec<Part> {
     let (mut all, mut rest) = (Vec::new(), &call.body[..]);
     while !rest.is_empty() {
@@ -38,71 +39,71 @@
     server.heard().iter().filter(|c| is_batch(c)).map(parts).collect()
 }
 
-/// One slot, kinds that take ten messages in a call, and an endpoint whose first call waits until it is let go.
+/// One slot, kinds that take ten messages in a call, and an endpoint whose first call is held until it is released.
 struct Scene {
     endpoint: Server,
     disco: Server,
     daemon: Daemon,
-    go: Sender<()>,
+    release: Sender<()>,
 }
 
 fn scene(answer: impl Fn(&[Part], usize) -> Reply + Send + Sync + 'static) -> Scene {
-    let (go, wait) = channel::<()>();
-    let wait = Mutex::new(wait);
-    let turn = Mutex::new(0);
+    let (release, released) = channel::<()>();
+    let released = Mutex::new(released);
+    let calls = Mutex::new(0);
     let endpoint = Server::start(move |heard, n| {
         if n == 0 {
-            let _ = wait.lock().expect("lock").recv_timeout(PATIENCE);
+            let _ = released.lock().expect("lock").recv_timeout(PATIENCE);
         }
         if !is_batch(heard) {
             return say("200 OK", "", "");
         }
-        let mut turn = turn.lock().expect("lock");
-        *turn += 1;
-        answer(&parts(heard), *turn - 1)
+        let mut calls = calls.lock().expect("lock");
+        *calls += 1;
+        answer(&parts(heard), *calls - 1)
     });
     let known = list(1, &[(7, endpoint.addr)]);
     let disco = discovery(known.clone());
     let swaps = vec![(r#""perCall":[1]"#, r#""perCall":[10]"#), (r#""workers":6"#, r#""workers":1"#)];
     let daemon = Setup { swaps, ..setup(&disco, known) }.start();
-    Scene { endpoint, disco, daemon, go }
+    Scene { endpoint, disco, daemon, release }
 }
 
 impl Scene {
-    /// These wait for the slot, and then go together.
-    fn together(&self, all: &[(&str, &str)]) {
+    /// Submits messages that wait for the slot, and then are sent together.
+    fn submit_together(&self, all: &[(&str, &str)]) {
         assert_eq!(self.daemon.hand_in("stats", "first"), 202);
         self.endpoint.wait_id("first");
         all.iter().for_each(|(class, id)| assert_eq!(self.daemon.hand_in(class, id), 202));
-        self.go.send(()).expect("it waits");
+        self.release.send(()).expect("it waits");
         self.endpoint.wait("a call with several", |all| all.iter().any(is_batch));
     }
 }
 
-fn each(parts: &[Part], word: impl Fn(&str) -> &'static str) -> String {
-    parts.iter().map(|p| format!("{} {}\r\n", p.id, word(&p.id))).collect()
+fn answer_for_each(parts: &[Part], result: impl Fn(&str) -> &'static str) -> String {
+    parts.iter().map(|p| format!("{} {}\r\n", p.id, result(&p.id))).collect()
 }
 
 #[test]
-fn each_message_ends_as_the_whole_answer_says() {
+fn each_message_ends_as_the_complete_answer_says() {
     let s = scene(|parts, n| {
-        let word = |id: &str| match (n, id) {
+        let result = |id: &str| match (n, id) {
             (0, "f") => "failed",
             (0, "b") => "busy",
             (0, "v") => "void",
             _ => "done",
         };
-        say("200 OK", "", &each(parts, word))
+        say("200 OK", "", &answer_for_each(parts, result))
     });
-    s.together(&[("payout", "d"), ("payout", "f"), ("payout", "b"), ("payout", "v"), ("stats", "x")]);
+    s.submit_together(&[("payout", "d"), ("payout", "f"), ("payout", "b"), ("payout", "v"), ("stats", "x")]);
     s.disco.wait_text(r#"{"id":"f","status":"undeliverable"}"#);
-    // The one that was turned away comes again, the others do not.
-    let comes = |all: &[Heard], id: &str| {
+    // The one that was rejected is sent again, the others are not.
+    let times_sent = |all: &[Heard], id: &str| {
         let alone = all.iter().filter(|c| c.id() == id).count();
         alone + all.iter().filter(|c| is_batch(c)).flat_map(parts).filter(|p| p.id == id).count()
     };
-    let all = s.endpoint.wait("b again", |all| comes(all, "b") == 2);
-    assert_eq!(["d", "f", "v", "x"].map(|id| comes(&all, id)), [1; 4]);
+    let all = s.endpoint.wait("b again", |all| times_sent(all, "b") == 2);
+    assert_eq!(["d", "f", "v", "x"].map(|id| times_sent(&all, id)), [1; 4]);
     let first = &batches(&s.endpoint)[0];
     assert!((2..=10).contains(&first.len()), "{}", first.len());
     let d = first.iter().find(|p| p.id == "d").expect("it went");
@@ -111,11 +112,11 @@
 }
 
 #[test]
-fn a_call_holds_no_more_than_its_kind_takes() {
-    let s = scene(|parts, _| say("200 OK", "", &each(parts, |_| "done")));
+fn a_call_carries_no_more_than_its_kind_takes() {
+    let s = scene(|parts, _| say("200 OK", "", &answer_for_each(parts, |_| "done")));
     let names: Vec<String> = (0..25).map(|n| format!("m{n}")).collect();
     let all: Vec<(&str, &str)> = names.iter().map(|n| ("stats", n.as_str())).collect();
-    s.together(&all);
+    s.submit_together(&all);
     let sent = |all: &[Heard]| all.iter().filter(|c| is_batch(c)).flat_map(parts).count();
     let all =
         s.endpoint.wait("all of them", |all| sent(all) + all.iter().filter(|c| !is_batch(c)).count() >= 26);
@@ -123,17 +124,17 @@
     assert!(sizes.iter().all(|n| (2..=10).contains(n)) && sizes.contains(&10), "{sizes:?}");
 }
 
-/// Where none has run, all go again; a payout too.
+/// Where none has run, all are sent again; a payout too.
 #[rstest]
 #[case::too_many("413 Too Many")]
 #[case::unread("400 Bad")]
 #[case::full("503 Full")]
-fn an_answer_for_all_that_none_has_run_lets_all_go_again(#[case] status: &'static str) {
+fn an_answer_that_none_has_run_has_all_sent_again(#[case] status: &'static str) {
     let s = scene(move |parts, n| match n {
         0 => say(status, "", ""),
-        _ => say("200 OK", "", &each(parts, |_| "done")),
+        _ => say("200 OK", "", &answer_for_each(parts, |_| "done")),
     });
-    s.together(&[("payout", "p"), ("stats", "q")]);
+    s.submit_together(&[("payout", "p"), ("stats", "q")]);
     let times = |all: &[Heard], id: &str| {
         all.iter().filter(|c| c.id() == id || (is_batch(c) && parts(c).iter().any(|p| p.id == id))).count()
     };
@@ -148,9 +149,9 @@
 fn a_payout_in_a_call_that_may_have_run_is_never_sent_again(#[case] reply: fn(&[Part]) -> Reply) {
     let s = scene(move |parts, n| match n {
         0 => reply(parts),
-        _ => say("200 OK", "", &each(parts, |_| "done")),
+        _ => say("200 OK", "", &answer_for_each(parts, |_| "done")),
     });
-    s.together(&[("payout", "p"), ("payout", "r"), ("stats", "q")]);
+    s.submit_together(&[("payout", "p"), ("payout", "r"), ("stats", "q")]);
     s.disco.wait_text(r#"{"id":"p","status":"undeliverable"}"#);
     s.disco.wait_text(r#"{"id":"r","status":"undeliverable"}"#);
     let times = |id: &str| batches(&s.endpoint).iter().flatten().filter(|p| p.id == id).count();
@@ -158,35 +159,35 @@
 }
 
 #[test]
-fn a_wait_in_an_answer_for_several_binds() {
+fn a_retry_after_in_the_answer_to_a_batch_is_respected() {
     let s = scene(|parts, n| match n {
-        0 => say("200 OK", "Retry-After: 1.2\r\n", &each(parts, |_| "busy")),
-        _ => say("200 OK", "", &each(parts, |_| "done")),
+        0 => say("200 OK", "Retry-After: 1.2\r\n", &answer_for_each(parts, |_| "busy")),
+        _ => say("200 OK", "", &answer_for_each(parts, |_| "done")),
     });
-    s.together(&[("payout", "p"), ("payout", "q")]);
+    s.submit_together(&[("payout", "p"), ("payout", "q")]);
     s.daemon.wait_log("told to wait");
-    let (told, before) = (Instant::now(), s.endpoint.heard().len());
+    let (received_at, before) = (Instant::now(), s.endpoint.heard().len());
     s.endpoint.wait("more", |all| all.len() > before);
-    assert!(told.elapsed() >= Duration::from_millis(1100), "sent after {:?}", told.elapsed());
+    assert!(received_at.elapsed() >= Duration::from_millis(1100), "sent after {:?}", received_at.elapsed());
 }
 
 #[test]
-fn what_waits_for_longer_than_a_payout_s_call_leaves_it_alone() {
+fn a_message_that_times_out_does_not_cancel_a_payout_in_its_call() {
     let s = scene(|_, _| Reply::Hold(String::new()));
-    s.together(&[("payout", "p"), ("stats", "q")]);
+    s.submit_together(&[("payout", "p"), ("stats", "q")]);
     s.daemon.wait_log("attempt ended message=q outcome=Timeout");
     assert!(!s.daemon.log().contains("attempt ended message=p"), "a payout may use all of its time");
 }
 
-/// A call with several gives its slot up once all of them are called off, and not for one of them.
+/// A batch gives its slot up once all of its messages are cancelled, and not for one of them.
 #[test]
-fn a_silent_call_with_several_makes_way_for_another_destination() {
+fn a_silent_batch_makes_way_for_another_destination() {
     let other = Server::always("200 OK");
-    let (go, wait) = channel::<()>();
-    let wait = Mutex::new(wait);
+    let (release, released) = channel::<()>();
+    let released = Mutex::new(released);
     let silent = Server::start(move |heard, n| {
         if n == 0 {
-            let _ = wait.lock().expect("lock").recv_timeout(PATIENCE);
+            let _ = released.lock().expect("lock").recv_timeout(PATIENCE);
         }
         if is_batch(heard) {
             return Reply::Hold(String::new());
@@ -197,13 +198,13 @@
     let disco = discovery(known.clone());
     let swaps = vec![(r#""perCall":[1]"#, r#""perCall":[10]"#), (r#""workers":6"#, r#""workers":1"#)];
     let daemon = Setup { swaps, ..setup(&disco, known) }.start();
-    let s = Scene { endpoint: silent, disco, daemon, go };
-    s.together(&[("stats", "a"), ("stats", "b"), ("stats", "c")]);
+    let s = Scene { endpoint: silent, disco, daemon, release };
+    s.submit_together(&[("stats", "a"), ("stats", "b"), ("stats", "c")]);
     let elsewhere = String::from_utf8(message("payout", "o", "20000m", "")).expect("text");
     let elsewhere = elsewhere.replace("dest=7", "dest=8");
     assert_eq!(s.daemon.ask(elsewhere.as_bytes()).map(|h| h.status()), Some(202));
     other.wait_id("o");
     let ended = |id: &str, log: &str| log.contains(&format!("attempt ended message={id} outcome="));
     let log = s.daemon.log();
-    assert!(["a", "b", "c"].iter().all(|id| ended(id, &log)), "its slot was free before its call had ended");
+    assert!(["a", "b", "c"].iter().all(|id| ended(id, &log)), "its slot was freed before its call had ended");
 }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,32 +1,37 @@
-//! The real program and a discovery that refuses: the list that is known serves, and discovery is asked with growing
-//! pauses.
+//! The real program and a discovery that fails: the list that is known serves, and discovery is polled with growing backoff.
 mod stand;
 use rstest::rstest;
 use stand::*;
 use std::time::{Duration, Instant};
 
-/// How a discovery in trouble answers a watch.
-fn trouble(refuse: bool) -> Reply {
-    match refuse {
-        true => say("503 Service Unavailable", "connection: close\r\n", ""),
-        false => Reply::Cut,
+/// How a discovery that fails answers a watch.
+#[derive(Clone, Copy)]
+enum Failure {
+    Refused,
+    CutOff,
+}
+
+fn failure(failure: Failure) -> Reply {
+    match failure {
+        Failure::Refused => say("503 Service Unavailable", "connection: close\r\n", ""),
+        Failure::CutOff => Reply::Cut,
     }
 }
 
 #[rstest]
-#[case::refused(true)]
-#[case::cut_off(false)]
-fn a_discovery_in_trouble_is_asked_less_and_less_while_the_known_list_serves(#[case] refuse: bool) {
+#[case::refused(Failure::Refused)]
+#[case::cut_off(Failure::CutOff)]
+fn a_discovery_that_fails_is_polled_with_backoff_while_the_known_list_serves(#[case] kind: Failure) {
     let (old, new) = (Server::always("200 OK"), Server::always("200 OK"));
     let known = list(1, &[(7, old.addr)]);
     let fresh = list(2, &[(7, new.addr)]).replace("s-0", "s-1");
     let disco = Server::start(move |heard, number| match (heard.first.starts_with("GET"), number) {
-        (true, 0..6) => trouble(refuse),
+        (true, 0..6) => failure(kind),
         (true, _) => watch(&fresh),
         (false, _) => say("204 No Content", "", ""),
     });
     let daemon = setup(&disco, known).start();
-    disco.wait("a first ask", |all| !all.is_empty());
+    disco.wait("a first poll", |all| !all.is_empty());
     assert_eq!(daemon.hand_in("stats", "meanwhile"), 202);
     old.wait_id("meanwhile");
     daemon.wait_log("upstream group: version 2");
@@ -42,7 +47,7 @@
 }
 
 #[test]
-fn a_whole_list_without_a_line_leaves_the_old_one_standing() {
+fn a_complete_list_without_endpoints_leaves_the_old_one_in_use() {
     let endpoint = Server::always("200 OK");
     let disco = discovery(list(3, &[]));
     let daemon = setup(&disco, list(1, &[(7, endpoint.addr)])).start();
@@ -51,13 +56,13 @@
     endpoint.wait_id("still");
 }
 
-/// Found on the days of 300 forwarders whose list is pushed to an agent beside each of them: what the agent held counted
-/// as told, while each waited up to five seconds for its turn to ask, and sent to endpoints that drained.
+/// Found with 300 forwarders whose list is pushed to an agent beside each of them: what the agent had counted as known, while
+/// each waited up to five seconds before its first poll, and sent to endpoints that drained.
 #[rstest]
 #[case::pushed(r#""registryMode":"pushed""#, false)]
 #[case::on_request(r#""registryMode":"on_request""#, true)]
-fn one_of_300_waits_for_its_turn_only_where_all_ask_the_same_place(
-    #[case] mode: &'static str, #[case] in_turn: bool,
+fn one_of_300_delays_its_poll_only_where_all_poll_the_same_server(
+    #[case] mode: &'static str, #[case] is_delayed: bool,
 ) {
     let endpoint = Server::always("200 OK");
     let at = |rev| list(rev, &[(7, endpoint.addr)]);
@@ -68,20 +73,20 @@
     daemon.wait_log("upstream group: version 2");
     daemon.reload(&disco.addr.to_string(), &moved.addr.to_string());
     daemon.wait_log("upstream group: version 3");
-    // With the seed of the stand, its two turns are 3.2 s apart from what is done at once.
+    // With the seed of the test setup, its two delays are 3.2 s together.
     let took = begun.elapsed();
-    assert_eq!(took > Duration::from_millis(2500), in_turn, "{took:?}");
+    assert_eq!(took > Duration::from_millis(2500), is_delayed, "{took:?}");
 }
 
-/// What a watch does not bring counts as told 6 s after it fell silent, which may have been right behind its last word:
-/// by then it has been opened anew, also where further ones are as silent.
+/// What a silent watch misses counts as known 6 s after it fell silent, which may have been right after its last event: by then
+/// it has been reopened, also where further ones are as silent.
 #[rstest]
 #[case::at_once(0, "")]
 #[case::one_more_is_silent(1, "")]
 #[case::two_more_are_silent(2, "")]
-#[case::they_say_half_a_list(2, "{\"rev\":2,\"all\":true,\n \"targets\":[")]
-#[case::they_say_noise(2, "no list\nat all")]
-fn a_watch_that_falls_silent_is_opened_anew_in_time(#[case] silent: usize, #[case] word: &'static str) {
+#[case::they_send_half_a_list(2, "{\"rev\":2,\"all\":true,\n \"targets\":[")]
+#[case::they_send_noise(2, "no list\nat all")]
+fn a_watch_that_falls_silent_is_reopened_in_time(#[case] silent: usize, #[case] text: &'static str) {
     let (old, new) = (Server::always("200 OK"), Server::always("200 OK"));
     let known = list(1, &[(7, old.addr)]);
     let fresh = list(2, &[(7, new.addr)]).replace("s-0", "s-1");
@@ -90,7 +95,7 @@
         (false, _) => say("204 No Content", "", ""),
         (true, 0) => watch(&first),
         (true, n) if n <= silent => {
-            Reply::Hold(if word.is_empty() { String::new() } else { chunked([word.as_bytes()]) })
+            Reply::Hold(if text.is_empty() { String::new() } else { chunked([text.as_bytes()]) })
         }
         (true, _) => watch(&fresh),
     });
@@ -99,8 +104,11 @@
     let begun = Instant::now();
     daemon.wait_log("upstream group: version 2");
     let took = begun.elapsed();
-    // A word may be due only after 2 s, and late by half a second.
-    assert!(took > Duration::from_millis(2500), "not taken for silent while it may speak: {took:?}");
+    // A keep-alive is due only after 2 s, and may be late by half a second.
+    assert!(
+        took > Duration::from_millis(2500),
+        "not taken for silent while a keep-alive may still come: {took:?}"
+    );
     assert!(took < Duration::from_millis(5800), "{took:?}");
     assert_eq!(daemon.hand_in("stats", "after"), 202);
     new.wait_id("after");
@@ -108,16 +116,16 @@
 
 /// Lists may be indented over many lines, with noise between them: a first one, and changes that a watch brings.
 #[test]
-fn indented_lists_are_read_and_noise_between_them_is_passed_over() {
+fn indented_lists_are_read_and_noise_between_them_is_skipped() {
     let (old, new) = (Server::always("200 OK"), Server::always("200 OK"));
     let indent = |text: String| format!("{:#}\n", text.parse::<serde_json::Value>().expect("a list"));
     let first = indent(list(2, &[(7, old.addr)]));
     let change = list(3, &[(7, old.addr), (7, new.addr)]).replacen("Ready", "Terminating", 1);
     let change = indent(change.replacen("true", "false", 1));
     let texts = [&first[..], "\n", "  \"uid\": \"s-9\",\n}\n", &change];
-    let said = chunked(texts.concat().as_bytes().chunks(37));
+    let answer = chunked(texts.concat().as_bytes().chunks(37));
     let disco = Server::start(move |heard, n| match (heard.first.starts_with("GET"), n) {
-        (true, 0) => Reply::Hold(said.clone()),
+        (true, 0) => Reply::Hold(answer.clone()),
         (true, _) => Reply::Hold(String::new()),
         (false, _) => say("204 No Content", "", ""),
     });
@@ -128,12 +136,12 @@
         assert_eq!(daemon.hand_in("stats", &format!("m{n}")), 202);
         new.wait_id(&format!("m{n}"));
     }
-    assert!(old.heard().is_empty(), "the drain that stood in an indented change is kept");
+    assert!(old.heard().is_empty(), "the drain in an indented change is respected");
 }
 
-/// A list that never ends is not kept, and asked for anew; the one that is held stands.
+/// A list that never ends is dropped and polled again; the one in use stays.
 #[test]
-fn a_list_without_end_is_given_up_and_asked_for_anew() {
+fn a_list_without_end_is_dropped_and_polled_again() {
     let old = Server::always("200 OK");
     let known = list(1, &[(7, old.addr)]);
     let endless = format!("{{\"rev\":2,\"all\":true,\"targets\":[{}", " ".repeat(10 << 20));
--- a/tests/late.rs
+++ b/tests/late.rs
@@ -1,5 +1,5 @@
-//! A connect may take seconds. What was decided before it is asked anew at the first byte: a word that came meanwhile
-//! counts, the message keeps all its attempts, and the connection serves the next one.
+//! A connect may take seconds. What was decided before it is checked again at the first byte: what changed meanwhile counts,
+//! the message keeps all its attempts, and the connection serves the next one.
 mod stand;
 use rstest::rstest;
 use stand::*;
@@ -9,29 +9,29 @@
 use std::sync::Mutex;
 use std::time::Instant;
 
-/// Found on split+mass: a request went out 0.5 s before a told wait was over.
+/// Found on split+mass: a request was sent 0.5 s before a Retry-After had passed.
 #[test]
-fn a_wait_that_is_told_during_a_connect_is_heeded() {
+fn a_retry_after_that_comes_during_a_connect_is_respected() {
     let mut endpoint = Narrow::start();
     let known = list(1, &[(7, endpoint.addr)]);
     let disco = discovery(known.clone());
     let daemon = Setup { swaps: vec![PATIENT], ..setup(&disco, known) }.start();
     let first = hung(&daemon, &mut endpoint);
-    let told = Instant::now();
+    let sent_at = Instant::now();
     let second = told_meanwhile(&daemon, first, &mut endpoint);
-    // Both messages go again once the wait is over, the first of them on the connection that stands.
-    let (tell, heard) = channel();
-    serve(second, tell.clone());
-    let late = |(call, at): (Heard, Instant)| {
-        assert!(at >= told + WAIT, "{} came {:?} after the wait was told", call.id(), at - told);
+    // Both messages are sent again once it has passed, the first of them on the open connection.
+    let (calls, received) = channel();
+    serve(second, calls.clone());
+    let assert_late = |(call, at): (Heard, Instant)| {
+        assert!(at >= sent_at + WAIT, "{} came {:?} after the Retry-After", call.id(), at - sent_at);
     };
-    late(heard.recv_timeout(PATIENCE).expect("a call on the connection that stands"));
+    assert_late(received.recv_timeout(PATIENCE).expect("a call on the open connection"));
     let until = Instant::now() + PATIENCE;
     loop {
-        if let Ok(call) = heard.try_recv() {
-            break late(call);
+        if let Ok(call) = received.try_recv() {
+            break assert_late(call);
         }
-        endpoint.waiting().into_iter().for_each(|(socket, _)| serve(socket, tell.clone()));
+        endpoint.waiting().into_iter().for_each(|(socket, _)| serve(socket, calls.clone()));
         assert!(Instant::now() < until, "the other message came");
         std::thread::yield_now();
     }
@@ -39,42 +39,42 @@
     daemon.wait_log("attempt ended message=b outcome=Ok");
 }
 
-/// Serves all calls on this connection, and tells of each.
-fn serve(socket: TcpStream, tell: Sender<(Heard, Instant)>) {
+/// Serves all calls on this connection, and reports each.
+fn serve(socket: TcpStream, calls: Sender<(Heard, Instant)>) {
     std::thread::spawn(move || {
         while let Some(call) = read_http(&mut BufReader::new(&socket)) {
-            let _ = tell.send((call, Instant::now()));
+            let _ = calls.send((call, Instant::now()));
             answer(&socket, "200 OK", "");
         }
     });
 }
 
-/// Discovery that says nothing until it is told to, then this.
-fn later(change: String, when: Receiver<()>) -> Server {
-    let when = Mutex::new(when);
+/// Discovery that sends nothing until it is signalled to, then this change.
+fn delayed_discovery(change: String, signal: Receiver<()>) -> Server {
+    let signal = Mutex::new(signal);
     Server::start(move |heard, n| match (heard.first.starts_with("POST"), n) {
         (true, _) => say("204 No Content", "", ""),
         (_, 0) => {
-            let _ = when.lock().expect("lock").recv();
+            let _ = signal.lock().expect("lock").recv();
             watch(&change)
         }
         _ => Reply::Hold("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n".into()),
     })
 }
 
-/// Nothing new goes to an endpoint that drains or is gone, also what was on its way to it.
+/// Nothing new is sent to an endpoint that drains or is removed, also what waited for its connection.
 #[rstest]
-#[case::drained("Terminating")]
-#[case::gone("Gone")]
-fn a_drain_that_is_told_during_a_connect_is_kept(#[case] state: &str) {
+#[case::draining("Terminating")]
+#[case::removed("Gone")]
+fn a_drain_that_is_listed_during_a_connect_is_respected(#[case] state: &str) {
     let (mut endpoint, other) = (Narrow::start(), Server::always("200 OK"));
     let known = list(1, &[(7, endpoint.addr)]);
     let change = list(5, &[(7, endpoint.addr), (7, other.addr)]).replacen("Ready", state, 1);
-    let (now, when) = channel();
-    let disco = later(change.replacen("true", "false", 1), when);
+    let (signal, signal_received) = channel();
+    let disco = delayed_discovery(change.replacen("true", "false", 1), signal_received);
     let daemon = Setup { swaps: vec![PATIENT], ..setup(&disco, known) }.start();
     let first = hung(&daemon, &mut endpoint);
-    now.send(()).expect("discovery waits");
+    signal.send(()).expect("discovery waits");
     daemon.wait_log("upstream group: version 5 lines=2");
     endpoint.open();
     let second = endpoint.accept();
--- a/tests/mgmt.rs
+++ b/tests/mgmt.rs
@@ -1,4 +1,4 @@
-//! The operators' address: readiness, figures against what peers saw, endpoints out by hand, and bad callers.
+//! The management address: readiness, metrics against what clients and endpoints saw, suspended endpoints, and bad callers.
 mod stand;
 use rstest::rstest;
 use serde_json::Value;
@@ -7,8 +7,8 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Instant;
 
-/// A forwarder with an operators' address.
-fn operated(set: Setup<'_>) -> (Daemon, SocketAddr) {
+/// A forwarder with a management address.
+fn managed(set: Setup<'_>) -> (Daemon, SocketAddr) {
     let mgmt = free_place();
     let env = vec![("RELAY_MGMT".to_string(), mgmt.to_string())];
     (Setup { env, ..set }.start(), mgmt)
@@ -19,15 +19,15 @@
     ask(mgmt, text.as_bytes()).expect("an answer")
 }
 
-fn figures(mgmt: SocketAddr) -> Value {
+fn metrics(mgmt: SocketAddr) -> Value {
     serde_json::from_slice(&call(mgmt, "GET", "/v1/metrics").body).expect("JSON")
 }
 
-/// Asks until the figures fit.
-fn wait_figures(mgmt: SocketAddr, fits: impl Fn(&Value) -> bool) -> Value {
+/// Polls the metrics until they fit.
+fn wait_metrics(mgmt: SocketAddr, fits: impl Fn(&Value) -> bool) -> Value {
     let until = Instant::now() + PATIENCE;
     loop {
-        let now = figures(mgmt);
+        let now = metrics(mgmt);
         if fits(&now) {
             return now;
         }
@@ -36,11 +36,11 @@
 }
 
 #[test]
-fn figures_are_what_peers_saw() {
+fn metrics_are_what_clients_and_endpoints_saw() {
     let good = Server::always("200 OK");
     let known = list(1, &[(7, good.addr)]);
     let disco = discovery(known.clone());
-    let (daemon, mgmt) = operated(setup(&disco, known));
+    let (daemon, mgmt) = managed(setup(&disco, known));
     assert_eq!(call(mgmt, "GET", "/v1/readyz").status(), 200);
     for n in 0..5 {
         assert_eq!(daemon.hand_in("stats", &format!("s{n}")), 202);
@@ -50,7 +50,7 @@
     let nowhere =
         String::from_utf8(message("payout", "n", "20000m", "")).expect("text").replace("dest=7", "dest=9");
     assert_eq!(daemon.ask(nowhere.as_bytes()).map(|h| h.status()), Some(404));
-    let all = wait_figures(mgmt, |f| f["open_requests"] == 0 && f["operations"]["payout"]["fulfilled"] == 1);
+    let all = wait_metrics(mgmt, |f| f["open_requests"] == 0 && f["operations"]["payout"]["fulfilled"] == 1);
     assert_eq!(
         all["operations"]["stats"].to_string(),
         r#"{"faulted":0,"fulfilled":5,"relayed":5,"throttled":0}"#
@@ -63,24 +63,24 @@
 }
 
 #[test]
-fn an_endpoint_out_by_hand_gets_nothing_new_until_it_is_called_back() {
+fn a_suspended_endpoint_gets_nothing_new_until_it_is_resumed() {
     let (first, second) = (Server::always("200 OK"), Server::always("200 OK"));
     let known = list(1, &[(7, first.addr), (7, second.addr)]);
     let disco = discovery(known.clone());
-    let (mut daemon, mgmt) = operated(setup(&disco, known));
+    let (mut daemon, mgmt) = managed(setup(&disco, known));
     assert_eq!(call(mgmt, "POST", "/v1/endpoints/s-0/suspend").status(), 204);
     assert_eq!(call(mgmt, "POST", "/v1/endpoints/s-0/suspend").status(), 204, "twice is once");
     assert_eq!(call(mgmt, "POST", "/v1/endpoints/nobody/suspend").status(), 404);
-    wait_figures(mgmt, |f| f["out_of_rotation"] == 1);
+    wait_metrics(mgmt, |f| f["out_of_rotation"] == 1);
     (0..10).for_each(|n| assert_eq!(daemon.hand_in("stats", &format!("a{n}")), 202));
     second.wait("all of them", |all| all.len() == 10);
-    // Over a kill, and over what discovery says at the new start.
+    // Also over a kill, and over the list of discovery at the new start.
     daemon.kill();
     daemon.start_again();
     daemon.wait_log("upstream group: version 1");
     (0..10).for_each(|n| assert_eq!(daemon.hand_in("stats", &format!("b{n}")), 202));
     second.wait("all of them", |all| all.len() == 20);
-    assert!(first.heard().is_empty(), "it was out by hand");
+    assert!(first.heard().is_empty(), "it was suspended");
     assert_eq!(call(mgmt, "POST", "/v1/endpoints/s-1/suspend").status(), 204);
     assert_eq!(call(mgmt, "POST", "/v1/endpoints/s-0/resume").status(), 204);
     assert_eq!(daemon.hand_in("stats", "c"), 202);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn what_the_disk_does_not_take_is_not_in_force() {
+fn a_suspension_that_cannot_be_persisted_is_not_in_force() {
     let endpoint = Server::always("200 OK");
     let known = list(1, &[(7, endpoint.addr)]);
     let disco = discovery(known.clone());
@@ -111,25 +111,25 @@
 #[case::get("GET", "/v1/endpoints/s-0/suspend", 405)]
 #[case::verb("POST", "/v1/endpoints/s-0/restart", 404)]
 #[case::id("POST", "/v1/endpoints/%ff/suspend", 400)]
-fn a_call_that_is_not_known_is_a_no(#[case] method: &str, #[case] path: &str, #[case] status: u16) {
+fn an_unknown_call_is_refused_with_its_status(#[case] method: &str, #[case] path: &str, #[case] status: u16) {
     let endpoint = Server::always("200 OK");
     let known = list(1, &[(7, endpoint.addr)]);
     let disco = discovery(known.clone());
-    let (_daemon, mgmt) = operated(setup(&disco, known));
+    let (_daemon, mgmt) = managed(setup(&disco, known));
     assert_eq!(call(mgmt, method, path).status(), status);
 }
 
 #[test]
-fn callers_that_never_end_their_call_hold_up_nobody() {
+fn callers_that_never_complete_their_call_delay_nobody() {
     let endpoint = Server::always("200 OK");
     let known = list(1, &[(7, endpoint.addr)]);
     let disco = discovery(known.clone());
-    let (daemon, mgmt) = operated(setup(&disco, known));
+    let (daemon, mgmt) = managed(setup(&disco, known));
     let before = daemon.held_descriptors();
     let held: Vec<TcpStream> = (0..300)
         .map(|n| {
             let mut socket = TcpStream::connect(mgmt).expect("it listens");
-            // Some of them are ended before they have said anything.
+            // Some of them are closed before they have sent anything.
             let _ = socket.write_all([&b"GET /v1/met"[..], &[b'x'; 3000], b""][n % 3]);
             socket
         })
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn without_its_key_nobody_listens_for_operators() {
+fn without_its_key_there_is_no_management_address() {
     let endpoint = Server::always("200 OK");
     let known = list(1, &[(7, endpoint.addr)]);
     let disco = discovery(known.clone());
--- a/tests/waits.rs
+++ b/tests/waits.rs
@@ -1,4 +1,4 @@
-//! A told wait belongs to the partner and not to the message: it is heeded whatever becomes of the call that it answered.
+//! A Retry-After belongs to the partner and not to the message: it is respected whatever becomes of the call that it answered.
 mod stand;
 use rstest::rstest;
 use stand::*;
@@ -6,8 +6,8 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
 
-/// The partner's answer to `a`, which tells the wait; its connection stays open behind it.
-const WORD: &str = "HTTP/1.1 429 Later\r\nretry-after: 2.4\r\n";
+/// The partner's answer to `a`, with a Retry-After; its connection stays open after it.
+const REJECTION: &str = "HTTP/1.1 429 Later\r\nretry-after: 2.4\r\n";
 
 fn started() -> (Narrow, Server, Daemon) {
     let endpoint = Narrow::start();
@@ -18,8 +18,8 @@
     (endpoint, disco, daemon)
 }
 
-/// The call of a message that has only so long, by the class that uses all of its time.
-fn out(endpoint: &Narrow, daemon: &Daemon, deadline: &str) -> TcpStream {
+/// The call of a message with this deadline, of the class that uses all of its time.
+fn call_in_flight(endpoint: &Narrow, daemon: &Daemon, deadline: &str) -> TcpStream {
     let text = message("payout", "a", deadline, "");
     assert_eq!(daemon.ask(&text).map(|h| h.status()), Some(202));
     let socket = endpoint.accept();
@@ -27,15 +27,15 @@
     socket
 }
 
-/// The next message goes out only when the wait is over.
-fn heeded(endpoint: &Narrow, daemon: &Daemon, told: Instant) {
+/// The next message is sent only when the Retry-After has passed.
+fn assert_respected(endpoint: &Narrow, daemon: &Daemon, sent_at: Instant) {
     assert_eq!(daemon.hand_in("stats", "b"), 202);
     let next = endpoint.accept();
     assert_eq!(call(&next).id(), "b");
-    let after = told.elapsed();
+    let after = sent_at.elapsed();
     answer(&next, "200 OK", "");
-    // The wait begins when it is written; that a call may pass within 100 ms of that is not used here.
-    assert!(after >= Duration::from_millis(2390), "b came {after:?} after the wait was told");
+    // The time counts from when it is written; the 100 ms in which a call may still be sent are not used here.
+    assert!(after >= Duration::from_millis(2390), "b came {after:?} after the Retry-After");
     daemon.wait_log("attempt ended message=b outcome=Ok");
 }
 
@@ -44,50 +44,51 @@
     Instant::now()
 }
 
-/// The head never ends, or nobody can read it: what it says of the wait came whole.
+/// The head never ends, or cannot be parsed: its Retry-After line was complete.
 #[rstest]
 #[case::without_end("x-more: ")]
 #[case::unreadable("\x01\x02 what\r\n\r\n")]
 #[case::broken_off("")]
-fn a_wait_in_a_head_that_is_spoilt_behind_it_is_heeded(#[case] more: &str) {
+fn a_retry_after_in_a_malformed_head_is_respected(#[case] more: &str) {
     let (endpoint, _disco, daemon) = started();
-    let socket = out(&endpoint, &daemon, "20000m");
-    let told = write(&socket, &format!("{WORD}{more}"));
+    let socket = call_in_flight(&endpoint, &daemon, "20000m");
+    let sent_at = write(&socket, &format!("{REJECTION}{more}"));
     if more.is_empty() {
         socket.shutdown(Shutdown::Both).expect("it stood");
     }
     daemon.wait_log("attempt ended message=a");
-    heeded(&endpoint, &daemon, told);
+    assert_respected(&endpoint, &daemon, sent_at);
 }
 
-/// Its body never ends, and the time of its message is over meanwhile.
+/// The body never ends, and the deadline of the message passes meanwhile.
 #[test]
-fn a_wait_whose_body_is_still_to_come_when_the_time_is_up_is_heeded() {
+fn a_retry_after_whose_body_is_incomplete_at_the_deadline_is_respected() {
     let (endpoint, disco, daemon) = started();
-    let socket = out(&endpoint, &daemon, "600m");
-    let told = write(&socket, &format!("{WORD}content-length: 9\r\n\r\n"));
+    let socket = call_in_flight(&endpoint, &daemon, "600m");
+    let sent_at = write(&socket, &format!("{REJECTION}content-length: 9\r\n\r\n"));
     disco.wait_text(r#""id":"a""#);
-    heeded(&endpoint, &daemon, told);
+    assert_respected(&endpoint, &daemon, sent_at);
 }
 
-/// The call is given up just before the partner answers: it ends its sending, and what crosses that is still heard.
+/// The call is cancelled just before the partner answers: its sending side is shut down, and an answer that crosses that is
+/// still read.
 #[test]
-fn a_wait_that_crosses_the_end_of_its_call_is_heeded() {
+fn a_retry_after_that_crosses_the_cancellation_of_its_call_is_respected() {
     let (endpoint, _disco, daemon) = started();
-    let mut socket = out(&endpoint, &daemon, "600m");
-    // The partner has read all that is sent: the call is given up.
+    let mut socket = call_in_flight(&endpoint, &daemon, "600m");
+    // The partner has read all that is sent: the call is cancelled.
     assert_eq!(socket.read(&mut [0]).expect("no reset"), 0);
-    let told = write(&socket, &format!("{WORD}content-length: 0\r\n\r\n"));
+    let sent_at = write(&socket, &format!("{REJECTION}content-length: 0\r\n\r\n"));
     daemon.wait_log("attempt ended message=a outcome=Timeout");
     daemon.wait_log("told to wait");
-    heeded(&endpoint, &daemon, told);
+    assert_respected(&endpoint, &daemon, sent_at);
 }
 
-/// Nothing else is read on the connection of a call that was given up, and no further call goes there.
+/// Nothing else is read on the connection of a cancelled call, and no further call is sent on it.
 #[test]
-fn a_call_that_was_given_up_is_closed_and_its_late_answer_delivers_nothing() {
+fn a_cancelled_call_is_closed_and_its_late_answer_delivers_nothing() {
     let (endpoint, disco, daemon) = started();
-    let mut socket = out(&endpoint, &daemon, "600m");
+    let mut socket = call_in_flight(&endpoint, &daemon, "600m");
     assert_eq!(socket.read(&mut [0]).expect("no reset"), 0);
     disco.wait_text(r#"{"id":"a","status":"undeliverable"}"#);
     assert_eq!(daemon.hand_in("stats", "b"), 202);
@@ -95,9 +96,9 @@
     assert_eq!(call(&next).id(), "b");
     answer(&next, "200 OK", "");
     daemon.wait_log("attempt ended message=b outcome=Ok");
-    // It was closed some time after it was given up: what is written there comes to nobody.
+    // It was closed some time after the cancellation: what is written there is read by nobody.
     let until = Instant::now() + PATIENCE;
     while socket.write_all(b"HTTP").is_ok() {
-        assert!(Instant::now() < until, "it is listened to for ever");
+        assert!(Instant::now() < until, "it is read for ever");
     }
 }
