--- a/crates/lab/src/network/links.rs
+++ b/crates/lab/src/network/links.rs
@@ -58,7 +58,8 @@
             return;
         }
         let is_duplicated = self.happens(self.links.duplication);
-        for _ in 0..if is_duplicated { 2 } else { 1 } {
+        let copies = if is_duplicated { 2 } else { 1 };
+        for _ in 0..copies {
             if self.happens(self.links.loss) {
                 continue;
             }
--- a/src/fleet/snapshot/tests.rs
+++ b/src/fleet/snapshot/tests.rs
@@ -30,6 +30,18 @@
     assert_eq!(store.begin_incarnation(7), 42);
 }
 
+/// The bytes were written by the program of commit 19f93fd: either version reads the other's file.
+#[test]
+fn the_file_has_the_bytes_of_the_version_before() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let mut store = open(folder.path(), 3_000_000);
+    store.begin_incarnation(7);
+    store.record(&members(1), &agreed_names(), 9);
+    let bytes = std::fs::read(folder.path().join(FILE_NAME)).expect("it was written");
+    let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+    assert_eq!(hex, "02d736e0390701026e31007f000001e9070902026e30026e31");
+}
+
 #[test]
 fn a_restart_keeps_the_agreed_fleet_and_a_raised_incarnation() {
     let folder = tempfile::tempdir().expect("a folder");
--- a/src/fleet/wire/tests.rs
+++ b/src/fleet/wire/tests.rs
@@ -70,6 +70,27 @@
     assert!(encode(1, HEADER, &two).len() <= MAX_DATAGRAM_BYTES);
 }
 
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// The bytes were written by the program of commit 19f93fd: members of both versions understand each other.
+#[test]
+fn datagrams_have_the_bytes_of_the_version_before() {
+    let header = "02e8b7be43000000000000004d02";
+    let all_digests = "ffffffffffffffffff01".repeat(DIGEST_BUCKETS);
+    let expected = [
+        "01010203".to_string(),
+        format!("02007f000001e907026e310140{all_digests}01"),
+        "03007f000001e907026e310101007f000001ea07026e320703fa010001027a3105302e322e300001000000".into(),
+        "04007f000001e907026e3101007f000001ea07026e320703".into(),
+    ];
+    for (message, expected) in messages().iter().zip(expected) {
+        let bytes = encode(group_tag("a"), HEADER, message);
+        assert_eq!(hex(&bytes), format!("{header}{expected}"), "{message:?}");
+    }
+}
+
 proptest! {
     #[test]
     fn noise_is_rejected_without_harm(
