--- a/src/peers/authentication.rs
+++ b/src/peers/authentication.rs
@@ -1,8 +1,10 @@
-//! Members that have not shown a certificate in this life are visited: only who has shown one counts. Whoever learns or
-//! teaches has done so already; a visit is for the rest. One visit serves both sides.
+//! Connects to members to verify their certificates: only members that have presented one in their current incarnation
+//! count in the fleet. Each session of `subscribe` and `publish` verifies both sides as well; these visits cover the
+//! remaining members. One visit authenticates both sides to each other.
 use super::connect::Connector;
-use super::rotation::{Rotation, AGAIN, SHUNNED};
-use super::session::{self, SessionEnd};
+use super::error::SessionEnd;
+use super::rotation::{Rotation, RECONNECT_BACKOFF_SECS, REJECTED_BACKOFF_SECS};
+use super::session;
 use crate::fleet::gossip::Known;
 use crate::fleet::members::Member;
 use std::net::SocketAddr;
@@ -11,71 +13,87 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{interval, Instant, MissedTickBehavior};
 
-/// Visits at once. A handshake is a millisecond of this machine: a fleet of a thousand is met in under a minute, and
-/// the forwarder does not notice.
-pub const AT_ONCE: usize = 4;
-/// How often visits begin.
-pub const EVERY: Duration = Duration::from_millis(50);
+/// Visits at a time. A handshake is a millisecond of CPU: a fleet of a thousand is authenticated in under a minute, and
+/// forwarding is not delayed.
+pub const MAX_VISITS: usize = 4;
+/// Interval at which visits begin.
+pub const VISIT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Whom to visit, without I/O: some at a time, those that failed not again at once. Times in seconds of any clock.
-pub struct Visits(Rotation);
+/// Schedules the visits, without I/O. Times are in seconds of any monotonic clock.
+pub struct VisitSchedule(Rotation);
 
-impl Visits {
-    /// None yet.
-    pub fn new(seed: u64) -> Visits {
-        Visits(Rotation::new(AT_ONCE, seed))
+impl VisitSchedule {
+    /// No visits yet.
+    pub fn new(random_seed: u64) -> VisitSchedule {
+        VisitSchedule(Rotation::new(MAX_VISITS, random_seed))
     }
 
-    /// Whom to visit now.
-    pub fn choose(&mut self, now: f64, unshown: &[Member]) -> Vec<Member> {
-        let chosen = self.0.choose(now, unshown.iter().map(|m| m.address));
-        unshown.iter().filter(|m| chosen.contains(&m.address)).cloned().collect()
+    /// Selects the members to visit now.
+    pub fn select(&mut self, now: f64, unauthenticated: &[Member]) -> Vec<Member> {
+        let selected = self.0.select(now, unauthenticated.iter().map(|member| member.address));
+        unauthenticated.iter().filter(|member| selected.contains(&member.address)).cloned().collect()
     }
 
-    /// One is over; the next to the same begins after so long. Also after one that went well: the life that was shown
-    /// may be another than the one known.
-    pub fn ended(&mut self, now: f64, who: SocketAddr, pause: f64) {
-        self.0.ended(now, who, pause);
+    /// A visit has ended; the next one to the same address begins `backoff` seconds later at the earliest. That holds
+    /// for successful visits too: the incarnation that was authenticated may differ from the one in the view.
+    pub fn release(&mut self, now: f64, address: SocketAddr, backoff: f64) {
+        self.0.release(now, address, backoff);
     }
 }
 
-/// Visits for as long as the process runs.
-pub async fn run(dial: Connector, known: watch::Receiver<Arc<Known>>, seed: u64) {
-    let began = Instant::now();
-    let mut visits = Visits::new(seed);
-    let (ended_in, mut ended) = mpsc::unbounded_channel();
-    let mut ticks = interval(EVERY);
+/// A visit that has ended.
+struct EndedVisit {
+    address: SocketAddr,
+    /// Seconds until the next visit to this address.
+    backoff: f64,
+}
+
+/// Visits unauthenticated members for as long as the process runs.
+pub async fn run(connector: Connector, known: watch::Receiver<Arc<Known>>, random_seed: u64) {
+    let start = Instant::now();
+    let mut schedule = VisitSchedule::new(random_seed);
+    let (ended_tx, mut ended_rx) = mpsc::unbounded_channel();
+    let mut ticks = interval(VISIT_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        let now = || began.elapsed().as_secs_f64();
         tokio::select! {
-            _ = ticks.tick() => {}
-            some = ended.recv() => if let Some((who, pause)) = some {
-                visits.ended(now(), who, pause);
-                continue;
-            },
-        }
-        let unshown = known.borrow().unshown.clone();
-        for who in visits.choose(now(), &unshown) {
-            let (dial, ended) = (dial.clone(), ended_in.clone());
-            tokio::spawn(async move {
-                let met = async { session::meet(dial.to(who.address).await?, &dial.me).await };
-                let pause = match met.await {
-                    Ok(()) => AGAIN,
-                    Err(SessionEnd::Closed(why)) => {
-                        log::debug!("neighbours: {} has not shown its certificate: {why}", who.name);
-                        AGAIN
-                    }
-                    Err(SessionEnd::Rejected(why)) => {
-                        log::warn!("neighbours: {} is there and does not count: {why}", who.name);
-                        SHUNNED
-                    }
-                };
-                let _ = ended.send((who.address, pause));
-            });
+            _ = ticks.tick() => {
+                let unauthenticated = known.borrow().unshown.clone();
+                let now = start.elapsed().as_secs_f64();
+                for member in schedule.select(now, &unauthenticated) {
+                    tokio::spawn(visit(connector.clone(), member, ended_tx.clone()));
+                }
+            }
+            Some(EndedVisit { address, backoff }) = ended_rx.recv() => {
+                schedule.release(start.elapsed().as_secs_f64(), address, backoff);
+            }
         }
     }
 }
 
+async fn visit(connector: Connector, member: Member, ended: mpsc::UnboundedSender<EndedVisit>) {
+    let backoff = match authenticate(&connector, member.address).await {
+        Ok(()) => RECONNECT_BACKOFF_SECS,
+        Err(SessionEnd::Closed(reason)) => {
+            log::debug!("peer exchange: member {} not authenticated yet: {reason}", member.name);
+            RECONNECT_BACKOFF_SECS
+        }
+        Err(SessionEnd::Rejected(reason)) => {
+            log::warn!(
+                "peer exchange: member {} does not count, authentication failed: {reason}",
+                member.name
+            );
+            REJECTED_BACKOFF_SECS
+        }
+    };
+    // Nobody receives it once the process shuts down.
+    let _ = ended.send(EndedVisit { address: member.address, backoff });
+}
+
+async fn authenticate(connector: &Connector, address: SocketAddr) -> Result<(), SessionEnd> {
+    let stream = connector.connect(address).await?;
+    session::authenticate(stream, &connector.identity).await
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/peers/connect.rs
+++ b/src/peers/connect.rs
@@ -1,6 +1,8 @@
-//! Connections to other forwarders: with this one's certificate, within bounds of time.
+//! Outgoing connections to other forwarders: mutual TLS, each phase bounded in time.
 use super::credentials::{self, Credentials};
-use super::session::{LocalIdentity, SessionEnd, HELLO_BY};
+use super::error::{CloseReason, RejectReason, SessionEnd};
+use super::session::{LocalIdentity, HELLO_TIMEOUT};
+use std::io;
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,44 +11,52 @@
 use tokio_rustls::client::TlsStream;
 use tokio_rustls::TlsConnector;
 
-const CONNECT_FOR: Duration = Duration::from_secs(1);
+/// Time for a TCP connection to come up. Peers are in one network, so a second already covers a lost SYN.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Who connects, from where, and with what.
+/// Opens connections with this forwarder's certificate.
 #[derive(Clone)]
 pub struct Connector {
-    /// From the address that it listens on, as its datagrams: who filters by address knows it by one.
-    pub from: IpAddr,
-    pub trust: Arc<Credentials>,
-    pub me: LocalIdentity,
+    /// Source address of connections: the listen address, so that filters by address see the same one as for the
+    /// datagrams.
+    pub source: IpAddr,
+    /// Certificates and trusted authorities.
+    pub credentials: Arc<Credentials>,
+    /// What the hello of each session says.
+    pub identity: LocalIdentity,
 }
 
 impl Connector {
-    /// A connection on which both sides have shown their certificates.
+    /// Connects and completes the TLS handshake, in which both sides verify the other's certificate.
     ///
     /// # Errors
     ///
-    /// Why there is none, and whether the other side is to be left alone for it.
-    pub async fn to(&self, who: SocketAddr) -> Result<TlsStream<TcpStream>, SessionEnd> {
-        let over = |e: std::io::Error| SessionEnd::Closed(e.to_string());
-        let connect = async {
-            let socket = if who.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
-            if !self.from.is_unspecified() && self.from.is_ipv4() == who.is_ipv4() {
-                socket.bind((self.from, 0).into())?;
-            }
-            let socket = socket.connect(who).await?;
-            let _ = socket.set_nodelay(true);
-            Ok(socket)
+    /// Why there is no connection; `SessionEnd::Rejected` if the peer's certificate was not accepted.
+    pub async fn connect(&self, peer: SocketAddr) -> Result<TlsStream<TcpStream>, SessionEnd> {
+        let socket = match timeout(CONNECT_TIMEOUT, self.connect_tcp(peer)).await {
+            Ok(connected) => connected?,
+            Err(_) => return Err(CloseReason::ConnectTimeout.into()),
         };
-        let late = |_| SessionEnd::Closed("no connection in time".into());
-        let socket = timeout(CONNECT_FOR, connect).await.map_err(late)?.map_err(over)?;
-        let tls = TlsConnector::from(self.trust.current().client);
-        match timeout(HELLO_BY, tls.connect(credentials::server_name(), socket)).await {
+        let tls = TlsConnector::from(self.credentials.current().client);
+        match timeout(HELLO_TIMEOUT, tls.connect(credentials::server_name(), socket)).await {
             Ok(Ok(stream)) => Ok(stream),
-            Ok(Err(e)) if e.kind() == std::io::ErrorKind::InvalidData => {
-                Err(SessionEnd::Rejected(e.to_string()))
+            // rustls reports what is wrong with the peer's side of the handshake as invalid data.
+            Ok(Err(error)) if error.kind() == io::ErrorKind::InvalidData => {
+                Err(RejectReason::Handshake(error).into())
             }
-            Ok(Err(e)) => Err(over(e)),
-            Err(_) => Err(SessionEnd::Closed("a handshake without end".into())),
+            Ok(Err(error)) => Err(error.into()),
+            Err(_) => Err(CloseReason::HandshakeTimeout.into()),
+        }
+    }
+
+    async fn connect_tcp(&self, peer: SocketAddr) -> io::Result<TcpStream> {
+        let socket = if peer.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+        if !self.source.is_unspecified() && self.source.is_ipv4() == peer.is_ipv4() {
+            socket.bind((self.source, 0).into())?;
         }
+        let stream = socket.connect(peer).await?;
+        // Without it small frames wait for acknowledgements; the connection works either way.
+        let _ = stream.set_nodelay(true);
+        Ok(stream)
     }
 }
--- a/src/peers/credentials.rs
+++ b/src/peers/credentials.rs
@@ -1,11 +1,13 @@
-//! Whom to believe: mutual TLS between forwarders. Each has a certificate of the authority that a file names, made out
-//! to the one name that all forwarders share; the standard verifiers check both sides. The files are read again when
-//! they change, so a certificate is renewed without a restart; new files that cannot be used change nothing.
+//! Mutual TLS between forwarders. Each has a certificate that is signed by the authority which a file names and that
+//! carries the one DNS name which all forwarders share; rustls' standard verifiers check both sides. The files are read
+//! again when they change, so a certificate is renewed without a restart; new files that cannot be used change nothing.
 use crate::config_error::ConfigError;
 use crate::flags;
+use std::fmt::Display;
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::SystemTime;
+use tokio_rustls::rustls;
 use tokio_rustls::rustls::crypto::ring::default_provider;
 use tokio_rustls::rustls::pki_types::pem::PemObject;
 use tokio_rustls::rustls::pki_types::{CertificateDer, PrivateKeyDer, ServerName};
@@ -13,132 +15,169 @@
 use tokio_rustls::rustls::version::TLS13;
 use tokio_rustls::rustls::{ClientConfig, RootCertStore, ServerConfig};
 
-/// The DNS name that each forwarder's certificate carries. The authority is for forwarders alone, and which of them one
-/// talks to makes no difference.
+/// The DNS name in each forwarder's certificate. One name is enough: the authority signs for forwarders alone, and it
+/// makes no difference which of them is at the other end.
 pub const CERTIFICATE_NAME: &str = "micaladder-neighbour";
 
-/// Where the certificates lie (PEM).
+/// Paths of the PEM files.
 #[derive(Clone, Debug)]
 pub struct CredentialFiles {
-    /// This forwarder's certificate, with those that lead to the authority behind it.
+    /// This forwarder's certificate, followed by the intermediate ones.
     pub certificate: PathBuf,
-    /// Its key.
+    /// Its private key.
     pub key: PathBuf,
     /// The authority's certificate, or several.
     pub authority: PathBuf,
 }
 
-/// Both sides' settings.
+/// TLS configurations for both directions.
 #[derive(Clone)]
 pub struct TlsConfigs {
-    /// For those who come.
+    /// For accepted connections.
     pub server: Arc<ServerConfig>,
-    /// For those to whom this one goes.
+    /// For outgoing connections.
     pub client: Arc<ClientConfig>,
 }
 
-/// When a file was written, and how long it is.
-type Stamp = Vec<Option<(SystemTime, u64)>>;
+/// Modification time and length of each file; none for a file that cannot be read.
+type FileStamps = [Option<(SystemTime, u64)>; 3];
 
-struct Held {
-    stamp: Stamp,
-    sides: TlsConfigs,
+struct LoadedConfigs {
+    stamps: FileStamps,
+    configs: TlsConfigs,
 }
 
-/// What is in use, and from where.
+/// The TLS configurations in use, and the files that they come from.
 pub struct Credentials {
     files: CredentialFiles,
-    held: Mutex<Held>,
+    loaded: Mutex<LoadedConfigs>,
 }
 
 impl Credentials {
-    /// Reads the files.
+    /// Loads the files.
     ///
     /// # Errors
     ///
     /// A file that cannot be read or used, named.
     pub fn new(files: CredentialFiles) -> Result<Credentials, ConfigError> {
-        let held = Held { stamp: files.stamp(), sides: files.load()? };
-        Ok(Credentials { files, held: Mutex::new(held) })
+        let loaded = LoadedConfigs { stamps: files.stamps(), configs: files.load()? };
+        Ok(Credentials { files, loaded: Mutex::new(loaded) })
     }
 
-    /// What is in use now. Asked for each connection: the files are looked at, and read where they changed.
+    /// The configurations for a new connection. Checks whether the files have changed, and reloads them if so.
     pub fn current(&self) -> TlsConfigs {
-        let mut held = self.held.lock().unwrap_or_else(PoisonError::into_inner);
-        let stamp = self.files.stamp();
-        if stamp != held.stamp {
-            // Also after a fault: a file that is half written is tried again when it has changed once more.
-            held.stamp = stamp;
-            match self.files.load() {
-                Ok(sides) => {
-                    log::info!("neighbours: new certificates are in use");
-                    held.sides = sides;
-                }
-                Err(fault) => {
-                    log::error!("neighbours: certificates not reloaded, the old ones stay: {fault}")
-                }
+        let mut loaded = self.loaded.lock().unwrap_or_else(PoisonError::into_inner);
+        let stamps = self.files.stamps();
+        if stamps != loaded.stamps {
+            // Also where loading fails: a file that is half written is read again once it has changed once more.
+            loaded.stamps = stamps;
+            self.reload(&mut loaded.configs);
+        }
+        loaded.configs.clone()
+    }
+
+    fn reload(&self, configs: &mut TlsConfigs) {
+        match self.files.load() {
+            Ok(new) => {
+                log::info!("peer exchange: new certificates are in use");
+                *configs = new;
+            }
+            Err(error) => {
+                log::error!("peer exchange: certificates not reloaded, the old ones stay: {error}");
             }
         }
-        held.sides.clone()
     }
 }
 
-/// The name that is asked for.
+/// The name that a peer's certificate has to carry.
 pub fn server_name() -> ServerName<'static> {
-    // A constant that is a name: the test below holds it to that.
-    ServerName::try_from(CERTIFICATE_NAME)
-        .unwrap_or(ServerName::IpAddress(std::net::Ipv4Addr::UNSPECIFIED.into()))
+    ServerName::try_from(CERTIFICATE_NAME).expect("a constant that a test holds to be a DNS name")
 }
 
 impl CredentialFiles {
-    /// Those that the command line names, where it names all.
+    /// The files that the command line names; none unless it names all of them.
     pub fn from_flags(flags: &flags::Papers) -> Option<CredentialFiles> {
-        let (certificate, key, authority) =
-            (flags.certificate.clone()?, flags.key.clone()?, flags.authority.clone()?);
-        Some(CredentialFiles { certificate, key, authority })
+        Some(CredentialFiles {
+            certificate: flags.certificate.clone()?,
+            key: flags.key.clone()?,
+            authority: flags.authority.clone()?,
+        })
     }
 
-    fn stamp(&self) -> Stamp {
-        let of = |path: &Path| std::fs::metadata(path).ok().and_then(|m| Some((m.modified().ok()?, m.len())));
-        [&self.certificate, &self.key, &self.authority].into_iter().map(|path| of(path)).collect()
+    fn stamps(&self) -> FileStamps {
+        [&self.certificate, &self.key, &self.authority].map(|path| stamp(path))
     }
 
-    /// Both sides' settings.
+    /// Reads the files and builds the TLS configurations.
     ///
     /// # Errors
     ///
     /// A file that cannot be read or used, named.
     pub fn load(&self) -> Result<TlsConfigs, ConfigError> {
-        let said = |path: &Path, e: &dyn std::fmt::Display| ConfigError {
-            file: path.into(),
-            key: String::new(),
-            what: e.to_string(),
-        };
-        let chain = CertificateDer::pem_file_iter(&self.certificate).and_then(Iterator::collect);
-        let chain: Vec<CertificateDer<'static>> = chain.map_err(|e| said(&self.certificate, &e))?;
-        let key = PrivateKeyDer::from_pem_file(&self.key).map_err(|e| said(&self.key, &e))?;
+        let chain = self.read_chain()?;
+        let key = PrivateKeyDer::from_pem_file(&self.key).map_err(|e| file_error(&self.key, &e))?;
+        let roots = Arc::new(self.read_roots()?);
+        let server = self.server_config(roots.clone(), chain.clone(), key.clone_key())?;
+        let client = self.client_config(roots, chain, key)?;
+        Ok(TlsConfigs { server: Arc::new(server), client: Arc::new(client) })
+    }
+
+    fn read_chain(&self) -> Result<Vec<CertificateDer<'static>>, ConfigError> {
+        CertificateDer::pem_file_iter(&self.certificate)
+            .and_then(Iterator::collect)
+            .map_err(|e| file_error(&self.certificate, &e))
+    }
+
+    fn read_roots(&self) -> Result<RootCertStore, ConfigError> {
+        let error = |e: &dyn Display| file_error(&self.authority, e);
         let mut roots = RootCertStore::empty();
-        let read = CertificateDer::pem_file_iter(&self.authority).map_err(|e| said(&self.authority, &e))?;
-        for certificate in read {
-            let certificate = certificate.map_err(|e| said(&self.authority, &e))?;
-            roots.add(certificate).map_err(|e| said(&self.authority, &e))?;
+        for certificate in CertificateDer::pem_file_iter(&self.authority).map_err(|e| error(&e))? {
+            let certificate = certificate.map_err(|e| error(&e))?;
+            roots.add(certificate).map_err(|e| error(&e))?;
         }
         if roots.is_empty() {
-            return Err(said(&self.authority, &"holds no certificate"));
+            return Err(error(&"holds no certificate"));
         }
-        let (roots, provider) = (Arc::new(roots), Arc::new(default_provider()));
-        let own = |e: tokio_rustls::rustls::Error| said(&self.certificate, &e);
-        let verifier = WebPkiClientVerifier::builder_with_provider(roots.clone(), provider.clone());
-        let verifier = verifier.build().map_err(|e| said(&self.authority, &e))?;
-        let server = ServerConfig::builder_with_provider(provider.clone()).with_protocol_versions(&[&TLS13]);
-        let server = server.map_err(own)?.with_client_cert_verifier(verifier);
-        let server = server.with_single_cert(chain.clone(), key.clone_key()).map_err(own)?;
-        let client = ClientConfig::builder_with_provider(provider).with_protocol_versions(&[&TLS13]);
-        let client = client.map_err(own)?.with_root_certificates(roots);
-        let client = client.with_client_auth_cert(chain, key).map_err(own)?;
-        Ok(TlsConfigs { server: Arc::new(server), client: Arc::new(client) })
+        Ok(roots)
+    }
+
+    fn server_config(
+        &self, roots: Arc<RootCertStore>, chain: Vec<CertificateDer<'static>>, key: PrivateKeyDer<'static>,
+    ) -> Result<ServerConfig, ConfigError> {
+        let certificate_error = |e: rustls::Error| file_error(&self.certificate, &e);
+        let provider = Arc::new(default_provider());
+        let client_verifier = WebPkiClientVerifier::builder_with_provider(roots, provider.clone())
+            .build()
+            .map_err(|e| file_error(&self.authority, &e))?;
+        ServerConfig::builder_with_provider(provider)
+            .with_protocol_versions(&[&TLS13])
+            .map_err(certificate_error)?
+            .with_client_cert_verifier(client_verifier)
+            .with_single_cert(chain, key)
+            .map_err(certificate_error)
+    }
+
+    fn client_config(
+        &self, roots: Arc<RootCertStore>, chain: Vec<CertificateDer<'static>>, key: PrivateKeyDer<'static>,
+    ) -> Result<ClientConfig, ConfigError> {
+        let certificate_error = |e: rustls::Error| file_error(&self.certificate, &e);
+        ClientConfig::builder_with_provider(Arc::new(default_provider()))
+            .with_protocol_versions(&[&TLS13])
+            .map_err(certificate_error)?
+            .with_root_certificates(roots)
+            .with_client_auth_cert(chain, key)
+            .map_err(certificate_error)
     }
 }
 
+fn stamp(path: &Path) -> Option<(SystemTime, u64)> {
+    let metadata = std::fs::metadata(path).ok()?;
+    Some((metadata.modified().ok()?, metadata.len()))
+}
+
+fn file_error(path: &Path, what: &dyn Display) -> ConfigError {
+    ConfigError { file: path.into(), key: String::new(), what: what.to_string() }
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/peers/credentials/tests.rs
+++ b/src/peers/credentials/tests.rs
@@ -1,7 +1,7 @@
-//! Tests of `trust`.
+//! Tests of `credentials`.
 use super::*;
 
 #[test]
-fn the_name_is_a_name() {
+fn the_certificate_name_is_a_dns_name() {
     assert!(matches!(server_name(), ServerName::DnsName(n) if n.as_ref() == CERTIFICATE_NAME));
 }
--- a/src/peers/frame.rs
+++ b/src/peers/frame.rs
@@ -1,77 +1,96 @@
-//! What neighbours say to each other on a connection, as bytes, without I/O.
+//! The wire format of a session between two forwarders, without I/O.
 //!
 //! A frame is the length of what follows (4 bytes, big-endian), a version (1), a CRC-32 of the payload (4), and the
-//! payload: a kind, and the message as `postcard` (<https://postcard.jamesmunns.com/wire-format>). A frame of a later
-//! version, a kind that is not known, an item of a kind that is not known, and fields behind those that are known are
-//! passed over. All times are spans in nanoseconds.
+//! payload: a message type, and the message as `postcard` (<https://postcard.jamesmunns.com/wire-format>). For forward
+//! compatibility a receiver skips frames of a later version, unknown message types, observations of an unknown type,
+//! and fields after those that it knows. All times are spans in nanoseconds, so the clocks of two machines are never
+//! compared.
 use crate::interface::{Finding, Nanos};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What this program speaks.
+pub use crate::core::EndpointObservation;
+
+/// The version that this program sends.
 const VERSION: u8 = 1;
-const HEAD: usize = 9;
-/// A longer frame is no frame of a neighbour. In bytes, without its length.
+/// Length of the length field, in bytes.
+const LENGTH_BYTES: usize = 4;
+/// Length of what stands before the payload: length, version and checksum, in bytes.
+const HEADER_BYTES: usize = 9;
+/// What the length field counts besides the payload: version and checksum, in bytes.
+const COUNTED_HEADER_BYTES: usize = HEADER_BYTES - LENGTH_BYTES;
+/// Longest frame that is accepted, in bytes without its length field. It bounds what a peer can make this one buffer.
 pub const MAX_FRAME_BYTES: usize = 64 * 1024;
-/// So many bytes of items go into a frame; the rest goes into the next.
-const ITEMS_MOST: usize = 48 * 1024;
-const NAME_MOST: usize = 256;
+/// Content of one frame, in bytes; the rest goes into the next one. Leaves a quarter of the frame for the encoding.
+const MAX_CONTENT_BYTES: usize = 48 * 1024;
+/// Upper estimate of an encoded observation without its uid, in bytes.
+const OBSERVATION_BYTES: usize = 48;
+/// Longest name, group or uid that is accepted, in bytes.
+const MAX_NAME_BYTES: usize = 256;
+/// Largest rate, latency or capacity that is accepted: above any real one, and safe in the decision module's sums.
+const MAX_FIGURE: f64 = 1e9;
 
-/// What may come.
+/// One message of a session.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
-    /// The first of each side: its name, and the group of forwarders to which it belongs.
+    /// The first message of each side.
     Hello {
-        /// As it calls itself.
+        /// The sender's name.
         name: String,
-        /// Groups that meet by mistake do not teach each other.
+        /// The sender's group; sessions between different groups are rejected.
         group: String,
-        /// Where the fleet finds it and which of its lives this is; none from one that is no member.
-        member: Option<(SocketAddr, u64)>,
+        /// The sender's place in the fleet; none from a client that is not a member.
+        member: Option<MemberIdentity>,
     },
-    /// From one who wants to see the fleet.
-    Look,
-    /// A part of the view, as JSON; the last one says so.
-    View {
-        /// Bytes of it.
-        part: Vec<u8>,
-        /// None comes behind it.
-        last: bool,
+    /// A client asks for the view of the fleet.
+    ViewRequest,
+    /// A part of the view, as JSON.
+    ViewPart {
+        /// Bytes of the JSON text; a part may end inside a character.
+        bytes: Vec<u8>,
+        /// Whether this part completes the view.
+        is_last: bool,
     },
-    /// From the one who learns, over and over.
+    /// The subscriber's ping, with its number: bounds the transit time of the frames that follow it.
     Ping(u64),
-    /// From the one who teaches.
-    Told(Told),
+    /// Observations of the publisher.
+    Observations(ObservationBatch),
+}
+
+/// A member of the fleet as its hello states it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct MemberIdentity {
+    /// The address by which the fleet knows the member.
+    pub address: SocketAddr,
+    /// The member's incarnation, which rises with each start.
+    pub incarnation: u64,
 }
 
-/// LocalObservations experience of the one who teaches. Empty ones show that it lives.
+/// Observations that the publisher made itself. An empty batch is a sign of life.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Told {
-    /// The last ping that had come when this was built, and for how long it had been there.
+pub struct ObservationBatch {
+    /// The last ping that had arrived when the batch was built; 0 before the first.
     pub ping: u64,
-    /// How long that ping had been there.
-    pub held: Nanos,
-    /// The last of the snapshot with which it begins.
-    pub whole: bool,
-    /// What is told.
-    pub items: Vec<EndpointObservation>,
+    /// How long before the batch was built that ping had arrived.
+    pub ping_age: Nanos,
+    /// Whether this batch completes the snapshot with which a session begins.
+    pub completes_snapshot: bool,
+    /// The observations; their ages hold for the moment at which the batch was built.
+    pub observations: Vec<EndpointObservation>,
 }
 
-/// Finding of an endpoint that all forwarders know by the same uid; its age is that at which the frame was built.
-pub use crate::core::EndpointObservation;
-
-/// Why a peer's bytes are not read any further.
+/// Why a peer's stream cannot be decoded any further.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum FrameError {
-    /// The frame's length is more than `MAX_FRAME_BYTES`.
+    /// The length field, in bytes, is above `MAX_FRAME_BYTES`.
     #[error("a frame of {0} bytes")]
     TooLong(usize),
-    /// Its payload is not what was sent.
+    /// The payload does not match its checksum.
     #[error("a frame with a wrong checksum")]
     Checksum,
-    /// Its payload cannot be read.
+    /// The payload is not a valid message.
     #[error("a frame that cannot be read")]
-    Garbled,
+    Malformed,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -80,223 +99,274 @@
     group: String,
 }
 
-/// Behind the fields of a hello since there is a view of the fleet; a program before that sends none of them.
-type WireMember = Option<(SocketAddr, u64)>;
+/// Follows the fields of a hello; programs from before the fleet's view do not send it.
+type WireMember = Option<MemberIdentity>;
 
 #[derive(Serialize, Deserialize)]
-struct WireView {
-    part: Vec<u8>,
-    last: bool,
+struct WireViewPart {
+    bytes: Vec<u8>,
+    is_last: bool,
 }
 
 #[derive(Serialize, Deserialize)]
-struct WireTold {
+struct WireBatch {
     ping: u64,
-    held: u64,
-    whole: bool,
-    items: Vec<(u8, Vec<u8>)>,
+    ping_age: u64,
+    completes_snapshot: bool,
+    /// Type and encoded content of each observation, so that unknown types can be skipped.
+    observations: Vec<(u8, Vec<u8>)>,
 }
 
+/// Precedes the type's own fields in an encoded observation.
 #[derive(Serialize, Deserialize)]
-struct WireItem {
+struct WireObservation {
     uid: String,
     age: u64,
 }
 
-const HELLO: u8 = 1;
-const PING: u8 = 2;
-const TOLD: u8 = 3;
-const LOOK: u8 = 4;
-const VIEW: u8 = 5;
+/// Message types on the wire.
+mod message_type {
+    pub const HELLO: u8 = 1;
+    pub const PING: u8 = 2;
+    pub const OBSERVATIONS: u8 = 3;
+    pub const VIEW_REQUEST: u8 = 4;
+    pub const VIEW_PART: u8 = 5;
+}
 
-/// The message as a frame.
+/// Types of observations on the wire.
+mod observation_type {
+    pub const OUTAGE: u8 = 1;
+    pub const RECOVERING: u8 = 2;
+    pub const HEALTHY: u8 = 3;
+    pub const RETRY_AFTER: u8 = 4;
+    pub const RATE_LIMIT: u8 = 5;
+    pub const CONNECTION_CAPACITY: u8 = 6;
+}
+
+/// Encodes a message as one frame.
 pub fn encode(message: &Message) -> Vec<u8> {
-    let payload = match message {
+    encode_frame(VERSION, &encode_payload(message))
+}
+
+fn encode_frame(version: u8, payload: &[u8]) -> Vec<u8> {
+    let mut frame = Vec::with_capacity(payload.len() + HEADER_BYTES);
+    frame.extend(((payload.len() + COUNTED_HEADER_BYTES) as u32).to_be_bytes());
+    frame.push(version);
+    frame.extend(crc32fast::hash(payload).to_be_bytes());
+    frame.extend_from_slice(payload);
+    frame
+}
+
+fn encode_payload(message: &Message) -> Vec<u8> {
+    match message {
         Message::Hello { name, group, member } => {
-            kind(HELLO, &(WireHello { name: name.clone(), group: group.clone() }, member))
+            let hello = WireHello { name: name.clone(), group: group.clone() };
+            typed_payload(message_type::HELLO, &(hello, member))
         }
-        Message::Look => kind(LOOK, &()),
-        Message::View { part, last } => kind(VIEW, &WireView { part: part.clone(), last: *last }),
-        Message::Ping(n) => kind(PING, n),
-        Message::Told(t) => {
-            let items = t.items.iter().map(item).collect();
-            kind(TOLD, &WireTold { ping: t.ping, held: t.held.0, whole: t.whole, items })
+        Message::ViewRequest => typed_payload(message_type::VIEW_REQUEST, &()),
+        Message::ViewPart { bytes, is_last } => {
+            typed_payload(message_type::VIEW_PART, &WireViewPart { bytes: bytes.clone(), is_last: *is_last })
         }
-    };
-    frame(VERSION, &payload)
+        Message::Ping(number) => typed_payload(message_type::PING, number),
+        Message::Observations(batch) => {
+            let wire = WireBatch {
+                ping: batch.ping,
+                ping_age: batch.ping_age.0,
+                completes_snapshot: batch.completes_snapshot,
+                observations: batch.observations.iter().map(encode_observation).collect(),
+            };
+            typed_payload(message_type::OBSERVATIONS, &wire)
+        }
+    }
 }
 
-fn frame(version: u8, payload: &[u8]) -> Vec<u8> {
-    let mut out = Vec::with_capacity(payload.len() + HEAD);
-    out.extend(((payload.len() + 5) as u32).to_be_bytes());
-    out.push(version);
-    out.extend(crc32fast::hash(payload).to_be_bytes());
-    out.extend_from_slice(payload);
-    out
+fn typed_payload<T: Serialize>(message_type: u8, message: &T) -> Vec<u8> {
+    let mut payload = vec![message_type];
+    payload.extend(serialize(message));
+    payload
 }
 
-fn kind<T: Serialize>(kind: u8, message: &T) -> Vec<u8> {
-    // Writing to memory fails for no value of these types.
-    let mut out = vec![kind];
-    out.extend(postcard::to_stdvec(message).unwrap_or_default());
-    out
+fn serialize<T: Serialize>(value: &T) -> Vec<u8> {
+    // Serializing to memory fails for no value of these types.
+    postcard::to_stdvec(value).unwrap_or_default()
 }
 
-fn item(item: &EndpointObservation) -> (u8, Vec<u8>) {
-    let head = WireItem { uid: item.uid.clone(), age: item.age.0 };
-    let both = |rest: Vec<u8>| {
-        let mut out = postcard::to_stdvec(&head).unwrap_or_default();
-        out.extend(rest);
-        out
+fn encode_observation(observation: &EndpointObservation) -> (u8, Vec<u8>) {
+    let (observation_type, fields) = match observation.finding {
+        Finding::Outage { since, risky } => (observation_type::OUTAGE, serialize(&(since.0, risky))),
+        Finding::Recovering { since } => (observation_type::RECOVERING, serialize(&since.0)),
+        Finding::Healthy { mean, dev } => (observation_type::HEALTHY, serialize(&(mean, dev))),
+        Finding::RetryAfter { left } => (observation_type::RETRY_AFTER, serialize(&left.0)),
+        Finding::RateLimit { rate } => (observation_type::RATE_LIMIT, serialize(&rate)),
+        Finding::ConnectionCapacity { calls } => (observation_type::CONNECTION_CAPACITY, serialize(&calls)),
     };
-    fn rest<T: Serialize>(value: &T) -> Vec<u8> {
-        postcard::to_stdvec(value).unwrap_or_default()
-    }
-    match item.finding {
-        Finding::Outage { since, risky } => (1, both(rest(&(since.0, risky)))),
-        Finding::Recovering { since } => (2, both(rest(&since.0))),
-        Finding::Healthy { mean, dev } => (3, both(rest(&(mean, dev)))),
-        Finding::RetryAfter { left } => (4, both(rest(&left.0))),
-        Finding::RateLimit { rate } => (5, both(rest(&rate))),
-        Finding::ConnectionCapacity { calls } => (6, both(rest(&calls))),
-    }
+    let mut bytes = serialize(&WireObservation { uid: observation.uid.clone(), age: observation.age.0 });
+    bytes.extend(fields);
+    (observation_type, bytes)
 }
 
-fn read_item((kind, bytes): &(u8, Vec<u8>)) -> Result<Option<EndpointObservation>, FrameError> {
-    if !(1..=6).contains(kind) {
+/// Decodes an observation; none if its type is unknown.
+fn decode_observation(observation_type: u8, bytes: &[u8]) -> Result<Option<EndpointObservation>, FrameError> {
+    use observation_type::*;
+    if !(OUTAGE..=CONNECTION_CAPACITY).contains(&observation_type) {
         return Ok(None);
     }
-    let (head, bytes): (WireItem, &[u8]) =
-        postcard::take_from_bytes(bytes).map_err(|_| FrameError::Garbled)?;
-    let finding = match kind {
-        1 => {
-            let (since, risky) = take(bytes)?;
+    let (head, fields) = take::<WireObservation>(bytes)?;
+    let finding = match observation_type {
+        OUTAGE => {
+            let (since, risky) = decode(fields)?;
             Finding::Outage { since: Nanos(since), risky }
         }
-        2 => Finding::Recovering { since: Nanos(take(bytes)?) },
-        3 => {
-            let (mean, dev) = take(bytes)?;
+        RECOVERING => Finding::Recovering { since: Nanos(decode(fields)?) },
+        HEALTHY => {
+            let (mean, dev) = decode(fields)?;
             Finding::Healthy { mean, dev }
         }
-        4 => Finding::RetryAfter { left: Nanos(take(bytes)?) },
-        5 => Finding::RateLimit { rate: take(bytes)? },
-        _ => Finding::ConnectionCapacity { calls: take(bytes)? },
-    };
-    // Guards the module's arithmetic against figures that are none.
-    let figures = match finding {
-        Finding::Healthy { mean, dev } => [mean, dev],
-        Finding::RateLimit { rate } => [rate, 0.0],
-        Finding::ConnectionCapacity { calls } => [calls, 0.0],
-        Finding::Outage { .. } | Finding::Recovering { .. } | Finding::RetryAfter { .. } => [0.0, 0.0],
+        RETRY_AFTER => Finding::RetryAfter { left: Nanos(decode(fields)?) },
+        RATE_LIMIT => Finding::RateLimit { rate: decode(fields)? },
+        _ => Finding::ConnectionCapacity { calls: decode(fields)? },
     };
-    if head.uid.len() > NAME_MOST || figures.iter().any(|f| !(0.0..=1e9).contains(f)) {
-        return Err(FrameError::Garbled);
+    if head.uid.len() > MAX_NAME_BYTES || !has_valid_figures(&finding) {
+        return Err(FrameError::Malformed);
     }
     Ok(Some(EndpointObservation { uid: head.uid, finding, age: Nanos(head.age) }))
 }
 
-/// Items in parts that fit into a frame each; one empty part if there is none.
-pub fn parts(items: Vec<EndpointObservation>) -> Vec<Vec<EndpointObservation>> {
-    let (mut parts, mut size) = (vec![Vec::new()], 0);
-    for one in items {
-        let more = one.uid.len() + 48;
-        if size + more > ITEMS_MOST {
-            parts.push(Vec::new());
-            size = 0;
-        }
-        size += more;
-        if let Some(last) = parts.last_mut() {
-            last.push(one);
+/// Guards the decision module's arithmetic against NaN, infinities, negative and absurd figures of a peer.
+fn has_valid_figures(finding: &Finding) -> bool {
+    let is_valid = |figure: f64| (0.0..=MAX_FIGURE).contains(&figure);
+    match *finding {
+        Finding::Healthy { mean, dev } => is_valid(mean) && is_valid(dev),
+        Finding::RateLimit { rate } => is_valid(rate),
+        Finding::ConnectionCapacity { calls } => is_valid(calls),
+        Finding::Outage { .. } | Finding::Recovering { .. } | Finding::RetryAfter { .. } => true,
+    }
+}
+
+/// Splits observations into parts that fit into one frame each; one empty part if there are none.
+pub fn split_observations(observations: Vec<EndpointObservation>) -> Vec<Vec<EndpointObservation>> {
+    let mut parts = Vec::new();
+    let mut part = Vec::new();
+    let mut part_bytes = 0;
+    for observation in observations {
+        let bytes = observation.uid.len() + OBSERVATION_BYTES;
+        if part_bytes + bytes > MAX_CONTENT_BYTES {
+            parts.push(std::mem::take(&mut part));
+            part_bytes = 0;
         }
+        part_bytes += bytes;
+        part.push(observation);
     }
+    parts.push(part);
     parts
 }
 
-/// A text in parts that fit into a frame each.
-pub fn views(text: &str) -> Vec<Message> {
-    let parts: Vec<&[u8]> = text.as_bytes().chunks(ITEMS_MOST).collect();
-    let view = |(n, part): (usize, &&[u8])| Message::View { part: part.to_vec(), last: n + 1 == parts.len() };
-    parts.iter().enumerate().map(view).collect()
+/// Splits the JSON text of a view into messages that fit into one frame each.
+pub fn split_view(text: &str) -> Vec<Message> {
+    let parts: Vec<&[u8]> = text.as_bytes().chunks(MAX_CONTENT_BYTES).collect();
+    let count = parts.len();
+    let message = |(index, part): (usize, &[u8])| Message::ViewPart {
+        bytes: part.to_vec(),
+        is_last: index + 1 == count,
+    };
+    parts.into_iter().enumerate().map(message).collect()
 }
 
-/// Makes messages of a stream of bytes, wherever it is cut. Holds one frame at the most, and what came behind it.
+/// Decodes messages from a byte stream that may be split anywhere. Buffers one frame and whatever was read after it.
 #[derive(Default)]
 pub struct FrameReader {
     bytes: Vec<u8>,
 }
 
 impl FrameReader {
-    /// Takes in what came.
+    /// Appends bytes that were read from the stream.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The next message, once it is there as a whole. After a fault the stream makes no sense any more.
+    /// The next message, once its frame is complete.
     ///
     /// # Errors
     ///
-    /// A frame that is too long, spoilt, or no frame.
+    /// A frame that cannot be decoded. The stream is of no use after that: frame boundaries are lost.
     pub fn message(&mut self) -> Result<Option<Message>, FrameError> {
         loop {
-            let Some(head) = self.bytes.first_chunk::<4>() else { return Ok(None) };
-            let length = u32::from_be_bytes(*head) as usize;
-            // Before anything is waited for: a peer that sends gigabytes is not heard out.
-            if length > MAX_FRAME_BYTES {
-                return Err(FrameError::TooLong(length));
-            }
-            if length < 5 {
-                return Err(FrameError::Garbled);
-            }
-            if self.bytes.len() < 4 + length {
-                return Ok(None);
-            }
-            let frame: Vec<u8> = self.bytes.drain(..4 + length).collect();
-            // A later version may have another checksum and another payload: its length is all that is known.
-            if frame[4] != VERSION {
+            let Some(frame) = self.take_frame()? else { return Ok(None) };
+            // A later version may have another checksum and another payload: only its length is known.
+            if frame[LENGTH_BYTES] != VERSION {
                 continue;
             }
-            let payload = &frame[HEAD..];
-            if frame[5..HEAD] != crc32fast::hash(payload).to_be_bytes() {
+            let payload = &frame[HEADER_BYTES..];
+            if frame[LENGTH_BYTES + 1..HEADER_BYTES] != crc32fast::hash(payload).to_be_bytes() {
                 return Err(FrameError::Checksum);
             }
-            if let Some(message) = read(payload)? {
+            if let Some(message) = decode_payload(payload)? {
                 return Ok(Some(message));
             }
         }
     }
+
+    /// Removes the next frame, with its length field, once it is complete.
+    fn take_frame(&mut self) -> Result<Option<Vec<u8>>, FrameError> {
+        let Some(length_field) = self.bytes.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
+        let length = u32::from_be_bytes(*length_field) as usize;
+        // Checked before the rest arrives: a peer that announces gigabytes is not buffered.
+        if length > MAX_FRAME_BYTES {
+            return Err(FrameError::TooLong(length));
+        }
+        if length < COUNTED_HEADER_BYTES {
+            return Err(FrameError::Malformed);
+        }
+        if self.bytes.len() < LENGTH_BYTES + length {
+            return Ok(None);
+        }
+        Ok(Some(self.bytes.drain(..LENGTH_BYTES + length).collect()))
+    }
 }
 
-/// Reads a value; what stands behind it is a field of a later program.
-fn take<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, FrameError> {
-    postcard::take_from_bytes(bytes).map(|(value, _)| value).map_err(|_| FrameError::Garbled)
+/// Decodes a value and gives it with the bytes after it.
+fn take<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<(T, &'a [u8]), FrameError> {
+    postcard::take_from_bytes(bytes).map_err(|_| FrameError::Malformed)
 }
 
-fn read(payload: &[u8]) -> Result<Option<Message>, FrameError> {
-    let (kind, bytes) = payload.split_first().ok_or(FrameError::Garbled)?;
-    match *kind {
-        HELLO => {
-            let (WireHello { name, group }, rest) =
-                postcard::take_from_bytes(bytes).map_err(|_| FrameError::Garbled)?;
-            let member: WireMember = if rest.is_empty() { None } else { take(rest)? };
-            match name.len().max(group.len()) > NAME_MOST {
-                true => Err(FrameError::Garbled),
-                false => Ok(Some(Message::Hello { name, group, member })),
-            }
-        }
-        LOOK => Ok(Some(Message::Look)),
-        VIEW => {
-            let WireView { part, last } = take(bytes)?;
-            Ok(Some(Message::View { part, last }))
-        }
-        PING => Ok(Some(Message::Ping(take(bytes)?))),
-        TOLD => {
-            let WireTold { ping, held, whole, items } = take(bytes)?;
-            let items: Result<Vec<_>, FrameError> = items.iter().map(read_item).collect();
-            let items = items?.into_iter().flatten().collect();
-            Ok(Some(Message::Told(Told { ping, held: Nanos(held), whole, items })))
+/// Decodes a value; bytes after it are fields of a later program.
+fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, FrameError> {
+    take(bytes).map(|(value, _)| value)
+}
+
+/// Decodes a message; none if its type is unknown.
+fn decode_payload(payload: &[u8]) -> Result<Option<Message>, FrameError> {
+    let (message_type, bytes) = payload.split_first().ok_or(FrameError::Malformed)?;
+    let message = match *message_type {
+        message_type::HELLO => decode_hello(bytes)?,
+        message_type::VIEW_REQUEST => Message::ViewRequest,
+        message_type::VIEW_PART => {
+            let WireViewPart { bytes, is_last } = decode(bytes)?;
+            Message::ViewPart { bytes, is_last }
         }
-        _ => Ok(None),
+        message_type::PING => Message::Ping(decode(bytes)?),
+        message_type::OBSERVATIONS => Message::Observations(decode_batch(bytes)?),
+        _ => return Ok(None),
+    };
+    Ok(Some(message))
+}
+
+fn decode_hello(bytes: &[u8]) -> Result<Message, FrameError> {
+    let (WireHello { name, group }, rest) = take(bytes)?;
+    let member: WireMember = if rest.is_empty() { None } else { decode(rest)? };
+    if name.len() > MAX_NAME_BYTES || group.len() > MAX_NAME_BYTES {
+        return Err(FrameError::Malformed);
+    }
+    Ok(Message::Hello { name, group, member })
+}
+
+fn decode_batch(bytes: &[u8]) -> Result<ObservationBatch, FrameError> {
+    let WireBatch { ping, ping_age, completes_snapshot, observations: encoded } = decode(bytes)?;
+    let mut observations = Vec::with_capacity(encoded.len());
+    for (observation_type, bytes) in encoded {
+        observations.extend(decode_observation(observation_type, &bytes)?);
     }
+    Ok(ObservationBatch { ping, ping_age: Nanos(ping_age), completes_snapshot, observations })
 }
 
 #[cfg(test)]
--- a/src/peers/inspect.rs
+++ b/src/peers/inspect.rs
@@ -1,79 +1,156 @@
-//! `micaladder fleet`: asks a member for its view of the fleet, on the connection that members use and with a certificate
-//! of the same kind.
+//! `micaladder fleet show` and `micaladder fleet watch`: asks a member for its view of the fleet, over the same protocol
+//! as members use and with a certificate of the same kind.
 use super::connect::Connector;
 use super::credentials::{CredentialFiles, Credentials};
-use super::session::{self, LocalIdentity, SessionEnd};
+use super::error::SessionEnd;
+use super::session::{self, LocalIdentity, WatchControl};
 use crate::flags;
-use crate::fleet::view::View;
+use crate::fleet::sides::Side;
+use crate::fleet::view::{Line, State, View};
 use std::io::Write;
-use std::net::{IpAddr, Ipv4Addr};
+use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How a look at the fleet ends: 0 and 1 say whether the view was agreed.
-const WRONG_FLAGS: u8 = 2;
-const NOBODY: u8 = 3;
+/// Exit code for flags or credential files that cannot be used. 0 and 1 say whether the view was agreed.
+const EXIT_INVALID_FLAGS: u8 = 2;
+/// Exit code for no answer from any of the members.
+const EXIT_NO_ANSWER: u8 = 3;
 
-/// What of a view is news to one who watches: not its ages.
-fn gist(view: &View) -> impl PartialEq {
-    let lines = view.members.iter().map(|m| {
-        (m.name.clone(), m.address.clone(), m.life, m.state, m.counts, m.config.clone(), m.list, m.epoch)
-    });
-    (view.of.clone(), view.digest.clone(), view.agreed, view.side, lines.collect::<Vec<_>>())
+/// Prints the fleet's view once, or each time that it has changed, with `watch` as the pause between two requests.
+pub async fn run(flags: &flags::Look, watch: Option<Duration>) -> ExitCode {
+    let credentials = match CredentialFiles::from_flags(&flags.papers).map(Credentials::new) {
+        Some(Ok(credentials)) => Arc::new(credentials),
+        Some(Err(error)) => {
+            eprintln!("{error}");
+            return ExitCode::from(EXIT_INVALID_FLAGS);
+        }
+        None => return ExitCode::from(EXIT_INVALID_FLAGS),
+    };
+    let identity = LocalIdentity { name: "fleet".into(), group: flags.papers.group.clone(), fleet: None };
+    let connector = Connector { source: IpAddr::V4(Ipv4Addr::UNSPECIFIED), credentials, identity };
+    let mut printer = ViewPrinter { json: flags.json, watch, last: None, output: Output::Open };
+    loop {
+        let failures = ask_first_reachable(&connector, &flags.ask, &mut printer).await;
+        let answer = printer.last.as_ref().map(|summary| summary.agreed);
+        // Who did not answer matters where nobody did, and to a watcher.
+        if watch.is_some() || answer.is_none() {
+            failures.iter().for_each(|failure| eprintln!("{failure}"));
+        }
+        match (watch, answer) {
+            (Some(pause), Some(_)) if printer.output == Output::Open => tokio::time::sleep(pause).await,
+            (_, Some(true)) => return ExitCode::SUCCESS,
+            (_, Some(false)) => return ExitCode::FAILURE,
+            (_, None) => return ExitCode::from(EXIT_NO_ANSWER),
+        }
+    }
 }
 
-fn text(view: &View, json: bool) -> String {
-    match json {
-        // Writing it to memory fails for no view.
-        true => serde_json::to_string(view).unwrap_or_default() + "\n",
-        false => view.table(),
+/// Asks the members in their order until one session ends well, and says why those before it failed.
+async fn ask_first_reachable(
+    connector: &Connector, members: &[SocketAddr], printer: &mut ViewPrinter,
+) -> Vec<String> {
+    let mut failures = Vec::new();
+    for member in members {
+        match ask(connector, *member, printer).await {
+            Ok(()) => break,
+            Err(end) => failures.push(format!("{member}: {end}")),
+        }
     }
+    failures
 }
 
-/// Shows the fleet once, or each time that it has changed.
-pub async fn run(flags: &flags::Look, watch: Option<Duration>) -> ExitCode {
-    let trust = match CredentialFiles::from_flags(&flags.papers).map(Credentials::new) {
-        Some(Ok(trust)) => Arc::new(trust),
-        Some(Err(fault)) => {
-            eprintln!("{fault}");
-            return ExitCode::from(WRONG_FLAGS);
+async fn ask(connector: &Connector, member: SocketAddr, printer: &mut ViewPrinter) -> Result<(), SessionEnd> {
+    let stream = connector.connect(member).await?;
+    let pause = printer.watch.unwrap_or_default();
+    session::watch_view(stream, &connector.identity, |view| printer.print_if_changed(&view), pause).await
+}
+
+/// Whether standard output still takes text.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Output {
+    Open,
+    /// A closed pipe ends a watch.
+    Closed,
+}
+
+/// Prints the views that differ from the one before.
+struct ViewPrinter {
+    json: bool,
+    watch: Option<Duration>,
+    last: Option<ViewSummary>,
+    output: Output,
+}
+
+impl ViewPrinter {
+    fn print_if_changed(&mut self, view: &View) -> WatchControl {
+        let summary = ViewSummary::of(view);
+        if self.last.as_ref() != Some(&summary) {
+            let written = std::io::stdout().write_all(self.format(view).as_bytes());
+            self.output = if written.is_ok() { Output::Open } else { Output::Closed };
         }
-        None => return ExitCode::from(WRONG_FLAGS),
-    };
-    let me = LocalIdentity { name: "fleet".into(), group: flags.papers.group.clone(), fleet: None };
-    let dial = Connector { from: IpAddr::V4(Ipv4Addr::UNSPECIFIED), trust, me };
-    let (mut last, mut agreed) = (None, None);
-    let mut shut = false;
-    loop {
-        let mut why = Vec::new();
-        for at in &flags.ask {
-            let take = |view: View| {
-                let fresh = gist(&view);
-                if last.as_ref() != Some(&fresh) {
-                    // A pipe that is closed wants no more.
-                    shut = std::io::stdout().write_all(text(&view, flags.json).as_bytes()).is_err();
-                }
-                (last, agreed) = (Some(fresh), Some(view.agreed));
-                watch.is_some() && !shut
-            };
-            let asked =
-                async { session::look(dial.to(*at).await?, &dial.me, take, watch.unwrap_or_default()).await };
-            match asked.await {
-                Ok(()) => break,
-                Err(SessionEnd::Closed(e) | SessionEnd::Rejected(e)) => why.push(format!("{at}: {e}")),
-            }
+        self.last = Some(summary);
+        match (self.watch, self.output) {
+            (Some(_), Output::Open) => WatchControl::Continue,
+            (None, _) | (_, Output::Closed) => WatchControl::Stop,
         }
-        let ends = watch.is_none() || shut || agreed.is_none();
-        // Whoever did not answer matters where nobody did, and to one who watches.
-        if watch.is_some() || agreed.is_none() {
-            why.iter().for_each(|w| eprintln!("{w}"));
+    }
+
+    fn format(&self, view: &View) -> String {
+        match self.json {
+            // Serializing to memory fails for no view.
+            true => serde_json::to_string(view).unwrap_or_default() + "\n",
+            false => view.table(),
         }
-        match agreed {
-            _ if !ends => tokio::time::sleep(watch.unwrap_or_default()).await,
-            Some(true) => return ExitCode::SUCCESS,
-            Some(false) => return ExitCode::FAILURE,
-            None => return ExitCode::from(NOBODY),
+    }
+}
+
+/// What of a view counts as a change: not its ages, which differ in each answer.
+#[derive(PartialEq)]
+struct ViewSummary {
+    observer: String,
+    digest: String,
+    agreed: bool,
+    side: Side,
+    members: Vec<MemberSummary>,
+}
+
+#[derive(PartialEq)]
+struct MemberSummary {
+    name: String,
+    address: String,
+    incarnation: u64,
+    state: State,
+    counted: bool,
+    settings_digest: String,
+    settings_epoch: u64,
+    list_version: u64,
+}
+
+impl ViewSummary {
+    fn of(view: &View) -> ViewSummary {
+        ViewSummary {
+            observer: view.of.clone(),
+            digest: view.digest.clone(),
+            agreed: view.agreed,
+            side: view.side,
+            members: view.members.iter().map(MemberSummary::of).collect(),
+        }
+    }
+}
+
+impl MemberSummary {
+    fn of(member: &Line) -> MemberSummary {
+        MemberSummary {
+            name: member.name.clone(),
+            address: member.address.clone(),
+            incarnation: member.life,
+            state: member.state,
+            counted: member.counts,
+            settings_digest: member.config.clone(),
+            settings_epoch: member.epoch,
+            list_version: member.list,
         }
     }
 }
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -1,11 +1,21 @@
-//! Learning from running neighbours: who is there (`fleet`), whom to believe (`trust`), what is told (`tell`, `frame`)
-//! and what counts of it (`weigh`). Here are the sockets and the tasks. Nothing of the forwarder waits for any of it:
-//! what is learned comes as an input of a moment like all else. Off unless it is given an address to listen on.
-//! `docs/design/neighbours.md` says why it is as it is, `docs/operate/neighbours.md` how to run it.
+//! Exchange of endpoint observations with running peers, so that a restarted forwarder knows of outages, waits and
+//! limits without meeting them itself.
+//!
+//! `fleet` says which members are present. `credentials` and `authentication` say which of them to trust. `session` and
+//! `frame` are the protocol: a subscriber connects to a few `sources` and receives what they `publish`. `aggregation`
+//! decides what counts of it, and hands it to the exchange as an input like any other; nothing in the forwarder waits
+//! for a peer. `inspect` is the client behind `micaladder fleet`.
+//!
+//! Off unless a listen address is configured. `docs/design/neighbours.md` has the reasons, `docs/operate/neighbours.md`
+//! the operation.
+#![warn(missing_docs)]
+mod acceptor;
 pub mod aggregation;
+mod attributes;
 pub mod authentication;
 pub mod connect;
 pub mod credentials;
+pub mod error;
 pub mod frame;
 pub mod inspect;
 pub mod local_observations;
@@ -13,266 +23,169 @@
 pub mod rotation;
 pub mod session;
 pub mod sources;
+mod subscriptions;
+pub mod topic;
+
+pub use error::PeersError;
 
 use crate::clock;
 use crate::exchange::Exchange;
 use crate::flags;
-use crate::fleet::gossip::{self, Fleet};
+use crate::fleet::gossip::{self, Fleet, Wishes};
 use crate::fleet::members::{Member, NAME_MOST};
 use crate::fleet::memory::Memory;
 use crate::fleet::node::{Node, Setup};
-use crate::fleet::wire::{Facts, TEXT_MOST};
-use crate::interface::Nanos;
+use crate::fleet::wire::Facts;
 use crate::journal;
 use crate::settings::Config;
-use aggregation::Aggregator;
 use connect::Connector;
-use credentials::Credentials;
-use frame::EndpointObservation;
+use credentials::{CredentialFiles, Credentials};
 use local_observations::LocalObservations;
-use session::{LocalIdentity, SessionEnd};
+use session::LocalIdentity;
 use sources::Sources;
-use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::{TcpListener, UdpSocket};
-use tokio::sync::{mpsc, watch, Semaphore};
-use tokio::time::{interval, sleep, timeout, Instant};
-use tokio_rustls::TlsAcceptor;
+use tokio::sync::{mpsc, watch};
+use tokio::time::Instant;
 
-/// How soon news goes out, and how soon what counts is looked at anew.
-const LOOK: Duration = Duration::from_millis(100);
-/// Neighbours that are taught at once; more are turned away, and find others.
-const LEARNERS: usize = 64;
-/// Messages of neighbours that wait to be weighed; a reader waits while there are more.
-const WAITING: usize = 256;
+/// Interval at which local observations are collected for subscribers, and at which those of peers are aggregated.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(100);
+/// Batches that wait to be aggregated. When it is full, further ones are dropped: what counts is published again.
+const MAX_QUEUED_BATCHES: usize = 256;
+/// Nanoseconds in the units of the fleet's clock fields.
+const NANOS_PER_MILLI: u64 = 1_000_000;
+const NANOS_PER_SEC: u64 = 1_000_000_000;
 
-/// What changes while the process runs and is told to the fleet.
+/// Values that change while the process runs and that the fleet shows of this member.
 pub struct LocalChanges {
-    /// Version of discovery's list.
+    /// Version of discovery's endpoint list.
     pub list_version: watch::Receiver<u64>,
-    /// Where discovery is: what a reload can change.
+    /// Address of discovery: the one setting that a reload can change.
     pub discovery_address: watch::Receiver<String>,
 }
 
-/// Starts all of it; returns at once, with the way to the fleet. What cannot be started is logged, and the forwarder
-/// goes on without.
+/// Starts membership and the exchange with peers; returns at once, with a handle to the fleet. None if it is not
+/// configured, or cannot start: that is logged, and the forwarder serves without.
 pub fn start(
     flags: &flags::Neighbours, config: &Config, exchange: &Exchange, changes: LocalChanges,
 ) -> Option<Fleet> {
     let listen = flags.listen?;
-    let off = |why: &dyn std::fmt::Display| log::error!("neighbours are off: {why}");
-    let Some(files) = credentials::CredentialFiles::from_flags(&flags.papers) else {
-        off(&"they need a certificate, a key and an authority");
-        return None;
-    };
-    let trust = Arc::new(Credentials::new(files).inspect_err(|e| off(e)).ok()?);
-    let disk = journal::on(&config.state).inspect_err(|e| off(e)).ok()?;
-    let (name, seed) = (config.name.clone(), config.seed);
-    if name.len() > NAME_MOST {
-        off(&format_args!("a name of {} bytes, of {NAME_MOST} at the most", name.len()));
-        return None;
-    }
-    // What stands on disk is raised; the clock is asked only where there is nothing, and above all that was there.
-    let mut memory = Memory::open(disk, config.disk);
-    let started = clock::now();
-    let incarnation = memory.begin(started.0 / 1_000_000);
-    let (fleet, wishes) = Fleet::new();
-    let me =
-        LocalIdentity { name: name.clone(), group: flags.papers.group.clone(), fleet: Some(fleet.clone()) };
-    let address = flags.advertise.unwrap_or(listen);
-    let mut facts = Facts {
-        zone: config.site.zones.get(config.site.module.zone).cloned().unwrap_or_default(),
-        version: env!("CARGO_PKG_VERSION").into(),
-        config: config.digest() ^ discovery_at(&config.discovery),
-        epoch: 1,
-        list: *changes.list_version.borrow(),
-        started: started.0 / 1_000_000_000,
-        ..Facts::default()
-    };
-    let cut = (0..=TEXT_MOST.min(facts.zone.len())).rfind(|n| facts.zone.is_char_boundary(*n));
-    facts.zone.truncate(cut.unwrap_or(0));
-    let setup = Setup {
-        me: Member { address, name, incarnation },
-        group: flags.papers.group.clone(),
-        size: flags.size,
-        seed,
-        seeds: flags.seeds.clone(),
-        remembered: memory.seen().iter().map(|s| s.address).collect(),
-        agreed: memory.agreed().clone(),
-        facts: facts.clone(),
-    };
-    let (seeds, exchange, known, way) =
-        (flags.seeds.clone(), exchange.clone(), fleet.known.clone(), fleet.clone());
-    tokio::spawn(async move {
-        let sockets = async { Ok((UdpSocket::bind(listen).await?, TcpListener::bind(listen).await?)) };
-        let (datagrams, listener): (UdpSocket, TcpListener) = match sockets.await {
-            Ok(sockets) => sockets,
-            Err(e) => {
-                let e: std::io::Error = e;
-                return log::error!("neighbours are off: {listen}: {e}");
-            }
-        };
-        log::info!("neighbours: listening on {listen}");
-        let (own_in, own) = watch::channel(LocalObservations::default());
-        let (learned_in, learned) = mpsc::channel(WAITING);
-        tokio::spawn(look(exchange.clone(), own_in));
-        tokio::spawn(weigh_all(exchange, learned));
-        tokio::spawn(teach_all(listener, trust.clone(), me.clone(), own));
-        let began = Instant::now();
-        tokio::spawn(gossip::run(datagrams, Node::new(setup, Duration::ZERO), began, memory, wishes));
-        tokio::spawn(write_all(way, facts, changes));
-        let dial = Connector { from: listen.ip(), trust, me };
-        tokio::spawn(authentication::run(dial.clone(), known, seed));
-        learn_all(Sources::new(address, seeds, seed), dial, learned_in).await;
-    });
-    Some(fleet)
-}
-
-fn discovery_at(address: &str) -> u64 {
-    u64::from(crc32fast::hash(address.as_bytes()))
-}
-
-/// Tells the fleet what changes here.
-async fn write_all(fleet: Fleet, mut facts: Facts, mut changes: LocalChanges) {
-    let settings = facts.config ^ discovery_at(&changes.discovery_address.borrow_and_update());
-    loop {
-        facts.list = *changes.list_version.borrow_and_update();
-        fleet.write(facts.clone()).await;
-        tokio::select! {
-            Ok(()) = changes.list_version.changed() => {}
-            Ok(()) = changes.discovery_address.changed() => {
-                // All else of the settings stands until a restart.
-                facts.config = settings ^ discovery_at(&changes.discovery_address.borrow_and_update());
-                facts.epoch += 1;
-            }
-            else => return,
+    match PeerExchange::prepare(listen, flags, config, changes) {
+        Ok(prepared) => {
+            let fleet = prepared.fleet.clone();
+            tokio::spawn(prepared.run(exchange.clone()));
+            Some(fleet)
+        }
+        Err(error) => {
+            log_disabled(&error);
+            None
         }
     }
 }
 
-/// Keeps what this forwarder has seen itself at hand, while somebody wants to know.
-async fn look(exchange: Exchange, own: watch::Sender<LocalObservations>) {
-    let mut ticks = interval(LOOK);
-    loop {
-        ticks.tick().await;
-        // One receiver is the listener's own.
-        if own.receiver_count() > 1 {
-            let items = Arc::new(exchange.observations().await);
-            own.send_replace(LocalObservations { items, at: clock::now() });
-        }
-    }
+fn log_disabled(error: &PeersError) {
+    log::error!("peer exchange is off: {error}");
 }
 
-/// What came from one neighbour.
-struct Learned {
-    from: aggregation::PeerId,
-    way: Nanos,
-    items: Vec<EndpointObservation>,
+/// All that has been read and checked before the sockets are bound.
+struct PeerExchange {
+    listen: SocketAddr,
+    advertised: SocketAddr,
+    seeds: Vec<SocketAddr>,
+    random_seed: u64,
+    connector: Connector,
+    fleet: Fleet,
+    wishes: Wishes,
+    node_setup: Setup,
+    memory: Memory,
+    facts: Facts,
+    changes: LocalChanges,
 }
 
-async fn weigh_all(exchange: Exchange, mut learned: mpsc::Receiver<Learned>) {
-    let mut weigh = Aggregator::default();
-    let mut ticks = interval(LOOK);
-    loop {
-        tokio::select! {
-            some = learned.recv() => match some {
-                Some(Learned { from, way, items }) => weigh.take(clock::now(), from, way, items),
-                None => return,
-            },
-            _ = ticks.tick() => {}
-        }
-        while let Ok(Learned { from, way, items }) = learned.try_recv() {
-            weigh.take(clock::now(), from, way, items);
-        }
-        let counts = weigh.counts(clock::now());
-        if !counts.is_empty() {
-            exchange.peer_observations(counts);
+impl PeerExchange {
+    fn prepare(
+        listen: SocketAddr, flags: &flags::Neighbours, config: &Config, changes: LocalChanges,
+    ) -> Result<PeerExchange, PeersError> {
+        let files = CredentialFiles::from_flags(&flags.papers).ok_or(PeersError::MissingCredentials)?;
+        let credentials = Arc::new(Credentials::new(files).map_err(PeersError::Credentials)?);
+        let disk = journal::on(&config.state).map_err(PeersError::StateFolder)?;
+        if config.name.len() > NAME_MOST {
+            return Err(PeersError::NameTooLong { length: config.name.len(), max: NAME_MOST });
         }
+        let mut memory = Memory::open(disk, config.disk);
+        let started = clock::now();
+        // The incarnation on disk is raised. The clock is read only where there is none, and stays above it.
+        let incarnation = memory.begin(started.0 / NANOS_PER_MILLI);
+        let advertised = flags.advertise.unwrap_or(listen);
+        let local = Member { address: advertised, name: config.name.clone(), incarnation };
+        let list_version = *changes.list_version.borrow();
+        let facts = attributes::at_start(config, list_version, started.0 / NANOS_PER_SEC);
+        let node_setup = node_setup(flags, config, local, &memory, &facts);
+        let (fleet, wishes) = Fleet::new();
+        let identity = LocalIdentity {
+            name: config.name.clone(),
+            group: flags.papers.group.clone(),
+            fleet: Some(fleet.clone()),
+        };
+        Ok(PeerExchange {
+            listen,
+            advertised,
+            seeds: flags.seeds.clone(),
+            random_seed: config.seed,
+            connector: Connector { source: listen.ip(), credentials, identity },
+            fleet,
+            wishes,
+            node_setup,
+            memory,
+            facts,
+            changes,
+        })
     }
-}
 
-async fn teach_all(
-    listener: TcpListener, trust: Arc<Credentials>, me: LocalIdentity,
-    own: watch::Receiver<LocalObservations>,
-) {
-    let seats = Arc::new(Semaphore::new(LEARNERS));
-    loop {
-        let (socket, from) = match listener.accept().await {
-            Ok(come) => come,
-            Err(e) => {
-                log::warn!("neighbours: connection not taken in: {e}");
-                sleep(LOOK).await;
-                continue;
-            }
+    /// Binds the sockets and runs all tasks, for as long as the process runs.
+    async fn run(self, exchange: Exchange) {
+        let (datagrams, listener) = match bind(self.listen).await {
+            Ok(sockets) => sockets,
+            Err(error) => return log_disabled(&error),
         };
-        // With no seat left the connection closes at once: whoever came finds another teacher.
-        let Ok(seat) = seats.clone().try_acquire_owned() else { continue };
-        let (server, me, own) = (trust.current().server, me.clone(), own.clone());
-        tokio::spawn(async move {
-            let _seat = seat;
-            let _ = socket.set_nodelay(true);
-            match timeout(session::HELLO_BY, TlsAcceptor::from(server).accept(socket)).await {
-                Ok(Ok(stream)) => match session::teach(stream, &me, own).await {
-                    SessionEnd::Closed(why) => log::debug!("neighbours: {from} learns no more: {why}"),
-                    SessionEnd::Rejected(why) => log::warn!("neighbours: {from} is not taught: {why}"),
-                },
-                Ok(Err(e)) => log::warn!("neighbours: {from} is not taught: {e}"),
-                Err(_) => log::debug!("neighbours: {from}: a handshake without end"),
-            }
-        });
+        log::info!("peer exchange: listening on {}", self.listen);
+        let (collected_tx, collected) = watch::channel(LocalObservations::default());
+        let (batches_tx, batches) = mpsc::channel(MAX_QUEUED_BATCHES);
+        tokio::spawn(local_observations::collect(exchange.clone(), collected_tx));
+        tokio::spawn(subscriptions::aggregate(exchange, batches));
+        let Connector { credentials, identity, .. } = self.connector.clone();
+        tokio::spawn(acceptor::run(listener, credentials, identity, collected));
+        let node = Node::new(self.node_setup, Duration::ZERO);
+        tokio::spawn(gossip::run(datagrams, node, Instant::now(), self.memory, self.wishes));
+        let known = self.fleet.known.clone();
+        tokio::spawn(attributes::publish_changes(self.fleet, self.facts, self.changes));
+        tokio::spawn(authentication::run(self.connector.clone(), known.clone(), self.random_seed));
+        let sources = Sources::new(self.advertised, self.seeds, self.random_seed);
+        subscriptions::run(sources, known, self.connector, batches_tx).await;
     }
 }
 
-/// Learns from some of those that are there, for as long as the process runs.
-async fn learn_all(mut teachers: Sources, dial: Connector, learned: mpsc::Sender<Learned>) {
-    let began = Instant::now();
-    let (ended_in, mut ended) = mpsc::unbounded_channel();
-    // One line for each that is shunned, not one for each attempt.
-    let mut shunned: BTreeMap<SocketAddr, String> = BTreeMap::new();
-    let mut next = 0;
-    let mut ticks = interval(LOOK);
-    loop {
-        let now = || began.elapsed().as_secs_f64();
-        tokio::select! {
-            _ = ticks.tick() => {}
-            some = ended.recv() => if let Some((who, end)) = some {
-                let pause = match end {
-                    SessionEnd::Closed(why) => {
-                        log::debug!("neighbours: learning from {who} is over: {why}");
-                        rotation::AGAIN
-                    }
-                    SessionEnd::Rejected(why) => {
-                        if shunned.get(&who) != Some(&why) {
-                            log::warn!("neighbours: nothing is learned from {who}: {why}");
-                            shunned.insert(who, why);
-                        }
-                        rotation::SHUNNED
-                    }
-                };
-                teachers.ended(now(), who, pause);
-            },
-        }
-        let there = dial.me.fleet.as_ref().map(|f| f.known.borrow().clone()).unwrap_or_default();
-        let chosen = teachers.choose(now(), &there.there);
-        for who in chosen {
-            next += 1;
-            let (dial, learned, ended) = (dial.clone(), learned.clone(), ended_in.clone());
-            let from = next;
-            tokio::spawn(async move {
-                let end = match dial.to(who).await {
-                    Ok(stream) => {
-                        session::learn(stream, &dial.me, |way, told| {
-                            // Where weighing is behind, news is dropped; what counts is told again.
-                            let _ = learned.try_send(Learned { from, way, items: told.items });
-                        })
-                        .await
-                    }
-                    Err(end) => end,
-                };
-                let _ = ended.send((who, end));
-            });
-        }
+fn node_setup(
+    flags: &flags::Neighbours, config: &Config, local: Member, memory: &Memory, facts: &Facts,
+) -> Setup {
+    Setup {
+        me: local,
+        group: flags.papers.group.clone(),
+        size: flags.size,
+        seed: config.seed,
+        seeds: flags.seeds.clone(),
+        remembered: memory.seen().iter().map(|seen| seen.address).collect(),
+        agreed: memory.agreed().clone(),
+        facts: facts.clone(),
     }
 }
+
+/// Binds the listen address for datagrams (membership) and connections (observations).
+async fn bind(address: SocketAddr) -> Result<(UdpSocket, TcpListener), PeersError> {
+    let error = |source| PeersError::Bind { address, source };
+    let datagrams = UdpSocket::bind(address).await.map_err(error)?;
+    let listener = TcpListener::bind(address).await.map_err(error)?;
+    Ok((datagrams, listener))
+}
--- a/src/peers/rotation.rs
+++ b/src/peers/rotation.rs
@@ -1,4 +1,5 @@
-//! With whom to connect: some at a time, by luck, and one that has just ended not again at once. Without I/O.
+//! Selects which peers to connect to: a bounded number at a time, at random, and none again before its backoff has
+//! passed. Without I/O.
 use crate::fleet::members::MEMBERS_MOST;
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
@@ -6,42 +7,50 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// A neighbour that garbles, floods or is not trusted is left alone for so long, in seconds.
-pub const SHUNNED: f64 = 60.0;
-/// One that could not be reached, or that broke off, in seconds.
-pub const AGAIN: f64 = 1.0;
+/// Backoff for a peer that violates the protocol or is not trusted, in seconds: an operator has to act first, and each
+/// attempt costs both sides a handshake.
+pub const REJECTED_BACKOFF_SECS: f64 = 60.0;
+/// Backoff for a peer that could not be reached or whose connection closed, in seconds.
+pub const RECONNECT_BACKOFF_SECS: f64 = 1.0;
 
-/// Those connected with, and those to leave alone. Times in seconds of any clock that only moves forward.
+/// Peers with a connection, and peers in backoff. Times are in seconds of any monotonic clock.
 pub struct Rotation {
-    most: usize,
-    with: BTreeSet<SocketAddr>,
-    not_before: BTreeMap<SocketAddr, f64>,
+    max_connections: usize,
+    connected: BTreeSet<SocketAddr>,
+    backoff_until: BTreeMap<SocketAddr, f64>,
     random: StdRng,
 }
 
 impl Rotation {
-    /// With nobody yet, and with `most` at a time.
-    pub fn new(most: usize, seed: u64) -> Rotation {
-        let random = StdRng::seed_from_u64(seed);
-        Rotation { most, with: BTreeSet::new(), not_before: BTreeMap::new(), random }
+    /// No connections yet, and room for `max_connections`.
+    pub fn new(max_connections: usize, random_seed: u64) -> Rotation {
+        Rotation {
+            max_connections,
+            connected: BTreeSet::new(),
+            backoff_until: BTreeMap::new(),
+            random: StdRng::seed_from_u64(random_seed),
+        }
     }
 
-    /// With whom of these to connect now.
-    pub fn choose(&mut self, now: f64, of: impl Iterator<Item = SocketAddr>) -> Vec<SocketAddr> {
-        self.not_before.retain(|_, at| *at > now);
-        let may = |a: &SocketAddr| !self.with.contains(a) && !self.not_before.contains_key(a);
-        let free: Vec<SocketAddr> = of.filter(may).collect();
-        let room = self.most.saturating_sub(self.with.len());
-        let chosen: Vec<SocketAddr> = free.choose_multiple(&mut self.random, room).copied().collect();
-        self.with.extend(&chosen);
-        chosen
+    /// Selects the peers to connect to now, and counts them as connected.
+    pub fn select(&mut self, now: f64, candidates: impl Iterator<Item = SocketAddr>) -> Vec<SocketAddr> {
+        self.backoff_until.retain(|_, until| *until > now);
+        let is_eligible =
+            |peer: &SocketAddr| !self.connected.contains(peer) && !self.backoff_until.contains_key(peer);
+        let eligible: Vec<SocketAddr> = candidates.filter(is_eligible).collect();
+        let capacity = self.max_connections.saturating_sub(self.connected.len());
+        let selected: Vec<SocketAddr> =
+            eligible.choose_multiple(&mut self.random, capacity).copied().collect();
+        self.connected.extend(&selected);
+        selected
     }
 
-    /// A connection has ended; the next to the same one is made after `pause` seconds.
-    pub fn ended(&mut self, now: f64, who: SocketAddr, pause: f64) {
-        self.with.remove(&who);
-        if self.not_before.len() < MEMBERS_MOST {
-            self.not_before.insert(who, now + pause);
+    /// The connection to `peer` has ended; the next one is made `backoff` seconds later at the earliest.
+    pub fn release(&mut self, now: f64, peer: SocketAddr, backoff: f64) {
+        self.connected.remove(&peer);
+        // Bounded: beyond that a peer is merely contacted again sooner.
+        if self.backoff_until.len() < MEMBERS_MOST {
+            self.backoff_until.insert(peer, now + backoff);
         }
     }
 }
--- a/src/peers/sources.rs
+++ b/src/peers/sources.rs
@@ -1,34 +1,37 @@
-//! From whom to learn.
+//! Selects the peers from which this forwarder receives observations.
 use super::rotation::Rotation;
 use crate::fleet::members::Member;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// A forwarder learns from so many at once: three views are enough to start from, and each costs its teacher little.
+/// Sources at a time: three independent views are enough to start from, and each costs its publisher little.
 pub const MAX_SOURCES: usize = 3;
-/// From whom to learn: some of those that are there, chosen anew when one ends.
+
+/// The current sources and the candidates for the next ones. Times are in seconds of any monotonic clock.
 pub struct Sources {
     seeds: Vec<SocketAddr>,
-    me: SocketAddr,
-    turns: Rotation,
+    local_address: SocketAddr,
+    rotation: Rotation,
 }
 
 impl Sources {
-    /// `seeds` are tried from the start: who waits for membership to settle has learned everything the hard way.
-    pub fn new(me: SocketAddr, seeds: Vec<SocketAddr>, seed: u64) -> Sources {
-        Sources { seeds, me, turns: Rotation::new(MAX_SOURCES, seed) }
+    /// Seeds are candidates from the start: a forwarder that waited for membership to settle would by then have met
+    /// every outage with calls of its own.
+    pub fn new(local_address: SocketAddr, seeds: Vec<SocketAddr>, random_seed: u64) -> Sources {
+        Sources { seeds, local_address, rotation: Rotation::new(MAX_SOURCES, random_seed) }
     }
 
-    /// To whom to connect now; `now` in seconds of any clock that only moves forward.
-    pub fn choose(&mut self, now: f64, members: &[Member]) -> Vec<SocketAddr> {
-        let known: BTreeSet<SocketAddr> =
-            members.iter().map(|m| m.address).chain(self.seeds.clone()).collect();
-        self.turns.choose(now, known.into_iter().filter(|a| *a != self.me))
+    /// Selects the peers to connect to now.
+    pub fn select(&mut self, now: f64, members: &[Member]) -> Vec<SocketAddr> {
+        let mut candidates: BTreeSet<SocketAddr> = members.iter().map(|member| member.address).collect();
+        candidates.extend(&self.seeds);
+        candidates.remove(&self.local_address);
+        self.rotation.select(now, candidates.into_iter())
     }
 
-    /// The connection has ended; the next to this one is made after `pause` seconds.
-    pub fn ended(&mut self, now: f64, who: SocketAddr, pause: f64) {
-        self.turns.ended(now, who, pause);
+    /// The session with `peer` has ended; the next one begins `backoff` seconds later at the earliest.
+    pub fn release(&mut self, now: f64, peer: SocketAddr, backoff: f64) {
+        self.rotation.release(now, peer, backoff);
     }
 }
 
--- a/src/peers/sources/tests.rs
+++ b/src/peers/sources/tests.rs
@@ -1,23 +1,23 @@
-//! Tests of `teachers`.
+//! Tests of `sources`.
 use super::*;
 use crate::fleet::members::tests::{address, member};
-use crate::peers::rotation::SHUNNED;
+use crate::peers::rotation::REJECTED_BACKOFF_SECS;
 
 #[test]
-fn three_teach_and_one_that_ended_is_left_alone_for_a_while() {
-    let mut teachers = Sources::new(address(0), vec![address(1), address(0)], 7);
-    assert_eq!(teachers.choose(0.0, &[]), [address(1)], "seeds are there from the start");
+fn three_sources_at_a_time_and_none_in_backoff() {
+    let mut sources = Sources::new(address(0), vec![address(1), address(0)], 7);
+    assert_eq!(sources.select(0.0, &[]), [address(1)], "seeds are candidates from the start");
     let members: Vec<Member> = (0..9).map(|n| member(n, 1)).collect();
-    let chosen = teachers.choose(0.0, &members);
-    assert_eq!(chosen.len(), MAX_SOURCES - 1);
-    assert!(!chosen.contains(&address(0)) && !chosen.contains(&address(1)));
-    assert!(teachers.choose(0.1, &members).is_empty());
-    teachers.ended(1.0, address(1), SHUNNED);
+    let selected = sources.select(0.0, &members);
+    assert_eq!(selected.len(), MAX_SOURCES - 1);
+    assert!(!selected.contains(&address(0)) && !selected.contains(&address(1)));
+    assert!(sources.select(0.1, &members).is_empty());
+    sources.release(1.0, address(1), REJECTED_BACKOFF_SECS);
     for n in 0..50 {
         let now = 1.0 + f64::from(n);
-        for one in teachers.choose(now, &members) {
-            assert_ne!(one, address(1));
-            teachers.ended(now, one, 0.0);
+        for peer in sources.select(now, &members) {
+            assert_ne!(peer, address(1));
+            sources.release(now, peer, 0.0);
         }
     }
 }
--- a/tests/fleet_view.rs
+++ b/tests/fleet_view.rs
@@ -164,5 +164,5 @@
         names.map(|e| e.expect("an entry").file_name().to_string_lossy().into()).collect();
     // The journal, and the lock of whoever owns it.
     assert_eq!(names.iter().map(String::as_str).collect::<Vec<_>>(), ["journal", "owner"]);
-    assert!(!daemon.log().contains("neighbour"));
+    assert!(!daemon.log().contains("neighbour") && !daemon.log().contains("peers"));
 }
--- a/tests/net_rig.rs
+++ b/tests/net_rig.rs
@@ -1,5 +1,5 @@
-//! The rig of the fleet's tests (`net`): that its links do what they are told; and, by a command of its own, what today's
-//! program does on it.
+//! Tests of the fleet's test network (`net`): its links fail as configured; and, by a command of its own, a measurement
+//! of the fleet on it.
 mod net;
 mod peers_common;
 mod stand;
@@ -8,40 +8,40 @@
 
 const SOON: Duration = Duration::from_secs(20);
 
-/// A cut between two halves is a cut: each half is alone, and all are there again once it heals.
+/// A partition separates two halves: each sees only itself, and all members are present again once it heals.
 #[test]
-fn a_cut_parts_the_fleet_and_ends() {
+fn a_partition_separates_the_fleet_and_heals() {
     let mut fleet = Fleet::start(1, 4, &[0, 1]);
     let all: Vec<usize> = (0..4).collect();
     assert!(
         fleet.agree(&all, SOON).is_some(),
-        "they find each other through the relays\n{}",
+        "they discover each other through the relays\n{}",
         fleet.timeline()
     );
     fleet.cut(&[0, 2], &[1, 3]);
     assert!(fleet.agree(&[0, 2], SOON).is_some(), "one half alone\n{}", fleet.timeline());
     assert!(fleet.agree(&[1, 3], SOON).is_some(), "the other\n{}", fleet.timeline());
     let healed = fleet.heal();
-    let settled = fleet.agree(&all, SOON).expect("they find each other again");
+    let settled = fleet.agree(&all, SOON).expect("they discover each other again");
     assert!(settled > healed);
 }
 
-/// A reset ends the connections that stand, a cut after so many bytes one in the midst of a frame, and both are made anew.
+/// A reset ends the established connections, a byte limit ends one in the middle of a frame, and both are opened again.
 #[test]
-fn connections_are_reset_and_cut_in_mid_frame() {
+fn connections_are_reset_and_ended_within_a_frame() {
     let mut fleet = Fleet::start(2, 2, &[0, 1]);
     assert!(fleet.agree(&[0, 1], SOON).is_some(), "{}", fleet.timeline());
-    let over = "neighbours: learning from";
+    let session_ended = "peer exchange: session with source ";
     fleet.reset();
-    fleet.members[0].wait_log(over);
+    fleet.members[0].wait_log(session_ended);
     let before = fleet.members[1].log().len();
-    // Less than the handshake takes: whoever comes anew is cut off in its midst.
+    // Less than the handshake takes: a new connection ends within it.
     fleet.set(&[0], &[1], Link { bytes_left: Some(100), ..Link::default() });
     fleet.reset();
-    fleet.members[1].wait_log_from(before, "is not taught");
+    fleet.members[1].wait_log_from(before, "peer exchange: rejected subscriber ");
 }
 
-/// Minimum, median and maximum of what was measured, and how often it did not come about.
+/// Prints minimum, median and maximum of a measurement, and in how many runs the event occurred.
 fn row(what: &str, count: usize, mut got: Vec<Option<f64>>) {
     let runs = got.len();
     got.retain(Option::is_some);
@@ -60,7 +60,7 @@
 }
 
 /// `MEMBERS=3,12 SEEDS=1,2,3 cargo test --release --test net_rig -- --ignored --nocapture`: how long the fleet's view
-/// takes to know a join, a crash and a leave, and to settle after troubles.
+/// takes to know a join, a crash and a leave, and to settle after faults.
 #[test]
 #[ignore = "a measurement of minutes, not a test"]
 fn measure() {
--- a/tests/peers_benefit.rs
+++ b/tests/peers_benefit.rs
@@ -6,7 +6,7 @@
 //! `SEEDS` names how many runs of each (20). Runs go four at a time, which four cores bear.
 mod peers_common;
 mod stand;
-use peers_common::{place, Authority};
+use peers_common::{free_address, Authority};
 use stand::*;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
@@ -63,7 +63,7 @@
     let endpoints: Vec<_> = partners.iter().enumerate().map(|(n, p)| (n as u64, p.0.addr)).collect();
     let known = list(1, &endpoints);
     let disco = discovery(known.clone());
-    let places = [place(), place(), place()];
+    let places = [free_address(), free_address(), free_address()];
     let names = ["a", "b", "c"];
     let mut daemons: Vec<Daemon> = (0..3)
         .map(|n| {
--- a/tests/peers_common/mod.rs
+++ b/tests/peers_common/mod.rs
@@ -1,11 +1,11 @@
-//! The certificates of forwarders that learn from each other, and the flags that name them.
+//! Certificates for forwarders that exchange observations, and the flags that name them.
 #![allow(dead_code)]
 use crate::stand::free_place;
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// An authority and the folder in which its forwarders' files lie.
+/// A certificate authority, with the folder of its forwarders' files.
 pub struct Authority {
     folder: tempfile::TempDir,
     issuer: Issuer<'static, KeyPair>,
@@ -57,6 +57,6 @@
     }
 }
 
-pub fn place() -> SocketAddr {
+pub fn free_address() -> SocketAddr {
     free_place()
 }
