--- a/benches/held.rs
+++ b/benches/held.rs
@@ -3,11 +3,11 @@
 //!
 //! `cargo bench --bench held` takes about a minute and 3 GB.
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
-use micaladder::core::{Answer, Core, Endpoint, Input, Output};
-use micaladder::journal::{Disk, Journal, Tail};
+use micaladder::core::{Answer, Core, CoreOptions, Endpoint, Input, Output, Predecessor};
+use micaladder::journal::{Disk, FileWriter, Journal};
 use micaladder::plugins::Plugins;
 use micaladder::request::RequestContext;
-use micaladder::settings::Site;
+use micaladder::settings::DeploymentSettings;
 use micaladder::{
     Class, Effect, EndpointKind, EndpointState, IdempotencyScope, ListedRates, MessageId, Nanos, Outcome,
     Settings, ValueDecay,
@@ -28,10 +28,10 @@
     fn read(&self, _: &str) -> io::Result<Option<Vec<u8>>> {
         Ok(None)
     }
-    fn open(&self, _: &str) -> io::Result<Box<dyn Tail>> {
+    fn open_append(&self, _: &str) -> io::Result<Box<dyn FileWriter>> {
         Ok(Box::new(Nowhere))
     }
-    fn create(&self, _: &str) -> io::Result<Box<dyn Tail>> {
+    fn create(&self, _: &str) -> io::Result<Box<dyn FileWriter>> {
         Ok(Box::new(Nowhere))
     }
     fn rename(&self, _: &str, _: &str) -> io::Result<()> {
@@ -42,11 +42,11 @@
     }
 }
 
-impl Tail for Nowhere {
+impl FileWriter for Nowhere {
     fn append(&mut self, _: &[u8]) -> io::Result<()> {
         Ok(())
     }
-    fn cut(&mut self, _: u64) -> io::Result<()> {
+    fn truncate(&mut self, _: u64) -> io::Result<()> {
         Ok(())
     }
 }
@@ -63,7 +63,7 @@
     }
 }
 
-fn site(max_pending: usize) -> Arc<Site> {
+fn site(max_pending: usize) -> Arc<DeploymentSettings> {
     let window = Nanos::from_secs(1e6);
     let classes = vec![
         class(Effect::IdempotentByKey { scope: IdempotencyScope::AllEndpoints, window }, true),
@@ -86,7 +86,7 @@
     };
     let (tenants, zones, kinds) = (vec!["t".into()], vec!["z".into()], vec!["k".into()]);
     let connect_timeout = Nanos::from_secs(1.0);
-    Arc::new(Site { module, classes: names, tenants, zones, kinds, connect_timeout })
+    Arc::new(DeploymentSettings { module, classes: names, tenants, zones, kinds, connect_timeout })
 }
 
 struct World {
@@ -100,8 +100,17 @@
 impl World {
     fn new(held: usize, max_pending: usize) -> World {
         let now = Nanos::from_secs(1000.0);
-        let journal = Journal::on(Box::new(Nowhere), 1 << 50).expect("it takes everything");
-        let core = Core::new(&site(max_pending), 7, Vec::new(), Plugins::none(), journal, false, now);
+        let (journal, records) = Journal::open_on(Box::new(Nowhere), 1 << 50).expect("it takes everything");
+        let core = Core::new(CoreOptions {
+            site: site(max_pending),
+            seed: 7,
+            static_endpoints: Vec::new(),
+            plugins: Plugins::none(),
+            journal,
+            records,
+            predecessor: Predecessor::None,
+            now,
+        });
         let mut world = World { core, now, next: 0, out: VecDeque::new(), heard: Vec::new() };
         let member = |dest: u64| Endpoint {
             uid: format!("s-{dest}"),
@@ -112,7 +121,7 @@
             state: EndpointState::Running,
             rate: 50.0,
         };
-        world.step(vec![Input::Endpoints { complete: true, members: (0..PARTNERS).map(member).collect() }]);
+        world.step(vec![Input::Endpoints { complete: true, endpoints: (0..PARTNERS).map(member).collect() }]);
         for _ in 0..held.div_ceil(1000) {
             let inputs = (0..1000.min(held)).map(|_| world.hand_in()).collect();
             world.step(inputs);
@@ -125,18 +134,18 @@
         self.next += 1;
         let (name, class) = (format!("m{}", self.next), (self.next % 3) as usize);
         // Ten of a key wait behind each other.
-        let key = (class == 0).then_some(self.next / 30);
-        let repeat_key = if class == 0 { format!("key-{name}") } else { String::new() };
+        let ordering_key = (class == 0).then_some(self.next / 30);
+        let idempotency_key = if class == 0 { format!("key-{name}") } else { String::new() };
         let deadline = self.now + Nanos::from_secs(9e5);
         let context = RequestContext {
             name,
             origin: String::new(),
             class,
             tenant: 0,
-            key,
+            ordering_key,
             dest: self.next % PARTNERS,
             deadline,
-            repeat_key,
+            idempotency_key,
             body: Vec::new().into(),
             tags: Vec::new(),
         };
--- a/src/peers/authentication.rs
+++ b/src/peers/authentication.rs
@@ -5,8 +5,8 @@
 use super::error::SessionEnd;
 use super::rotation::{Rotation, RECONNECT_BACKOFF_SECS, REJECTED_BACKOFF_SECS};
 use super::session;
-use crate::fleet::gossip::Known;
-use crate::fleet::members::Member;
+use crate::fleet::gossip::KnownMembers;
+use crate::fleet::member::Member;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -49,7 +49,7 @@
 }
 
 /// Visits unauthenticated members for as long as the process runs.
-pub async fn run(connector: Connector, known: watch::Receiver<Arc<Known>>, random_seed: u64) {
+pub async fn run(connector: Connector, known: watch::Receiver<Arc<KnownMembers>>, random_seed: u64) {
     let start = Instant::now();
     let mut schedule = VisitSchedule::new(random_seed);
     let (ended_tx, mut ended_rx) = mpsc::unbounded_channel();
@@ -58,7 +58,7 @@
     loop {
         tokio::select! {
             _ = ticks.tick() => {
-                let unauthenticated = known.borrow().unshown.clone();
+                let unauthenticated = known.borrow().unauthenticated.clone();
                 let now = start.elapsed().as_secs_f64();
                 for member in schedule.select(now, &unauthenticated) {
                     tokio::spawn(visit(connector.clone(), member, ended_tx.clone()));
--- a/src/peers/authentication/tests.rs
+++ b/src/peers/authentication/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of `authentication`.
 use super::*;
-use crate::fleet::members::tests::member;
+use crate::fleet::member::tests::member;
 
 #[test]
 fn all_members_are_visited_a_few_at_a_time_and_none_twice_at_once() {
--- a/src/peers/credentials.rs
+++ b/src/peers/credentials.rs
@@ -96,7 +96,7 @@
 
 impl CredentialFiles {
     /// The files that the command line names; none unless it names all of them.
-    pub fn from_flags(flags: &flags::Papers) -> Option<CredentialFiles> {
+    pub fn from_flags(flags: &flags::PeerIdentityFlags) -> Option<CredentialFiles> {
         Some(CredentialFiles {
             certificate: flags.certificate.clone()?,
             key: flags.key.clone()?,
@@ -176,7 +176,7 @@
 }
 
 fn file_error(path: &Path, what: &dyn Display) -> ConfigError {
-    ConfigError { file: path.into(), key: String::new(), what: what.to_string() }
+    ConfigError { file: path.into(), key: String::new(), message: what.to_string() }
 }
 
 #[cfg(test)]
--- a/src/peers/error.rs
+++ b/src/peers/error.rs
@@ -1,6 +1,7 @@
 //! Errors of the peer exchange: why it could not start, and why a session with a peer ended.
 use super::frame::FrameError;
 use crate::config_error::ConfigError;
+use crate::fleet::error::FleetError;
 use std::net::SocketAddr;
 
 /// Why the peer exchange is not running. The forwarder serves without it.
@@ -80,9 +81,12 @@
     /// This process is shutting down.
     #[error("this forwarder is shutting down")]
     ShuttingDown,
-    /// This forwarder is not a member of the fleet any more, and so has no view of it.
-    #[error("this forwarder has left the fleet")]
-    LeftFleet,
+    /// A client, which is not a member of the fleet, was asked for a view.
+    #[error("this process is not a member of the fleet")]
+    NotAMember,
+    /// The fleet gives no view.
+    #[error("{0}")]
+    Fleet(FleetError),
     /// The view of the fleet cannot be serialized.
     #[error("{0}")]
     Serialize(serde_json::Error),
--- a/src/peers/inspect.rs
+++ b/src/peers/inspect.rs
@@ -5,8 +5,8 @@
 use super::error::SessionEnd;
 use super::session::{self, LocalIdentity, WatchControl};
 use crate::flags;
-use crate::fleet::sides::Side;
-use crate::fleet::view::{Line, State, View};
+use crate::fleet::partition::PartitionSide;
+use crate::fleet::view::{FleetView, MemberState, MemberView};
 use std::io::Write;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::process::ExitCode;
@@ -19,8 +19,8 @@
 const EXIT_NO_ANSWER: u8 = 3;
 
 /// Prints the fleet's view once, or each time that it has changed, with `watch` as the pause between two requests.
-pub async fn run(flags: &flags::Look, watch: Option<Duration>) -> ExitCode {
-    let credentials = match CredentialFiles::from_flags(&flags.papers).map(Credentials::new) {
+pub async fn run(flags: &flags::FleetQueryFlags, watch: Option<Duration>) -> ExitCode {
+    let credentials = match CredentialFiles::from_flags(&flags.identity).map(Credentials::new) {
         Some(Ok(credentials)) => Arc::new(credentials),
         Some(Err(error)) => {
             eprintln!("{error}");
@@ -28,7 +28,7 @@
         }
         None => return ExitCode::from(EXIT_INVALID_FLAGS),
     };
-    let identity = LocalIdentity { name: "fleet".into(), group: flags.papers.group.clone(), fleet: None };
+    let identity = LocalIdentity { name: "fleet".into(), group: flags.identity.group.clone(), fleet: None };
     let connector = Connector { source: IpAddr::V4(Ipv4Addr::UNSPECIFIED), credentials, identity };
     let mut printer = ViewPrinter { json: flags.json, watch, last: None, output: Output::Open };
     loop {
@@ -84,7 +84,7 @@
 }
 
 impl ViewPrinter {
-    fn print_if_changed(&mut self, view: &View) -> WatchControl {
+    fn print_if_changed(&mut self, view: &FleetView) -> WatchControl {
         let summary = ViewSummary::of(view);
         if self.last.as_ref() != Some(&summary) {
             let written = std::io::stdout().write_all(self.format(view).as_bytes());
@@ -97,7 +97,7 @@
         }
     }
 
-    fn format(&self, view: &View) -> String {
+    fn format(&self, view: &FleetView) -> String {
         match self.json {
             // Serializing to memory fails for no view.
             true => serde_json::to_string(view).unwrap_or_default() + "\n",
@@ -112,7 +112,7 @@
     observer: String,
     digest: String,
     agreed: bool,
-    side: Side,
+    side: PartitionSide,
     members: Vec<MemberSummary>,
 }
 
@@ -121,7 +121,7 @@
     name: String,
     address: String,
     incarnation: u64,
-    state: State,
+    state: MemberState,
     counted: bool,
     settings_digest: String,
     settings_epoch: u64,
@@ -129,9 +129,9 @@
 }
 
 impl ViewSummary {
-    fn of(view: &View) -> ViewSummary {
+    fn of(view: &FleetView) -> ViewSummary {
         ViewSummary {
-            observer: view.of.clone(),
+            observer: view.observer.clone(),
             digest: view.digest.clone(),
             agreed: view.agreed,
             side: view.side,
@@ -141,16 +141,16 @@
 }
 
 impl MemberSummary {
-    fn of(member: &Line) -> MemberSummary {
+    fn of(member: &MemberView) -> MemberSummary {
         MemberSummary {
             name: member.name.clone(),
             address: member.address.clone(),
-            incarnation: member.life,
+            incarnation: member.incarnation,
             state: member.state,
-            counted: member.counts,
-            settings_digest: member.config.clone(),
-            settings_epoch: member.epoch,
-            list_version: member.list,
+            counted: member.counted,
+            settings_digest: member.settings_digest.clone(),
+            settings_epoch: member.settings_epoch,
+            list_version: member.list_version,
         }
     }
 }
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -6,7 +6,7 @@
 //! decides what counts of it, and hands it to the exchange as an input like any other; nothing in the forwarder waits
 //! for a peer. `inspect` is the client behind `micaladder fleet`.
 //!
-//! Off unless a listen address is configured. `docs/design/neighbours.md` has the reasons, `docs/operate/neighbours.md`
+//! Off unless a listen address is configured. `docs/design/peers.md` has the reasons, `docs/operate/peers.md`
 //! the operation.
 #![warn(missing_docs)]
 mod acceptor;
@@ -31,11 +31,11 @@
 use crate::clock;
 use crate::exchange::Exchange;
 use crate::flags;
-use crate::fleet::gossip::{self, Fleet, Wishes};
-use crate::fleet::members::{Member, NAME_MOST};
-use crate::fleet::memory::Memory;
-use crate::fleet::node::{Node, Setup};
-use crate::fleet::wire::Facts;
+use crate::fleet::gossip::{self, DriverChannels, FleetHandle};
+use crate::fleet::member::{Member, MAX_NAME_BYTES};
+use crate::fleet::node::{Node, NodeConfig};
+use crate::fleet::snapshot::SnapshotStore;
+use crate::fleet::wire::Attributes;
 use crate::journal;
 use crate::settings::Config;
 use connect::Connector;
@@ -69,8 +69,8 @@
 /// Starts membership and the exchange with peers; returns at once, with a handle to the fleet. None if it is not
 /// configured, or cannot start: that is logged, and the forwarder serves without.
 pub fn start(
-    flags: &flags::Neighbours, config: &Config, exchange: &Exchange, changes: LocalChanges,
-) -> Option<Fleet> {
+    flags: &flags::PeerFlags, config: &Config, exchange: &Exchange, changes: LocalChanges,
+) -> Option<FleetHandle> {
     let listen = flags.listen?;
     match PeerExchange::prepare(listen, flags, config, changes) {
         Ok(prepared) => {
@@ -96,37 +96,37 @@
     seeds: Vec<SocketAddr>,
     random_seed: u64,
     connector: Connector,
-    fleet: Fleet,
-    wishes: Wishes,
-    node_setup: Setup,
-    memory: Memory,
-    facts: Facts,
+    fleet: FleetHandle,
+    channels: DriverChannels,
+    node_config: NodeConfig,
+    snapshots: SnapshotStore,
+    attributes: Attributes,
     changes: LocalChanges,
 }
 
 impl PeerExchange {
     fn prepare(
-        listen: SocketAddr, flags: &flags::Neighbours, config: &Config, changes: LocalChanges,
+        listen: SocketAddr, flags: &flags::PeerFlags, config: &Config, changes: LocalChanges,
     ) -> Result<PeerExchange, PeersError> {
-        let files = CredentialFiles::from_flags(&flags.papers).ok_or(PeersError::MissingCredentials)?;
+        let files = CredentialFiles::from_flags(&flags.identity).ok_or(PeersError::MissingCredentials)?;
         let credentials = Arc::new(Credentials::new(files).map_err(PeersError::Credentials)?);
-        let disk = journal::on(&config.state).map_err(PeersError::StateFolder)?;
-        if config.name.len() > NAME_MOST {
-            return Err(PeersError::NameTooLong { length: config.name.len(), max: NAME_MOST });
+        let disk = journal::open_disk(&config.state_dir).map_err(PeersError::StateFolder)?;
+        if config.name.len() > MAX_NAME_BYTES {
+            return Err(PeersError::NameTooLong { length: config.name.len(), max: MAX_NAME_BYTES });
         }
-        let mut memory = Memory::open(disk, config.disk);
+        let mut snapshots = SnapshotStore::open(disk, config.disk_limit);
         let started = clock::now();
         // The incarnation on disk is raised. The clock is read only where there is none, and stays above it.
-        let incarnation = memory.begin(started.0 / NANOS_PER_MILLI);
+        let incarnation = snapshots.begin_incarnation(started.0 / NANOS_PER_MILLI);
         let advertised = flags.advertise.unwrap_or(listen);
         let local = Member { address: advertised, name: config.name.clone(), incarnation };
         let list_version = *changes.list_version.borrow();
-        let facts = attributes::at_start(config, list_version, started.0 / NANOS_PER_SEC);
-        let node_setup = node_setup(flags, config, local, &memory, &facts);
-        let (fleet, wishes) = Fleet::new();
+        let attributes = attributes::at_start(config, list_version, started.0 / NANOS_PER_SEC);
+        let node_config = node_config(flags, config, local, &snapshots, &attributes);
+        let (fleet, channels) = FleetHandle::new();
         let identity = LocalIdentity {
             name: config.name.clone(),
-            group: flags.papers.group.clone(),
+            group: flags.identity.group.clone(),
             fleet: Some(fleet.clone()),
         };
         Ok(PeerExchange {
@@ -136,10 +136,10 @@
             random_seed: config.seed,
             connector: Connector { source: listen.ip(), credentials, identity },
             fleet,
-            wishes,
-            node_setup,
-            memory,
-            facts,
+            channels,
+            node_config,
+            snapshots,
+            attributes,
             changes,
         })
     }
@@ -157,28 +157,29 @@
         tokio::spawn(subscriptions::aggregate(exchange, batches));
         let Connector { credentials, identity, .. } = self.connector.clone();
         tokio::spawn(acceptor::run(listener, credentials, identity, collected));
-        let node = Node::new(self.node_setup, Duration::ZERO);
-        tokio::spawn(gossip::run(datagrams, node, Instant::now(), self.memory, self.wishes));
-        let known = self.fleet.known.clone();
-        tokio::spawn(attributes::publish_changes(self.fleet, self.facts, self.changes));
+        let node = Node::new(self.node_config, Duration::ZERO);
+        tokio::spawn(gossip::run(datagrams, node, Instant::now(), self.snapshots, self.channels));
+        let known = self.fleet.known_members.clone();
+        tokio::spawn(attributes::publish_changes(self.fleet, self.attributes, self.changes));
         tokio::spawn(authentication::run(self.connector.clone(), known.clone(), self.random_seed));
         let sources = Sources::new(self.advertised, self.seeds, self.random_seed);
         subscriptions::run(sources, known, self.connector, batches_tx).await;
     }
 }
 
-fn node_setup(
-    flags: &flags::Neighbours, config: &Config, local: Member, memory: &Memory, facts: &Facts,
-) -> Setup {
-    Setup {
-        me: local,
-        group: flags.papers.group.clone(),
-        size: flags.size,
-        seed: config.seed,
-        seeds: flags.seeds.clone(),
-        remembered: memory.seen().iter().map(|seen| seen.address).collect(),
-        agreed: memory.agreed().clone(),
-        facts: facts.clone(),
+fn node_config(
+    flags: &flags::PeerFlags, config: &Config, local: Member, snapshots: &SnapshotStore,
+    attributes: &Attributes,
+) -> NodeConfig {
+    NodeConfig {
+        local,
+        group: flags.identity.group.clone(),
+        expected_members: flags.size,
+        random_seed: config.seed,
+        seed_addresses: flags.seeds.clone(),
+        remembered_addresses: snapshots.known_members().iter().map(|member| member.address).collect(),
+        agreed_fleet: snapshots.agreed_fleet().clone(),
+        attributes: attributes.clone(),
     }
 }
 
--- a/src/peers/rotation.rs
+++ b/src/peers/rotation.rs
@@ -1,6 +1,6 @@
 //! Selects which peers to connect to: a bounded number at a time, at random, and none again before its backoff has
 //! passed. Without I/O.
-use crate::fleet::members::MEMBERS_MOST;
+use crate::fleet::member::MAX_MEMBERS;
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::SeedableRng;
@@ -49,7 +49,7 @@
     pub fn release(&mut self, now: f64, peer: SocketAddr, backoff: f64) {
         self.connected.remove(&peer);
         // Bounded: beyond that a peer is merely contacted again sooner.
-        if self.backoff_until.len() < MEMBERS_MOST {
+        if self.backoff_until.len() < MAX_MEMBERS {
             self.backoff_until.insert(peer, now + backoff);
         }
     }
--- a/src/peers/session.rs
+++ b/src/peers/session.rs
@@ -12,8 +12,8 @@
 
 use super::error::{CloseReason, RejectReason, SessionEnd};
 use super::frame::{self, FrameReader, MemberIdentity, Message};
-use crate::fleet::gossip::Fleet;
-use crate::fleet::members::Member;
+use crate::fleet::gossip::FleetHandle;
+use crate::fleet::member::Member;
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::time::{timeout, Instant};
@@ -40,12 +40,12 @@
     /// Its group; sessions with peers of another group are rejected.
     pub group: String,
     /// Its membership of the fleet; none for a client that only inspects.
-    pub fleet: Option<Fleet>,
+    pub fleet: Option<FleetHandle>,
 }
 
 impl LocalIdentity {
     fn hello(&self) -> Message {
-        let local = self.fleet.as_ref().and_then(|fleet| fleet.known.borrow().me.clone());
+        let local = self.fleet.as_ref().and_then(|fleet| fleet.known_members.borrow().local.clone());
         let member = local.map(|m| MemberIdentity { address: m.address, incarnation: m.incarnation });
         Message::Hello { name: self.name.clone(), group: self.group.clone(), member }
     }
@@ -53,7 +53,7 @@
     /// Tells the fleet that this peer has proved its identity with a certificate: only such members count.
     async fn mark_authenticated(&self, peer: &RemoteIdentity) {
         if let (Some(fleet), Some(MemberIdentity { address, incarnation })) = (&self.fleet, peer.member) {
-            fleet.shown(Member { address, name: peer.name.clone(), incarnation }).await;
+            fleet.mark_authenticated(Member { address, name: peer.name.clone(), incarnation }).await;
         }
     }
 }
--- a/src/peers/session/client.rs
+++ b/src/peers/session/client.rs
@@ -1,6 +1,6 @@
 //! Short sessions: mutual authentication alone, and reading a member's view of the fleet.
 use super::{write_message, LocalIdentity, MessageReader, SILENCE_TIMEOUT};
-use crate::fleet::view::View;
+use crate::fleet::view::FleetView;
 use crate::peers::error::{CloseReason, RejectReason, SessionEnd};
 use crate::peers::frame::Message;
 use std::time::Duration;
@@ -40,7 +40,7 @@
 ///
 /// Why the session ended before that.
 pub async fn watch_view<S: AsyncRead + AsyncWrite>(
-    stream: S, local: &LocalIdentity, mut on_view: impl FnMut(View) -> WatchControl, pause: Duration,
+    stream: S, local: &LocalIdentity, mut on_view: impl FnMut(FleetView) -> WatchControl, pause: Duration,
 ) -> Result<(), SessionEnd> {
     let (read_half, mut writer) = tokio::io::split(stream);
     let mut reader = MessageReader::new(read_half);
--- a/src/peers/session/publisher.rs
+++ b/src/peers/session/publisher.rs
@@ -143,11 +143,8 @@
     }
 
     async fn send_view(&mut self) -> Result<(), SessionEnd> {
-        let view = match &self.local.fleet {
-            Some(fleet) => fleet.view().await,
-            None => None,
-        };
-        let view = view.ok_or(CloseReason::LeftFleet)?;
+        let fleet = self.local.fleet.as_ref().ok_or(CloseReason::NotAMember)?;
+        let view = fleet.view().await.map_err(CloseReason::Fleet)?;
         let text = serde_json::to_string(&view).map_err(CloseReason::Serialize)?;
         for part in frame::split_view(&text) {
             write_message(&mut self.writer, &part).await?;
--- a/src/peers/sources.rs
+++ b/src/peers/sources.rs
@@ -1,6 +1,6 @@
 //! Selects the peers from which this forwarder receives observations.
 use super::rotation::Rotation;
-use crate::fleet::members::Member;
+use crate::fleet::member::Member;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
--- a/src/peers/sources/tests.rs
+++ b/src/peers/sources/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of `sources`.
 use super::*;
-use crate::fleet::members::tests::{address, member};
+use crate::fleet::member::tests::{address, member};
 use crate::peers::rotation::REJECTED_BACKOFF_SECS;
 
 #[test]
--- a/src/peers/subscriptions.rs
+++ b/src/peers/subscriptions.rs
@@ -9,7 +9,7 @@
 use super::REFRESH_INTERVAL;
 use crate::clock;
 use crate::exchange::Exchange;
-use crate::fleet::gossip::Known;
+use crate::fleet::gossip::KnownMembers;
 use crate::interface::Nanos;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -59,7 +59,7 @@
 
 /// Keeps sessions with sources for as long as the process runs.
 pub async fn run(
-    mut sources: Sources, known: watch::Receiver<Arc<Known>>, connector: Connector,
+    mut sources: Sources, known: watch::Receiver<Arc<KnownMembers>>, connector: Connector,
     batches: mpsc::Sender<ReceivedBatch>,
 ) {
     let start = Instant::now();
@@ -75,7 +75,7 @@
                 sources.release(start.elapsed().as_secs_f64(), address, backoff);
             }
         }
-        let members = known.borrow().there.clone();
+        let members = known.borrow().available.clone();
         for address in sources.select(start.elapsed().as_secs_f64(), &members) {
             last_peer += 1;
             let (connector, batches, ended) = (connector.clone(), batches.clone(), ended_tx.clone());
