--- a/tests/net_rig.rs
+++ b/tests/net_rig.rs
@@ -41,90 +41,132 @@
     fleet.members[1].wait_log_from(before, "peer exchange: rejected subscriber ");
 }
 
-/// Prints minimum, median and maximum of a measurement, and in how many runs the event occurred.
-fn row(what: &str, count: usize, mut got: Vec<Option<f64>>) {
-    let runs = got.len();
-    got.retain(Option::is_some);
-    let mut got: Vec<f64> = got.into_iter().flatten().collect();
-    got.sort_by(f64::total_cmp);
-    let spread = match got[..] {
+/// What is measured: an event, and the time until all members' views agree on it.
+const EVENTS: [&str; 8] = [
+    "all start",
+    "SIGKILL of one",
+    "its start",
+    "SIGTERM of one",
+    "its start after that",
+    "half cut off for 8 s: healed",
+    "half stopped for 8 s: continued",
+    "all killed, the seeds stay dead: found",
+];
+/// How long a fault lasts.
+const FAULT_DURATION: Duration = Duration::from_secs(8);
+/// How long the idle fleet is measured.
+const IDLE_DURATION: Duration = Duration::from_secs(5);
+
+/// Load of one member of an idle fleet.
+struct IdleLoad {
+    bytes_per_sec: f64,
+    cores: f64,
+}
+
+/// One run: for each of `EVENTS` the seconds until the views agreed, none if they did not.
+struct Run {
+    seconds: Vec<Option<f64>>,
+    idle: IdleLoad,
+}
+
+/// Seconds from an event until the views agreed; the event's own time may be recorded after its first effects.
+fn elapsed(event: f64, agreed: Option<f64>) -> Option<f64> {
+    agreed.map(|at| (at - event).max(0.0))
+}
+
+fn measure_idle(fleet: &Fleet) -> IdleLoad {
+    let (bytes, cpu, start) = (fleet.bytes(0), fleet.cpu(0), net::now());
+    std::thread::sleep(IDLE_DURATION);
+    IdleLoad {
+        bytes_per_sec: (fleet.bytes(0) - bytes) as f64 / (net::now() - start),
+        cores: (fleet.cpu(0) - cpu) / (net::now() - start),
+    }
+}
+
+fn measure_run(seed: u64, count: usize) -> Run {
+    let mut fleet = Fleet::start(seed, count, &[0, 1]);
+    let all: Vec<usize> = (0..count).collect();
+    let event = net::now();
+    let mut seconds = vec![elapsed(event, fleet.agree(&all, SOON))];
+    let idle = measure_idle(&fleet);
+    measure_restarts(&mut fleet, &all, &mut seconds);
+    measure_faults(&mut fleet, &all, &mut seconds);
+    for member in &all {
+        fleet.kill(*member);
+    }
+    let survivors = &all[2..];
+    let event = survivors.iter().map(|n| fleet.start_again(*n, false)).fold(0.0, f64::max);
+    seconds.push(elapsed(event, fleet.agree(survivors, SOON)));
+    Run { seconds, idle }
+}
+
+fn measure_restarts(fleet: &mut Fleet, all: &[usize], seconds: &mut Vec<Option<f64>>) {
+    let last = all.len() - 1;
+    let others = &all[..last];
+    let event = fleet.kill(last);
+    seconds.push(elapsed(event, fleet.agree(others, SOON)));
+    let event = fleet.start_again(last, false);
+    seconds.push(elapsed(event, fleet.agree(all, SOON)));
+    let event = fleet.terminate(last);
+    seconds.push(elapsed(event, fleet.agree(others, SOON)));
+    fleet.members[last].wait_end(SOON);
+    let event = fleet.start_again(last, false);
+    seconds.push(elapsed(event, fleet.agree(all, SOON)));
+}
+
+fn measure_faults(fleet: &mut Fleet, all: &[usize], seconds: &mut Vec<Option<f64>>) {
+    let (one, other) = all.split_at(all.len() / 2);
+    fleet.cut(one, other);
+    std::thread::sleep(FAULT_DURATION);
+    let event = fleet.heal();
+    seconds.push(elapsed(event, fleet.agree(all, SOON)));
+    for member in one {
+        fleet.stop(*member);
+    }
+    std::thread::sleep(FAULT_DURATION);
+    let event = one.iter().map(|n| fleet.go_on(*n)).fold(0.0, f64::max);
+    seconds.push(elapsed(event, fleet.agree(all, SOON)));
+}
+
+/// Prints minimum, median and maximum of the runs, and in how many the views agreed.
+fn print_row(event: &str, count: usize, runs: &[Option<f64>]) {
+    let mut seconds: Vec<f64> = runs.iter().copied().flatten().collect();
+    seconds.sort_by(f64::total_cmp);
+    let spread = match seconds[..] {
         [] => "never".to_string(),
-        _ => format!("{:.2} / {:.2} / {:.2} s", got[0], got[got.len() / 2], got[got.len() - 1]),
+        [first, .., last] => format!("{first:.2} / {:.2} / {last:.2} s", seconds[seconds.len() / 2]),
+        [only] => format!("{only:.2} / {only:.2} / {only:.2} s"),
     };
-    println!("| {what} | {count} | {spread} | {} of {runs} |", got.len());
+    println!("| {event} | {count} | {spread} | {} of {} |", seconds.len(), runs.len());
 }
 
-fn numbers(name: &str, usual: &[u64]) -> Vec<u64> {
-    let said = std::env::var(name).ok();
-    said.map_or(usual.to_vec(), |s| s.split(',').filter_map(|n| n.parse().ok()).collect())
+/// Numbers from an environment variable, separated by commas.
+fn numbers(variable: &str, default: &[u64]) -> Vec<u64> {
+    match std::env::var(variable) {
+        Ok(text) => text.split(',').filter_map(|number| number.parse().ok()).collect(),
+        Err(_) => default.to_vec(),
+    }
 }
 
 /// `MEMBERS=3,12 SEEDS=1,2,3 cargo test --release --test net_rig -- --ignored --nocapture`: how long the fleet's view
-/// takes to know a join, a crash and a leave, and to settle after faults.
+/// takes to show a join, a crash and a leave, and to settle after faults.
 #[test]
 #[ignore = "a measurement of minutes, not a test"]
 fn measure() {
     println!("| event | processes | known to all after (min / median / max) | came about |\n| --- | --- | --- | --- |");
-    for count in numbers("MEMBERS", &[3, 12]).into_iter().map(|n| n as usize) {
-        let mut rows: Vec<(&str, Vec<Option<f64>>)> = [
-            "all start",
-            "SIGKILL of one",
-            "its start",
-            "SIGTERM of one",
-            "its start after that",
-            "half cut off for 8 s: healed",
-            "half stand still for 8 s: gone on",
-            "all killed, the seeds stay dead: found",
-        ]
-        .map(|what| (what, Vec::new()))
-        .into();
-        let mut rest = Vec::new();
-        for seed in numbers("SEEDS", &[1, 2, 3]) {
-            let mut fleet = Fleet::start(seed, count, &[0, 1]);
-            let all: Vec<usize> = (0..count).collect();
-            let but_last = &all[..count - 1];
-            let began = net::now();
-            let took = |at: f64, done: Option<f64>| done.map(|d| (d - at).max(0.0));
-            let mut got = vec![took(began, fleet.agree(&all, SOON))];
-            let (bytes, cpu, at) = (fleet.bytes(0), fleet.cpu(0), net::now());
-            std::thread::sleep(Duration::from_secs(5));
-            rest.push((
-                (fleet.bytes(0) - bytes) as f64 / (net::now() - at),
-                (fleet.cpu(0) - cpu) / (net::now() - at),
-            ));
-            let at = fleet.kill(count - 1);
-            got.push(took(at, fleet.agree(but_last, SOON)));
-            let at = fleet.start_again(count - 1, false);
-            got.push(took(at, fleet.agree(&all, SOON)));
-            let at = fleet.terminate(count - 1);
-            got.push(took(at, fleet.agree(but_last, SOON)));
-            fleet.members[count - 1].wait_end(SOON);
-            let at = fleet.start_again(count - 1, false);
-            got.push(took(at, fleet.agree(&all, SOON)));
-            let (one, other) = all.split_at(count / 2);
-            fleet.cut(one, other);
-            std::thread::sleep(Duration::from_secs(8));
-            let at = fleet.heal();
-            got.push(took(at, fleet.agree(&all, SOON)));
-            for n in one {
-                fleet.stop(*n);
-            }
-            std::thread::sleep(Duration::from_secs(8));
-            let at = one.iter().map(|n| fleet.go_on(*n)).fold(0.0, f64::max);
-            got.push(took(at, fleet.agree(&all, SOON)));
-            for n in &all {
-                fleet.kill(*n);
-            }
-            let at = all[2..].iter().map(|n| fleet.start_again(*n, false)).fold(0.0, f64::max);
-            got.push(took(at, fleet.agree(&all[2..], SOON)));
-            rows.iter_mut().zip(got).for_each(|(row, got)| row.1.push(got));
+    for count in numbers("MEMBERS", &[3, 12]).into_iter().map(|count| count as usize) {
+        let seeds = numbers("SEEDS", &[1, 2, 3]);
+        let runs: Vec<Run> = seeds.into_iter().map(|seed| measure_run(seed, count)).collect();
+        for (index, event) in EVENTS.iter().enumerate() {
+            let seconds: Vec<Option<f64>> = runs.iter().map(|run| run.seconds[index]).collect();
+            print_row(event, count, &seconds);
         }
-        rows.into_iter().for_each(|(what, got)| row(what, count, got));
-        let mean = |of: fn(&(f64, f64)) -> f64| rest.iter().map(of).sum::<f64>() / rest.len() as f64;
+        let mean =
+            |of: fn(&IdleLoad) -> f64| runs.iter().map(|run| of(&run.idle)).sum::<f64>() / runs.len() as f64;
         println!(
-            "at rest, {count} processes: {:.0} bytes a second to a member, {:.4} of a core",
-            mean(|r| r.0),
-            mean(|r| r.1)
+            "idle, {count} processes: {:.0} bytes a second to a member, {:.4} of a core",
+            mean(|load| load.bytes_per_sec),
+            mean(|load| load.cores)
         );
     }
 }
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -2,7 +2,7 @@
 //! fail, ask for waits and recover.
 mod peers_common;
 mod stand;
-use peers_common::{free_address, Authority};
+use peers_common::Authority;
 use stand::*;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -42,7 +42,7 @@
     let (endpoint, fails) = failing_partner();
     let known = list(1, &[(7, endpoint.addr)]);
     let disco = discovery(known.clone());
-    let (at_a, at_b) = (free_address(), free_address());
+    let (at_a, at_b) = (free_place(), free_place());
     let _a = forwarder_with_outage(&authority, at_a, &disco, &known);
     authority.write("b", false);
     let flags = authority.flags("b", at_b, &[at_a]);
@@ -75,7 +75,7 @@
     });
     let known = list(1, &[(7, endpoint.addr)]);
     let disco = discovery(known.clone());
-    let (at_a, at_b) = (free_address(), free_address());
+    let (at_a, at_b) = (free_place(), free_place());
     authority.write("a", false);
     authority.write("b", false);
     let a = Setup { flags: authority.flags("a", at_a, &[]), ..setup(&disco, known.clone()) }.start();
@@ -97,12 +97,12 @@
     let (endpoint, _) = failing_partner();
     let known = list(1, &[(7, endpoint.addr)]);
     let disco = discovery(known.clone());
-    let at_a = free_address();
+    let at_a = free_place();
     let a = forwarder_with_outage(&authority, at_a, &disco, &known);
     other.write("b", false);
     authority.write("c", true);
     for (name, whose) in [("b", &other), ("c", &authority)] {
-        let flags = whose.flags(name, free_address(), &[at_a]);
+        let flags = whose.flags(name, free_place(), &[at_a]);
         let stranger = Setup { flags, ..setup(&disco, known.clone()) }.start();
         // Both sides verify: the subscriber rejects a foreign authority, the publisher an expired certificate.
         a.wait_log("peer exchange: rejected subscriber ");
@@ -119,10 +119,10 @@
     let (endpoint, _) = failing_partner();
     let known = list(1, &[(7, endpoint.addr)]);
     let disco = discovery(known.clone());
-    let at_a = free_address();
+    let at_a = free_place();
     let _a = forwarder_with_outage(&authority, at_a, &disco, &known);
     authority.write("b", true);
-    let b = Setup { flags: authority.flags("b", free_address(), &[at_a]), ..setup(&disco, known) }.start();
+    let b = Setup { flags: authority.flags("b", free_place(), &[at_a]), ..setup(&disco, known) }.start();
     // Its own side accepts the expired certificate; its peer does not.
     b.wait_log("peer exchange: session with source ");
     assert!(!b.log().contains("finding="));
@@ -139,9 +139,9 @@
     let known = list(1, &[(7, endpoint.addr)]);
     let disco = discovery(known.clone());
     let silent = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let seeds = [silent.local_addr().expect("its address"), free_address()];
+    let seeds = [silent.local_addr().expect("its address"), free_place()];
     authority.write("a", false);
-    let a = Setup { flags: authority.flags("a", free_address(), &seeds), ..setup(&disco, known) }.start();
+    let a = Setup { flags: authority.flags("a", free_place(), &seeds), ..setup(&disco, known) }.start();
     // Ready and serving while the silent peer still has its connection.
     assert_eq!(a.hand_in("stats", "s1"), 202);
     endpoint.wait_id("s1");
@@ -158,7 +158,7 @@
     let disco = discovery(known.clone());
     authority.write("a", false);
     std::fs::write(authority.path("a.pem"), "no certificate").expect("written");
-    let a = Setup { flags: authority.flags("a", free_address(), &[]), ..setup(&disco, known) }.start();
+    let a = Setup { flags: authority.flags("a", free_place(), &[]), ..setup(&disco, known) }.start();
     a.wait_log("peer exchange is off: ");
     assert_eq!(a.hand_in("stats", "s1"), 202);
     endpoint.wait_id("s1");
@@ -171,7 +171,7 @@
     let ((first, _), (second, _)) = (failing_partner(), failing_partner());
     let known = list(1, &[(7, first.addr), (8, second.addr)]);
     let disco = discovery(known.clone());
-    let at_a = free_address();
+    let at_a = free_place();
     let a = forwarder_with_outage(&authority, at_a, &disco, &known);
     for n in 0..4 {
         let text = String::from_utf8(message("stats", &format!("o{n}"), "20000m", "")).expect("text");
@@ -181,7 +181,7 @@
     authority.write("b", false);
     let replaced = known.replace("s-0", "s-9");
     let fresh = discovery(replaced.clone());
-    let b = Setup { flags: authority.flags("b", free_address(), &[at_a]), ..setup(&fresh, replaced) }.start();
+    let b = Setup { flags: authority.flags("b", free_place(), &[at_a]), ..setup(&fresh, replaced) }.start();
     b.wait_log("neighbours saw host=s-1 finding=Outage");
     // Both were in the same snapshot.
     assert!(!b.log().contains("host=s-9 finding"), "{}", b.log());
@@ -195,7 +195,7 @@
     let endpoint = Server::always("200 OK");
     let known = list(1, &[(7, endpoint.addr)]);
     let disco = discovery(known.clone());
-    let addresses = [free_address(), free_address(), free_address()];
+    let addresses = [free_place(), free_place(), free_place()];
     let mut all: Vec<Daemon> = ["a", "b", "c"]
         .iter()
         .zip(addresses)
--- a/tests/peers_benefit.rs
+++ b/tests/peers_benefit.rs
@@ -1,183 +1,268 @@
-//! What learning from neighbours is worth: three real forwarders, six partners, three of them in an outage. One
-//! forwarder is killed in the midst of it and started again, with and without its neighbours. Long, so not in CI:
+//! The benefit of exchanging observations with peers: three real forwarders and six partners, three of which have an
+//! outage. During the outage one forwarder is killed and started again, with and without peers. Long, so not in CI:
 //!
-//! `cargo test --release --test neighbours_worth -- --ignored --nocapture`
+//! `cargo test --release --test peers_benefit -- --ignored --nocapture`
 //!
-//! `SEEDS` names how many runs of each (20). Runs go four at a time, which four cores bear.
+//! `SEEDS` sets the number of runs of each kind (20). Four runs at a time, for which four cores suffice.
 mod peers_common;
 mod stand;
-use peers_common::{free_address, Authority};
+use peers_common::Authority;
 use stand::*;
+use std::io::{BufReader, Write};
+use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
-use std::thread;
+use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
+const WORKERS: usize = 4;
 const PARTNERS: u64 = 6;
-const SICK: u64 = 3;
+/// The first partners are those with the outage.
+const FAILING_PARTNERS: u64 = 3;
+const FORWARDERS: [&str; 3] = ["a", "b", "c"];
+/// Index of the forwarder that is killed and started again.
+const RESTARTED: usize = 2;
 /// Messages a second that each forwarder gets, over all partners.
 const RATE: f64 = 30.0;
-/// What a partner takes, calls a second, once it is warm; and what share of it when it comes back, as the settings of
-/// the test site say (`coldFrom`, `rampTimeNs`).
+/// Calls a second that a partner takes once it has warmed up; the share of them that it takes at its return, and the time
+/// in seconds until it has warmed up, as in the settings of the test site (`coldFrom`, `rampTimeNs`).
 const CAPACITY: f64 = 50.0;
-const COLD: f64 = 0.2;
-const RAMP: f64 = 9.0;
+const COLD_SHARE: f64 = 0.2;
+const WARM_UP_SECS: f64 = 9.0;
+/// Times of a run, in seconds.
 const OUTAGE_AT: f64 = 2.0;
-const BACK_AT: f64 = 9.0;
+const RECOVERY_AT: f64 = 9.0;
 const END_AT: f64 = 15.0;
-/// Load is counted over so long, as the rule on fail-back does (`tipAfterNs`).
-const SPAN: f64 = 1.5;
+/// Load is averaged over so many seconds, as in the rule on the recovery ramp (`tipAfterNs`).
+const LOAD_WINDOW_SECS: f64 = 1.5;
+/// The sending rate is back once a second holds this share of what is submitted for the partner.
+const RECOVERED_SHARE: f64 = 0.8;
 
-/// Calls that a partner heard: when, in seconds of the run, by which message.
-type Calls = Arc<Mutex<Vec<(f64, String)>>>;
+/// Whether the forwarders exchange observations.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Exchange {
+    On,
+    Off,
+}
+
+/// A call that a partner received.
+#[derive(Clone)]
+struct Call {
+    /// Seconds since the start of the run's clock.
+    at: f64,
+    message: String,
+}
 
+type Calls = Arc<Mutex<Vec<Call>>>;
+
+/// What one run measured, of the restarted forwarder.
+#[derive(Default)]
 struct Figures {
-    wasted: f64,
-    back_after: f64,
-    multiple: f64,
+    wasted_calls: f64,
+    recovery_secs: f64,
+    overload: f64,
     delivered: f64,
 }
 
-fn run(seed: u64, with_neighbours: bool) -> Figures {
-    let dice =
-        |n: u64| (seed.wrapping_mul(6364136223846793005).wrapping_add(n * 1442695040888963407) >> 33) % 1000;
-    let kill_at = 4.0 + dice(1) as f64 / 1000.0;
-    let again_at = kill_at + 0.3 + dice(2) as f64 / 2000.0;
+/// The clock of a run: `zero` seconds after `start` the forwarders are ready and the run begins.
+#[derive(Clone, Copy)]
+struct Clock {
+    start: Instant,
+    zero: f64,
+}
+
+impl Clock {
+    fn instant(&self, secs: f64) -> Instant {
+        self.start + Duration::from_secs_f64(self.zero + secs)
+    }
+
+    fn now(&self) -> f64 {
+        self.start.elapsed().as_secs_f64() - self.zero
+    }
+
+    fn sleep_until(&self, secs: f64) {
+        thread::sleep(self.instant(secs).saturating_duration_since(Instant::now()));
+    }
+}
+
+/// Numbers below a thousand from the seed, the same in each run with it.
+fn random(seed: u64, draw: u64) -> f64 {
+    let mixed = seed.wrapping_mul(6364136223846793005).wrapping_add(draw * 1442695040888963407);
+    ((mixed >> 33) % 1000) as f64
+}
+
+fn start_partner(index: u64, start: Instant, outage: Arc<AtomicBool>) -> (Server, Calls) {
+    let calls: Calls = Arc::default();
+    let received = calls.clone();
+    let server = Server::start(move |call, _| {
+        let at = start.elapsed().as_secs_f64();
+        received.lock().expect("lock").push(Call { at, message: call.id().to_string() });
+        match index < FAILING_PARTNERS && outage.load(Ordering::SeqCst) {
+            true => Reply::Cut,
+            false => say("200 OK", "", ""),
+        }
+    });
+    (server, calls)
+}
+
+fn start_forwarders(authority: &Authority, exchange: Exchange, disco: &Server, known: &str) -> Vec<Daemon> {
+    let addresses = FORWARDERS.map(|_| free_place());
+    let start = |index: usize| {
+        let name = FORWARDERS[index];
+        authority.write(name, false);
+        let seeds: Vec<_> = addresses.iter().copied().filter(|a| *a != addresses[index]).collect();
+        let flags = match exchange {
+            Exchange::On => authority.flags(name, addresses[index], &seeds),
+            Exchange::Off => vec![format!("--name={name}")],
+        };
+        let env = vec![("MICALADDER_LOG".to_string(), "info".to_string())];
+        Setup { flags, env, max_pending: 600, ..setup(disco, known.to_string()) }.start()
+    };
+    (0..FORWARDERS.len()).map(start).collect()
+}
+
+/// Submits messages until the end of the run. A message that finds no forwarder is not submitted again.
+fn start_client(address: SocketAddr, name: &'static str, clock: Clock) -> JoinHandle<()> {
+    thread::spawn(move || {
+        for number in 0u64.. {
+            let due = clock.instant(number as f64 / RATE);
+            if due >= clock.instant(END_AT) {
+                return;
+            }
+            thread::sleep(due.saturating_duration_since(Instant::now()));
+            let text = message("stats", &format!("{name}-{number}"), "16000m", "");
+            let text = String::from_utf8(text).expect("text");
+            let text = text.replace("dest=7", &format!("dest={}", number % PARTNERS));
+            let Ok(mut socket) = TcpStream::connect(address) else { continue };
+            let _ = socket.set_read_timeout(Some(Duration::from_secs(1)));
+            if socket.write_all(text.as_bytes()).is_ok() {
+                let _ = read_http(&mut BufReader::new(socket));
+            }
+        }
+    })
+}
+
+fn run(seed: u64, exchange: Exchange) -> Figures {
+    let kill_at = 4.0 + random(seed, 1) / 1000.0;
+    let restart_at = kill_at + 0.3 + random(seed, 2) / 2000.0;
     let authority = Authority::new();
-    let begun = Instant::now();
-    let sick = Arc::new(AtomicBool::new(false));
-    let partners: Vec<(Server, Calls)> = (0..PARTNERS)
-        .map(|n| {
-            let calls: Calls = Arc::default();
-            let (heard, sick) = (calls.clone(), sick.clone());
-            let server = Server::start(move |call, _| {
-                heard.lock().expect("lock").push((begun.elapsed().as_secs_f64(), call.id().to_string()));
-                match n < SICK && sick.load(Ordering::SeqCst) {
-                    true => Reply::Cut,
-                    false => say("200 OK", "", ""),
-                }
-            });
-            (server, calls)
-        })
-        .collect();
+    let start = Instant::now();
+    let outage = Arc::new(AtomicBool::new(false));
+    let partners: Vec<(Server, Calls)> =
+        (0..PARTNERS).map(|index| start_partner(index, start, outage.clone())).collect();
     let endpoints: Vec<_> = partners.iter().enumerate().map(|(n, p)| (n as u64, p.0.addr)).collect();
     let known = list(1, &endpoints);
     let disco = discovery(known.clone());
-    let places = [free_address(), free_address(), free_address()];
-    let names = ["a", "b", "c"];
-    let mut daemons: Vec<Daemon> = (0..3)
-        .map(|n| {
-            authority.write(names[n], false);
-            let seeds: Vec<_> = places.iter().copied().filter(|p| *p != places[n]).collect();
-            let flags = authority.flags(names[n], places[n], &seeds);
-            let flags = if with_neighbours { flags } else { vec![format!("--name={}", names[n])] };
-            let env = vec![("MICALADDER_LOG".to_string(), "info".to_string())];
-            Setup { flags, env, max_pending: 600, ..setup(&disco, known.clone()) }.start()
-        })
-        .collect();
-    let zero = begun.elapsed().as_secs_f64();
-    let at = |secs: f64| begun + Duration::from_secs_f64(zero + secs);
-    // Clients hand in all the while; what finds nobody is not handed in again.
-    let clients: Vec<_> = (0..3)
-        .map(|n| {
-            let (addr, name, end) = (daemons[n].addr, names[n], at(END_AT));
-            thread::spawn(move || {
-                for m in 0u64.. {
-                    let due = begun + Duration::from_secs_f64(zero + m as f64 / RATE);
-                    if due >= end {
-                        return;
-                    }
-                    thread::sleep(due.saturating_duration_since(Instant::now()));
-                    let text = message("stats", &format!("{name}-{m}"), "16000m", "");
-                    let text = String::from_utf8(text)
-                        .expect("text")
-                        .replace("dest=7", &format!("dest={}", m % PARTNERS));
-                    let Ok(mut socket) = std::net::TcpStream::connect(addr) else { continue };
-                    let _ = socket.set_read_timeout(Some(Duration::from_secs(1)));
-                    use std::io::{BufReader, Write};
-                    if socket.write_all(text.as_bytes()).is_ok() {
-                        let _ = read_http(&mut BufReader::new(socket));
-                    }
-                }
-            })
-        })
-        .collect();
-    let wait = |secs: f64| thread::sleep(at(secs).saturating_duration_since(Instant::now()));
-    wait(OUTAGE_AT);
-    sick.store(true, Ordering::SeqCst);
-    wait(kill_at);
-    daemons[2].kill();
-    wait(again_at);
-    daemons[2].start_again();
-    let ready = begun.elapsed().as_secs_f64() - zero;
-    wait(BACK_AT);
-    sick.store(false, Ordering::SeqCst);
-    wait(END_AT);
-    clients.into_iter().for_each(|c| c.join().expect("a client"));
-    let mut figures = Figures { wasted: 0.0, back_after: 0.0, multiple: 0.0, delivered: 0.0 };
-    for (n, (_, calls)) in partners.iter().enumerate() {
-        let calls: Vec<(f64, String)> =
-            calls.lock().expect("lock").iter().map(|(t, id)| (t - zero, id.clone())).collect();
-        let of_c = |from: f64, to: f64| {
-            calls.iter().filter(|(t, id)| id.starts_with("c-") && *t >= from && *t < to).count() as f64
-        };
-        if (n as u64) < SICK {
-            figures.wasted += of_c(ready, BACK_AT);
-            // Its rate is back once a second holds eight tenths of what is handed in for this partner.
-            let full = 0.8 * RATE / PARTNERS as f64;
-            let back =
-                (0..60).map(|t| f64::from(t) / 10.0).find(|t| of_c(BACK_AT + t, BACK_AT + t + 1.0) >= full);
-            figures.back_after = figures.back_after.max(back.unwrap_or(END_AT - BACK_AT));
-            for (t, _) in calls.iter().filter(|(t, _)| *t >= BACK_AT && *t < END_AT - SPAN) {
-                let load = calls.iter().filter(|(u, _)| u >= t && *u < t + SPAN).count() as f64;
-                let warm = ((t - BACK_AT) / RAMP).min(1.0);
-                let capacity = CAPACITY * (COLD + (1.0 - COLD) * warm) * SPAN;
-                figures.multiple = figures.multiple.max(load / capacity);
-            }
-            figures.delivered += of_c(BACK_AT, END_AT);
+    let mut daemons = start_forwarders(&authority, exchange, &disco, &known);
+    let clock = Clock { start, zero: start.elapsed().as_secs_f64() };
+    let clients: Vec<_> =
+        daemons.iter().zip(FORWARDERS).map(|(d, name)| start_client(d.addr, name, clock)).collect();
+    clock.sleep_until(OUTAGE_AT);
+    outage.store(true, Ordering::SeqCst);
+    clock.sleep_until(kill_at);
+    daemons[RESTARTED].kill();
+    clock.sleep_until(restart_at);
+    daemons[RESTARTED].start_again();
+    let ready_at = clock.now();
+    clock.sleep_until(RECOVERY_AT);
+    outage.store(false, Ordering::SeqCst);
+    clock.sleep_until(END_AT);
+    clients.into_iter().for_each(|client| client.join().expect("a client"));
+    evaluate(&partners, clock, ready_at)
+}
+
+fn evaluate(partners: &[(Server, Calls)], clock: Clock, ready_at: f64) -> Figures {
+    let mut figures = Figures::default();
+    for (index, (_, calls)) in partners.iter().enumerate() {
+        let mut calls = calls.lock().expect("lock").clone();
+        calls.iter_mut().for_each(|call| call.at -= clock.zero);
+        if (index as u64) < FAILING_PARTNERS {
+            figures.wasted_calls += count_of_restarted(&calls, ready_at, RECOVERY_AT);
+            figures.recovery_secs = figures.recovery_secs.max(recovery_secs(&calls));
+            figures.overload = figures.overload.max(overload(&calls));
+            figures.delivered += count_of_restarted(&calls, RECOVERY_AT, END_AT);
         } else {
-            figures.delivered += of_c(0.0, END_AT);
+            figures.delivered += count_of_restarted(&calls, 0.0, END_AT);
         }
     }
     figures
 }
 
-fn line(name: &str, of: impl Fn(&Figures) -> f64, without: &[Figures], with: &[Figures]) {
-    let stats = |all: &[Figures]| {
-        let mut values: Vec<f64> = all.iter().map(&of).collect();
+/// Calls of the restarted forwarder within a time.
+fn count_of_restarted(calls: &[Call], from: f64, to: f64) -> f64 {
+    let prefix = format!("{}-", FORWARDERS[RESTARTED]);
+    let is_counted = |call: &&Call| call.message.starts_with(&prefix) && call.at >= from && call.at < to;
+    calls.iter().filter(is_counted).count() as f64
+}
+
+/// Seconds after the partner's recovery until the restarted forwarder sends at its full rate again.
+fn recovery_secs(calls: &[Call]) -> f64 {
+    let full_rate = RECOVERED_SHARE * RATE / PARTNERS as f64;
+    let has_recovered =
+        |secs: &f64| count_of_restarted(calls, RECOVERY_AT + secs, RECOVERY_AT + secs + 1.0) >= full_rate;
+    let recovered = (0..60).map(|tenth| f64::from(tenth) / 10.0).find(has_recovered);
+    recovered.unwrap_or(END_AT - RECOVERY_AT)
+}
+
+/// The highest load on a recovering partner, as a multiple of its capacity at that time.
+fn overload(calls: &[Call]) -> f64 {
+    let mut highest: f64 = 0.0;
+    let last_window = END_AT - LOAD_WINDOW_SECS;
+    for first in calls.iter().filter(|call| call.at >= RECOVERY_AT && call.at < last_window) {
+        let is_in_window = |call: &&Call| call.at >= first.at && call.at < first.at + LOAD_WINDOW_SECS;
+        let load = calls.iter().filter(is_in_window).count() as f64;
+        let warmth = ((first.at - RECOVERY_AT) / WARM_UP_SECS).min(1.0);
+        let capacity = CAPACITY * (COLD_SHARE + (1.0 - COLD_SHARE) * warmth) * LOAD_WINDOW_SECS;
+        highest = highest.max(load / capacity);
+    }
+    highest
+}
+
+/// Prints minimum, median and maximum of a figure, without and with peers.
+fn print_row(name: &str, figure: impl Fn(&Figures) -> f64, without: &[Figures], with: &[Figures]) {
+    let spread = |runs: &[Figures]| {
+        let mut values: Vec<f64> = runs.iter().map(&figure).collect();
         values.sort_by(f64::total_cmp);
         format!("{:.2} / {:.2} / {:.2}", values[0], values[values.len() / 2], values[values.len() - 1])
     };
-    println!("| {name} | {} | {} |", stats(without), stats(with));
+    println!("| {name} | {} | {} |", spread(without), spread(with));
+}
+
+/// A run that is due: its seed, and whether the forwarders have peers.
+type DueRun = (u64, Exchange);
+
+/// Runs all, `WORKERS` at a time, and gives the figures of each with what it ran with.
+fn run_all(due: Vec<DueRun>) -> Vec<(Exchange, Figures)> {
+    let due = Mutex::new(due);
+    let done = Mutex::new(Vec::new());
+    thread::scope(|scope| {
+        for _ in 0..WORKERS {
+            scope.spawn(|| loop {
+                let Some((seed, exchange)) = due.lock().expect("lock").pop() else { return };
+                let figures = run(seed, exchange);
+                done.lock().expect("lock").push((exchange, figures));
+            });
+        }
+    });
+    done.into_inner().expect("lock")
 }
 
 #[test]
 #[ignore = "a measurement of some minutes"]
-fn what_a_neighbour_is_worth_to_a_restarted_forwarder() {
+fn benefit_of_peers_to_a_restarted_forwarder() {
     let seeds: u64 = std::env::var("SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(20);
-    let (next, done) = (
-        Arc::new(Mutex::new((0..seeds).flat_map(|s| [(s, false), (s, true)]).collect::<Vec<_>>())),
-        Arc::new(Mutex::new(Vec::new())),
-    );
-    let workers: Vec<_> = (0..4)
-        .map(|_| {
-            let (next, done) = (next.clone(), done.clone());
-            thread::spawn(move || loop {
-                let Some((seed, with)) = next.lock().expect("lock").pop() else { return };
-                let figures = run(seed, with);
-                done.lock().expect("lock").push((with, figures));
-            })
-        })
-        .collect();
-    workers.into_iter().for_each(|w| w.join().expect("a run"));
-    let all = std::mem::take(&mut *done.lock().expect("lock"));
-    let (with, without): (Vec<_>, Vec<_>) = all.into_iter().partition(|f| f.0);
-    let only = |f: Vec<(bool, Figures)>| f.into_iter().map(|f| f.1).collect::<Vec<_>>();
-    let (with, without) = (only(with), only(without));
-    println!("| {seeds} seeds, min / median / max | without | with neighbours |\n| --- | --- | --- |");
-    line("calls wasted on the sick partners", |f| f.wasted, &without, &with);
-    line("seconds until its sending rate is back", |f| f.back_after, &without, &with);
-    line("load on a returning partner, multiple of its capacity", |f| f.multiple, &without, &with);
-    line("messages delivered by it", |f| f.delivered, &without, &with);
-    assert!(with.iter().all(|f| f.multiple <= 2.0), "a returning partner was pushed");
+    let due = (0..seeds).flat_map(|seed| [(seed, Exchange::Off), (seed, Exchange::On)]).collect();
+    let (mut with, mut without) = (Vec::new(), Vec::new());
+    for (exchange, figures) in run_all(due) {
+        match exchange {
+            Exchange::On => with.push(figures),
+            Exchange::Off => without.push(figures),
+        }
+    }
+    println!("| {seeds} seeds, min / median / max | without | with peers |\n| --- | --- | --- |");
+    print_row("calls wasted on the failing partners", |f| f.wasted_calls, &without, &with);
+    print_row("seconds until its sending rate is back", |f| f.recovery_secs, &without, &with);
+    print_row("load on a recovering partner, multiple of its capacity", |f| f.overload, &without, &with);
+    print_row("messages delivered by it", |f| f.delivered, &without, &with);
+    assert!(with.iter().all(|f| f.overload <= 2.0), "a recovering partner was overloaded");
 }
--- a/tests/peers_common/mod.rs
+++ b/tests/peers_common/mod.rs
@@ -1,6 +1,5 @@
 //! Certificates for forwarders that exchange observations, and the flags that name them.
 #![allow(dead_code)]
-use crate::stand::free_place;
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -12,6 +11,7 @@
 }
 
 impl Authority {
+    /// An authority with a key of its own.
     pub fn new() -> Authority {
         let folder = tempfile::tempdir().expect("a folder");
         let mut params = CertificateParams::new(Vec::new()).expect("parameters");
@@ -22,15 +22,16 @@
         Authority { issuer: Issuer::new(params, key), folder }
     }
 
+    /// Path of a file of this authority.
     pub fn path(&self, name: &str) -> PathBuf {
         self.folder.path().join(name)
     }
 
-    /// A forwarder's certificate and key; `ended`: its time is over.
-    pub fn write(&self, name: &str, ended: bool) {
+    /// Writes a certificate and a key for a forwarder; `expired` sets its validity to the past.
+    pub fn write(&self, name: &str, expired: bool) {
         let mut params =
             CertificateParams::new(vec!["micaladder-neighbour".to_string()]).expect("parameters");
-        if ended {
+        if expired {
             params.not_before = rcgen::date_time_ymd(2020, 1, 1);
             params.not_after = rcgen::date_time_ymd(2021, 1, 1);
         }
@@ -40,6 +41,7 @@
         std::fs::write(self.path(&format!("{name}.pem")), certificate.pem()).expect("written");
     }
 
+    /// The flags of a forwarder that listens on this address.
     pub fn flags(&self, name: &str, listen: SocketAddr, seeds: &[SocketAddr]) -> Vec<String> {
         let text = |path: &Path| path.to_string_lossy().into_owned();
         let mut flags = vec![
@@ -56,7 +58,3 @@
         flags
     }
 }
-
-pub fn free_address() -> SocketAddr {
-    free_place()
-}
