--- /dev/null
+++ b/src/daemon/mod.rs
@@ -0,0 +1,108 @@
+//! The daemon: wires the parts together, and sees them through start, takeover and shutdown.
+//!
+//! `ownership` waits for the journal, `startup` builds the parts round it, `serving` runs them until the process is to end
+//! or another one takes over.
+#![warn(missing_docs)]
+mod error;
+mod ownership;
+mod serving;
+mod startup;
+
+pub use error::DaemonError;
+
+use crate::client;
+use crate::exchange;
+use crate::flags::RunFlags;
+use crate::mgmt::ManagementServer;
+use crate::settings::Config;
+use crate::takeover::state::StateMachine;
+use crate::takeover::SharedFolder;
+use ownership::Ownership;
+use serving::Service;
+use std::time::Duration;
+use tokio::signal::unix::{signal, Signal, SignalKind};
+
+/// The soonest that a planned restart kills the process after SIGTERM.
+const KILL_AFTER: Duration = Duration::from_millis(3700);
+
+const _: () = assert!(
+    exchange::SHUTDOWN_TIMEOUT.as_millis()
+        + client::FINAL_RESPONSES.as_millis()
+        + client::CLOSE_LINGER.as_millis()
+        < KILL_AFTER.as_millis(),
+    "the process has ended by itself before it is killed"
+);
+
+/// Runs the daemon until SIGTERM.
+///
+/// # Errors
+///
+/// The daemon cannot start, or cannot go on after a takeover that was undone.
+pub fn run(flags: &RunFlags) -> Result<(), DaemonError> {
+    let mut process = Process::default();
+    loop {
+        // One runtime for each time that this process owns the journal: all tasks of that time end with it.
+        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+        let runtime = runtime.map_err(DaemonError::System)?;
+        match runtime.block_on(run_once(flags, &mut process))? {
+            RunEnd::Terminated => return Ok(()),
+            RunEnd::Released => process.has_released = true,
+        }
+    }
+}
+
+/// What outlives a change of the journal's owner.
+#[derive(Default)]
+struct Process {
+    management: Option<ManagementServer>,
+    /// It has released the journal once: it takes it again only if no other process has it, and does not ask for it.
+    has_released: bool,
+}
+
+/// How a time as the journal's owner, or a wait for that, ended.
+enum RunEnd {
+    /// The process was told to end.
+    Terminated,
+    /// Another process owns the journal now.
+    Released,
+}
+
+/// The signals that the daemon handles.
+struct Signals {
+    terminate: Signal,
+    hangup: Signal,
+}
+
+impl Signals {
+    /// Without a handler, a SIGHUP ends the process: this comes before anything is ready.
+    fn install() -> Result<Signals, DaemonError> {
+        let terminate = signal(SignalKind::terminate()).map_err(DaemonError::System)?;
+        let hangup = signal(SignalKind::hangup()).map_err(DaemonError::System)?;
+        Ok(Signals { terminate, hangup })
+    }
+}
+
+/// Waits for the journal, serves, and ends or releases the journal.
+async fn run_once(flags: &RunFlags, process: &mut Process) -> Result<RunEnd, DaemonError> {
+    let config = Config::read(flags).map_err(DaemonError::Configuration)?;
+    start_management(&config, process)?;
+    let Signals { mut terminate, hangup } = Signals::install()?;
+    let folder = SharedFolder::open(&config.state_dir)?;
+    let mut takeover = StateMachine::new();
+    let asks = process.management.is_some() && !process.has_released;
+    let owned = ownership::acquire(&config, &folder, &mut takeover, asks, &mut terminate).await?;
+    let Some(Ownership { lock, listener }) = owned else { return Ok(RunEnd::Terminated) };
+    let parts = startup::start(flags, &config, &folder, hangup).await?;
+    let service = Service::start(config, parts, process.management.clone(), listener)?;
+    service.run(&folder, lock, &mut takeover, &mut terminate).await
+}
+
+/// Listens for operators before all that may take time: until this process serves, it answers that it is not ready.
+fn start_management(config: &Config, process: &mut Process) -> Result<(), DaemonError> {
+    let Some(address) = config.mgmt else { return Ok(()) };
+    if process.management.is_none() {
+        let started = ManagementServer::start(address, &config.deployment.classes);
+        process.management = Some(started.map_err(DaemonError::ManagementAddress)?);
+    }
+    Ok(())
+}
--- /dev/null
+++ b/src/daemon/startup.rs
@@ -0,0 +1,141 @@
+//! Builds the parts round the journal, and starts their tasks.
+use super::DaemonError;
+use crate::as2::As2Settings;
+use crate::client::{self, ConnectionLimiter};
+use crate::core::{Core, CoreOptions, Predecessor};
+use crate::exchange::{EndpointUpdate, Exchange, Outputs};
+use crate::flags::RunFlags;
+use crate::fleet::gossip::FleetHandle;
+use crate::journal::Journal;
+use crate::plugins::Plugins;
+use crate::settings::Config;
+use crate::takeover::state::POLL_INTERVAL;
+use crate::takeover::{LateOutcomeReader, SharedFolder};
+use crate::{acme, callbacks, clock, discovery, peers, reload, upstream};
+use std::sync::Arc;
+use tokio::net::TcpListener;
+use tokio::signal::unix::Signal;
+use tokio::sync::{mpsc, watch};
+
+/// Share of the process's sockets that client connections may take, as a divisor: the rest is for endpoints and files.
+const CLIENT_SOCKETS_DIVISOR: usize = 3;
+
+/// The parts that run while this process owns the journal.
+pub(super) struct Parts {
+    pub(super) exchange: Exchange,
+    /// The fleet, where this forwarder has peers.
+    pub(super) fleet: Option<FleetHandle>,
+    /// Bounds the client connections of all fronts.
+    pub(super) limiter: Arc<ConnectionLimiter>,
+}
+
+/// Starts everything apart from the platform's own client address.
+pub(super) async fn start(
+    flags: &RunFlags, config: &Config, folder: &SharedFolder, hangup: Signal,
+) -> Result<Parts, DaemonError> {
+    let late_outcomes = folder.open_late_outcomes();
+    let (journal, records) =
+        Journal::open(&config.state_dir, config.disk_limit).map_err(DaemonError::Journal)?;
+    let as2 = As2Settings::load(&flags.files.as2).map_err(DaemonError::As2Settings)?.map(Arc::new);
+    let core = Core::new(CoreOptions {
+        site: config.deployment.clone(),
+        seed: config.seed,
+        static_endpoints: as2.as_ref().map(|settings| settings.endpoints()).unwrap_or_default(),
+        plugins: Plugins::load(&flags.files.plugins),
+        journal,
+        records,
+        predecessor: predecessor(late_outcomes.as_ref()),
+        now: clock::now(),
+    });
+    let (exchange, outputs) = Exchange::new(core);
+    let Outputs { upstream_commands, platform_callbacks, as2_receipts } = outputs;
+    let known = discovery::endpoints(&config.deployment, &config.initial_endpoints);
+    exchange.update_endpoints(EndpointUpdate::Complete(known));
+    if let Some(reader) = late_outcomes {
+        tokio::spawn(follow_predecessor(reader, exchange.clone()));
+    }
+    let deployment = config.deployment.clone();
+    tokio::spawn(upstream::run(deployment, as2.clone(), exchange.clone(), upstream_commands));
+    let discovery = start_discovery(flags, config, &exchange, hangup);
+    tokio::spawn(callbacks::run(discovery.address, exchange.clone(), platform_callbacks));
+    let limiter = ConnectionLimiter::new(config.socket_limit / CLIENT_SOCKETS_DIVISOR);
+    if let Some(as2) = as2 {
+        start_as2_front(config, as2, &exchange, as2_receipts, &limiter).await?;
+    }
+    Ok(Parts { exchange, fleet: discovery.fleet, limiter })
+}
+
+/// A process that left late outcomes may still have calls in flight.
+fn predecessor(late_outcomes: Option<&LateOutcomeReader>) -> Predecessor {
+    match late_outcomes {
+        Some(_) => Predecessor::MayHaveCalls,
+        None => Predecessor::None,
+    }
+}
+
+/// Hands the late outcomes of the predecessor to the exchange, until no more will come.
+async fn follow_predecessor(mut reader: LateOutcomeReader, exchange: Exchange) {
+    loop {
+        let (records, is_complete) = reader.read();
+        exchange.predecessor_records(records);
+        if is_complete {
+            break;
+        }
+        tokio::time::sleep(POLL_INTERVAL).await;
+    }
+    exchange.predecessor_exited();
+    // Guards the outcomes against a kill before they are in the journal.
+    while exchange.is_release_blocked() {
+        tokio::time::sleep(POLL_INTERVAL).await;
+    }
+    reader.remove();
+}
+
+/// What other parts need of discovery.
+struct DiscoveryParts {
+    /// Where discovery is; a reload may change it.
+    address: watch::Receiver<String>,
+    fleet: Option<FleetHandle>,
+}
+
+/// Starts discovery, the peers that are told of its version, and reloads that may change its address.
+fn start_discovery(flags: &RunFlags, config: &Config, exchange: &Exchange, hangup: Signal) -> DiscoveryParts {
+    let (address_sender, address) = watch::channel(config.discovery.clone());
+    let (version_sender, list_version) = watch::channel(config.initial_endpoints.revision);
+    let changes = peers::LocalChanges { list_version, discovery_address: address.clone() };
+    let fleet = peers::start(&flags.files.peers, config, exchange, changes);
+    tokio::spawn(reload::run(config.clone(), hangup, address_sender));
+    let known = discovery::EndpointListState {
+        version: config.initial_endpoints.revision,
+        can_serve: !config.initial_endpoints.endpoints.is_empty(),
+        published_version: version_sender,
+    };
+    let deployment = config.deployment.clone();
+    tokio::spawn(discovery::run(deployment, known, address.clone(), exchange.clone(), config.seed));
+    DiscoveryParts { address, fleet }
+}
+
+/// Listens for AS2 partners, with TLS where the settings name an authority for its certificate.
+async fn start_as2_front(
+    config: &Config, settings: Arc<As2Settings>, exchange: &Exchange,
+    receipts: mpsc::UnboundedReceiver<crate::core::Callback>, limiter: &Arc<ConnectionLimiter>,
+) -> Result<(), DaemonError> {
+    let listener = TcpListener::bind(&settings.listen).await.map_err(DaemonError::ClientAddress)?;
+    log::info!("AS2 front listens on {}", settings.listen);
+    tokio::spawn(client::as2::send_mdns(settings.clone(), exchange.clone(), receipts));
+    let authority = settings.acme.clone();
+    let routes = client::as2::routes(client::as2::As2Front {
+        site: config.deployment.clone(),
+        book: settings,
+        exchange: exchange.clone(),
+    });
+    let mut tls = None;
+    if let Some(authority) = authority {
+        let certificates = Arc::new(acme::CertificateStore::default());
+        tls = Some(client::tls(certificates.clone())?);
+        tokio::spawn(acme::run(authority, config.state_dir.clone(), certificates));
+    }
+    let front = client::Front { listener, routes, limits: client::as2::LIMITS, tls };
+    tokio::spawn(client::serve(front, limiter.clone(), exchange.close_signal()));
+    Ok(())
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -44,7 +44,7 @@
 //!
 //! The rest of the crate is the daemon's parts, so that tools, models and benchmarks drive what is shipped:
 //! [`core`] and [`journal`] without a wire, the wires themselves in [`client`] and [`upstream`], which meet in
-//! [`exchange`]. `main.rs` only wires them together.
+//! [`exchange`], and [`daemon`], which wires them together.
 #![forbid(unsafe_code)]
 mod hints;
 #[deny(missing_docs)]
@@ -62,6 +62,7 @@
 pub mod clock;
 pub mod config_error;
 pub mod core;
+pub mod daemon;
 pub mod deduplication;
 pub mod discovery;
 pub mod exchange;
--- a/src/logger.rs
+++ b/src/logger.rs
@@ -11,7 +11,7 @@
 
 const CRATE: &str = "micaladder";
 /// The modules that a filter may name; below each, any path.
-const MODULES: [&str; 23] = [
+const MODULES: [&str; 24] = [
     "acme",
     "as2",
     "callbacks",
@@ -19,6 +19,7 @@
     "client",
     "config_error",
     "core",
+    "daemon",
     "deduplication",
     "discovery",
     "exchange",
