--- a/src/main.rs
+++ b/src/main.rs
@@ -202,7 +202,11 @@
         tokio::spawn(client::as2::send_mdns(book.clone(), exchange.clone(), as2_receipts));
         let authority = book.acme.clone();
         let (site, exchange) = (config.deployment.clone(), exchange.clone());
-        let routes = client::as2::routes(client::as2::As2Front { site, book, exchange: exchange.clone() });
+        let routes = client::as2::routes(client::as2::As2Front {
+            deployment: site,
+            settings: book,
+            exchange: exchange.clone(),
+        });
         let keeper = Arc::new(acme::CertificateStore::default());
         let tls = authority.as_ref().map(|_| client::tls(keeper.clone())).transpose()?;
         if let Some(authority) = authority {
