--- a/tests/stand/mod.rs
+++ b/tests/stand/mod.rs
@@ -582,7 +582,7 @@
     call(&first);
     endpoint.shut();
     assert_eq!(daemon.hand_in("payout", "b"), 202);
-    daemon.wait_log("try starts message=b");
+    daemon.wait_log("attempt starts message=b");
     first
 }
 
