--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -179,6 +179,6 @@
 fn report(exchange: &Exchange, attempt: &Attempt, result: AttemptResult) {
     let (message, dest) = (&attempt.context.name, attempt.context.dest);
     let AttemptResult { outcome, report, .. } = result;
-    log::debug!(message, outcome:?, "try" = attempt.attempt, dest, report:?; "attempt ended");
+    log::debug!(message, outcome:?, attempt = attempt.attempt, dest, report:?; "attempt ended");
     exchange.attempt_ended(attempt.into(), result);
 }
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -40,14 +40,14 @@
     let (disco, daemon) = start(&endpoint);
     let begun = Instant::now();
     assert_eq!(daemon.hand_in("payout", "g1"), 202);
-    daemon.wait_log(&format!("message=g1 outcome={outcome} try=0"));
+    daemon.wait_log(&format!("message=g1 outcome={outcome} attempt=0"));
     assert!(begun.elapsed() < Duration::from_millis(700), "{:?}", begun.elapsed());
     if outcome == "UnreadableAnswer" {
         disco.wait_text(r#"{"id":"g1","status":"undeliverable"}"#);
     }
     // The next is sent on another connection, without delay.
     assert_eq!(daemon.hand_in("payout", "g2"), 202);
-    daemon.wait_log("message=g2 outcome=Ok try=0");
+    daemon.wait_log("message=g2 outcome=Ok attempt=0");
     assert_eq!(endpoint.heard().len(), 2);
     assert_eq!(disco.heard().iter().any(|h| h.text().contains("g1")), outcome == "UnreadableAnswer");
 }
@@ -59,10 +59,10 @@
     let (_disco, daemon) = start(&endpoint);
     for n in 0..9 {
         assert_eq!(daemon.hand_in("payout", &format!("u{n}")), 202);
-        daemon.wait_log(&format!("message=u{n} outcome=UnreadableAnswer try=0"));
+        daemon.wait_log(&format!("message=u{n} outcome=UnreadableAnswer attempt=0"));
     }
     assert_eq!(daemon.hand_in("stats", "u9"), 202);
-    daemon.wait_log("message=u9 outcome=Ok try=1");
+    daemon.wait_log("message=u9 outcome=Ok attempt=1");
     assert!(!daemon.log().contains("breaker opened"));
 }
 
--- a/tests/batch.rs
+++ b/tests/batch.rs
@@ -165,7 +165,7 @@
         _ => say("200 OK", "", &answer_for_each(parts, |_| "done")),
     });
     s.submit_together(&[("payout", "p"), ("payout", "q")]);
-    s.daemon.wait_log("told to wait");
+    s.daemon.wait_log("Retry-After received");
     let (received_at, before) = (Instant::now(), s.endpoint.heard().len());
     s.endpoint.wait("more", |all| all.len() > before);
     assert!(received_at.elapsed() >= Duration::from_millis(1100), "sent after {:?}", received_at.elapsed());
--- a/tests/forwarder.rs
+++ b/tests/forwarder.rs
@@ -117,7 +117,7 @@
     assert_eq!(daemon.hand_in("payout", "w1"), 202);
     endpoint.wait("a second call", |all| all.len() == 2);
     assert!(start.elapsed() >= Duration::from_millis(wait_ms));
-    daemon.wait_log("message=w1 outcome=Ok try=1");
+    daemon.wait_log("message=w1 outcome=Ok attempt=1");
     assert!(!disco.heard().iter().any(|h| h.text().contains("w1")), "delivered: no notice");
 }
 
@@ -173,13 +173,13 @@
         let text = String::from_utf8(message("stats", &format!("r{dest}"), "20000m", "")).expect("text");
         let text = text.replace("dest=7", &format!("dest={dest}"));
         assert_eq!(daemon.ask(text.as_bytes()).map(|h| h.status()), Some(202));
-        daemon.wait_log(&format!("message=r{dest} outcome=Ok try=0"));
+        daemon.wait_log(&format!("message=r{dest} outcome=Ok attempt=0"));
     }
     assert!(daemon.held_descriptors() >= before + many.len());
     tell.send(()).expect("it listens");
     daemon.wait_log("retired host=s-0 dest=1");
     assert_eq!(daemon.hand_in("stats", "r21"), 202);
-    daemon.wait_log("message=r21 outcome=Ok try=0");
+    daemon.wait_log("message=r21 outcome=Ok attempt=0");
     let until = std::time::Instant::now() + PATIENCE;
     while daemon.held_descriptors() > before + 3 {
         assert!(std::time::Instant::now() < until, "{} descriptors", daemon.held_descriptors());
@@ -342,7 +342,7 @@
     let (disco, known) = one(&endpoint);
     let mut daemon = setup(&disco, known).start();
     assert_eq!(daemon.hand_in("sync", "d1"), 202);
-    daemon.wait_log("message=d1 outcome=Ok try=0");
+    daemon.wait_log("message=d1 outcome=Ok attempt=0");
     assert_eq!(daemon.hand_in("sync", "d1"), 200);
     daemon.kill();
     daemon.start_again();
@@ -413,7 +413,7 @@
     daemon.wait_log("upstream group: version 1");
     let before = daemon.held_descriptors();
     (0..4).for_each(|n| assert_eq!(daemon.hand_in("stats", &format!("i{n}")), 202));
-    (0..4).for_each(|n| drop(daemon.wait_log(&format!("message=i{n} outcome=Ok try=0"))));
+    (0..4).for_each(|n| drop(daemon.wait_log(&format!("message=i{n} outcome=Ok attempt=0"))));
     let until = std::time::Instant::now() + Duration::from_secs(4);
     while daemon.held_descriptors() > before + 3 {
         assert!(std::time::Instant::now() < until, "{} descriptors", daemon.held_descriptors());
--- a/tests/late.rs
+++ b/tests/late.rs
@@ -35,7 +35,7 @@
         assert!(Instant::now() < until, "the other message came");
         std::thread::yield_now();
     }
-    daemon.wait_log("first byte message=b try=0");
+    daemon.wait_log("first byte message=b attempt=0");
     daemon.wait_log("attempt ended message=b outcome=Ok");
 }
 
@@ -82,7 +82,7 @@
     assert!(is_quiet(&second), "nothing was sent to the endpoint that drains");
     answer(&first, "200 OK", "");
     daemon.wait_log("attempt ended message=a outcome=Ok");
-    daemon.wait_log("first byte message=b try=0");
+    daemon.wait_log("first byte message=b attempt=0");
 }
 
 /// A payout whose connect hung when the process was killed was never sent: it may go again.
--- a/tests/waits.rs
+++ b/tests/waits.rs
@@ -80,7 +80,7 @@
     assert_eq!(socket.read(&mut [0]).expect("no reset"), 0);
     let sent_at = write(&socket, &format!("{REJECTION}content-length: 0\r\n\r\n"));
     daemon.wait_log("attempt ended message=a outcome=Timeout");
-    daemon.wait_log("told to wait");
+    daemon.wait_log("Retry-After received");
     assert_respected(&endpoint, &daemon, sent_at);
 }
 
