--- a/src/client/as2/mdn.rs
+++ b/src/client/as2/mdn.rs
@@ -31,7 +31,7 @@
 
 type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// Why no asynchronous receipt is sent for a message. Its partner has to be told by other means.
+/// Why no asynchronous receipt is sent for a message. The partner has to be informed by other means.
 #[derive(Debug, thiserror::Error)]
 enum MdnError {
     /// The journal's record of the message is damaged: keep the journal, and report it.
@@ -138,7 +138,7 @@
     }
 }
 
-/// Sends the asynchronous receipts of messages that are complete, for as long as the process runs. The exchange is told
+/// Sends the asynchronous receipts of messages that are complete, for as long as the process runs. The exchange is notified
 /// once a receipt needs no further attempt.
 pub async fn send_mdns(
     settings: Arc<As2Settings>, exchange: Exchange, mut callbacks: UnboundedReceiver<Callback>,
--- a/tests/acme.rs
+++ b/tests/acme.rs
@@ -1,4 +1,4 @@
-//! The AS2 listener's certificate, ordered from a stand-in authority that issues with openssl.
+//! The AS2 listener's certificate, ordered from a test authority that issues with openssl.
 mod stand;
 use stand::*;
 use std::path::{Path, PathBuf};
@@ -30,7 +30,7 @@
     std::fs::read(folder.join("bytes")).expect("decoded")
 }
 
-/// An authority for one domain. It checks the proof before it issues; while it `fails`, it orders nothing.
+/// An authority for one domain. It validates the challenge before it issues; while it `fails`, it accepts no order.
 fn authority(folder: PathBuf, challenge: String, fails: Arc<AtomicBool>) -> Server {
     let issued = AtomicBool::new(false);
     Server::start(move |heard, n| {
@@ -74,8 +74,8 @@
             )),
             "/ready" => {
                 let ask = b"GET /.well-known/acme-challenge/tok HTTP/1.1\r\nhost: as2.test\r\n\r\n";
-                let proof = proof_at(&challenge, ask);
-                assert!(proof.starts_with("tok."), "{proof}");
+                let key_authorization = key_authorization_at(&challenge, ask);
+                assert!(key_authorization.starts_with("tok."), "{key_authorization}");
                 json(challenge_text)
             }
             "/finalize" => {
@@ -95,12 +95,12 @@
     })
 }
 
-fn proof_at(addr: &str, text: &[u8]) -> String {
+fn key_authorization_at(addr: &str, text: &[u8]) -> String {
     ask(addr.parse().expect("an address"), text).expect("an answer").text()
 }
 
 #[test]
-fn a_certificate_is_ordered_renewed_in_place_and_kept_when_the_authority_fails() {
+fn a_certificate_is_ordered_renewed_in_place_and_stays_in_use_when_the_authority_fails() {
     let folder = std::env::temp_dir().join(format!("acme-{}-{}", std::process::id(), unique()));
     std::fs::create_dir_all(&folder).expect("a folder");
     for who in ["ca", "us"] {
@@ -145,7 +145,7 @@
         second.starts_with("serial=") && second != first,
         "swapped with no restart: {first:?} {second:?}"
     );
-    // Kept across a kill, though the authority still fails.
+    // It is loaded again after a kill, although the authority still fails.
     daemon.kill();
     daemon.start_again();
     daemon.wait_log("the saved certificate is in use");
--- a/tests/as2.rs
+++ b/tests/as2.rs
@@ -1,4 +1,4 @@
-//! The AS2 front as a process, met by a stand-in bank whose S/MIME is openssl's, not ours.
+//! The AS2 front of the real program, against a test bank whose S/MIME is openssl's, not ours.
 mod stand;
 use rstest::rstest;
 use stand::*;
@@ -15,7 +15,7 @@
     done.status.success()
 }
 
-/// Keys of us, the bank and a stranger, and the file of partners, in a folder of their own.
+/// Our keys, the bank's and a stranger's, and the AS2 settings, in a temporary directory.
 struct Keys(PathBuf);
 
 impl Keys {
@@ -42,7 +42,7 @@
     fn read(&self, name: &str) -> Vec<u8> {
         std::fs::read(self.0.join(name)).expect("it is there")
     }
-    /// Base64, one way or the other.
+    /// Encodes (`-e`) or decodes (`-d`) base64.
     fn base64(&self, way: &str, text: &[u8]) -> Vec<u8> {
         let (from, to) = (self.file("from", text), self.file("to", b""));
         assert!(openssl(&self.0, &format!("base64 {way} -in {from} -out {to}")));
@@ -107,7 +107,7 @@
     }
 }
 
-/// How the stand-in bank treats a message.
+/// How the test bank handles a message.
 #[derive(Clone, Copy, PartialEq)]
 enum Bank {
     Receipt {
@@ -115,17 +115,17 @@
         by: &'static str,
         mic: Option<&'static str>,
     },
-    /// Takes effect, signs its receipt, and goes silent before sending it.
+    /// Processes the message and never responds.
     Silent,
-    /// Takes effect and cuts the connection.
+    /// Processes the message and cuts the connection.
     CutOff,
-    /// Answers 200; its receipt comes by way of its own.
-    Later,
+    /// Answers 200; its receipt is asynchronous.
+    Asynchronous,
 }
 
 const GOOD: Bank = Bank::Receipt { said: "processed", by: "bank", mic: None };
 
-struct Stage {
+struct Fixture {
     keys: Arc<Keys>,
     bank: Server,
     disco: Server,
@@ -134,7 +134,7 @@
 }
 
 /// The program with a bank as the partner behind dest 7.
-fn stage(how: Bank, encrypt: bool) -> Stage {
+fn fixture(how: Bank, encrypt: bool) -> Fixture {
     let as2: std::net::SocketAddr = free_place();
     let keys = Arc::new(Keys::new(""));
     let mine = keys.clone();
@@ -144,7 +144,7 @@
         match how {
             Bank::Silent => Reply::Hold(String::new()),
             Bank::CutOff => Reply::Cut,
-            Bank::Later => say("200 OK", "", ""),
+            Bank::Asynchronous => say("200 OK", "", ""),
             Bank::Receipt { said, by, mic } => {
                 let mic = mic.map_or_else(|| mine.mic(&part), str::to_string);
                 let (kind, body) = mine.receipt(id, said, &mic, by);
@@ -157,18 +157,18 @@
         "partners":[{{"name":"bank","certificate":"bank.pem","url":"http://{}/as2","dest":7,"rate":50.0,"encrypt":{encrypt},
         "receipt":"{}","class":"payout","tenant":"t","forward_to":8,"receipts_to":"http://{}/as2"}}]}}"#,
         bank.addr,
-        if how == Bank::Later { "async" } else { "sync" },
+        if how == Bank::Asynchronous { "async" } else { "sync" },
         bank.addr
     );
     std::fs::write(keys.0.join("as2.json"), file).expect("its file");
     let disco = discovery(list(1, &[]));
     let daemon = Setup { env: keys.env(), ..setup(&disco, list(1, &[])) }.start();
-    Stage { keys, bank, disco, daemon, as2 }
+    Fixture { keys, bank, disco, daemon, as2 }
 }
 
-/// A wait that a bank tells while another payout's connect hangs is heeded by that one too: nothing is signed away.
+/// A Retry-After from a bank while another payout's connect hangs also applies to that payout: it is not sent early.
 #[test]
-fn a_wait_that_is_told_during_a_connect_is_heeded() {
+fn a_retry_after_that_arrives_during_a_connect_is_respected() {
     let mut bank = Narrow::start();
     let file = format!(
         r#"{{"enabled":true,"listen":"{}","name":"us","key":"us.key","certificate":"us.pem","receipt_url":"http://127.0.0.1:1/receipts",
@@ -184,7 +184,7 @@
     assert!(call(&second).header("as2-to").is_some_and(|to| to == "bank"), "it serves the next one");
 }
 
-/// Each payout goes to the bank once, and has one end: delivered without a word, or one notice.
+/// Each payout is sent to the bank once and completes once: delivered without a callback, or with one callback.
 #[rstest]
 #[case::signed(GOOD, false, None)]
 #[case::encrypted(GOOD, true, None)]
@@ -193,8 +193,8 @@
 #[case::forged(Bank::Receipt { said: "processed", by: "stranger", mic: None }, false, Some("not good"))]
 #[case::other_digest(Bank::Receipt { said: "processed", by: "bank", mic: Some("AAAA") }, false, Some("digest"))]
 #[case::cut_off(Bank::CutOff, false, Some("cut"))]
-fn a_payout_has_one_end(#[case] how: Bank, #[case] encrypt: bool, #[case] fault: Option<&str>) {
-    let s = stage(how, encrypt);
+fn a_payout_completes_exactly_once(#[case] how: Bank, #[case] encrypt: bool, #[case] fault: Option<&str>) {
+    let s = fixture(how, encrypt);
     assert_eq!(s.daemon.hand_in("payout", "p1"), 202);
     let sent = s.bank.wait("the payout", |all| !all.is_empty());
     assert_eq!(sent[0].header("message-id"), Some("<p1@us>"));
@@ -208,21 +208,22 @@
 }
 
 #[test]
-fn one_that_the_bank_could_not_check_never_ran_and_goes_again() {
-    let s = stage(Bank::Receipt { said: "processed/error: decryption-failed", by: "bank", mic: None }, true);
+fn a_message_that_the_bank_could_not_decrypt_is_retried() {
+    let s =
+        fixture(Bank::Receipt { said: "processed/error: decryption-failed", by: "bank", mic: None }, true);
     assert_eq!(s.daemon.hand_in("payout", "d1"), 202);
-    s.bank.wait("a second try", |all| all.len() >= 2);
+    s.bank.wait("a second attempt", |all| all.len() >= 2);
     assert_eq!(s.bank.heard()[1].header("message-id"), Some("<d1@us>"));
 }
 
 #[test]
-fn a_bank_silent_before_its_receipt_may_have_paid_and_its_late_receipt_changes_nothing() {
-    let s = stage(Bank::Silent, false);
+fn a_payout_without_a_receipt_is_undeliverable_and_a_late_receipt_changes_nothing() {
+    let s = fixture(Bank::Silent, false);
     let handed = s.daemon.ask(&message("payout", "s1", "1500m", "")).map(|h| h.status());
     assert_eq!(handed, Some(202));
     s.disco.wait_text(r#"{"id":"s1","status":"undeliverable"}"#);
     assert_eq!(s.bank.heard().len(), 1);
-    let later = stage(Bank::Later, false);
+    let later = fixture(Bank::Asynchronous, false);
     assert_eq!(later.daemon.ask(&message("payout", "s2", "1500m", "")).map(|h| h.status()), Some(202));
     let sent = later.bank.wait("the payout", |all| !all.is_empty());
     later.disco.wait_text(r#"{"id":"s2","status":"undeliverable"}"#);
@@ -232,8 +233,8 @@
 }
 
 #[test]
-fn a_receipt_that_comes_by_way_of_its_own_is_a_delivery() {
-    let s = stage(Bank::Later, true);
+fn an_asynchronous_receipt_completes_a_delivery() {
+    let s = fixture(Bank::Asynchronous, true);
     assert_eq!(s.daemon.hand_in("payout", "l1"), 202);
     let sent = s.bank.wait("the payout", |all| !all.is_empty());
     assert_eq!(s.post_receipt(&sent[0]), 200);
@@ -241,10 +242,10 @@
     assert!(!s.disco.heard().iter().any(|h| h.text().contains("l1")));
 }
 
-/// Killed while the bank has the payout: it is not sent again, ends once, and a receipt that comes then is logged.
+/// After a kill while the payout is in flight: it is not sent again, completes once, and a later receipt is logged.
 #[test]
-fn a_payout_out_at_a_kill_is_not_sent_again() {
-    let mut s = stage(Bank::Later, false);
+fn a_payout_in_flight_at_a_kill_is_not_sent_again() {
+    let mut s = fixture(Bank::Asynchronous, false);
     assert_eq!(s.daemon.hand_in("payout", "k1"), 202);
     let sent = s.bank.wait("the payout", |all| !all.is_empty());
     s.daemon.kill();
@@ -258,7 +259,7 @@
     );
 }
 
-impl Stage {
+impl Fixture {
     fn post_receipt(&self, sent: &Heard) -> u16 {
         let mic = self.keys.mic(&self.keys.open(sent).expect("signed by us"));
         let (kind, body) =
@@ -270,8 +271,8 @@
             format!("POST {path} HTTP/1.1\r\nhost: us\r\n{head}content-length: {}\r\n\r\n{body}", body.len());
         ask(self.as2, text.as_bytes()).expect("an answer")
     }
-    /// Hands in a payout as the bank would.
-    fn hand_in(&self, from: &str, signer: &str, more: &str) -> Heard {
+    /// Submits a payout as the bank would.
+    fn submit_as(&self, from: &str, signer: &str, more: &str) -> Heard {
         let part = "Content-Type: text/plain\r\n\r\npay the creator";
         let (kind, body) = self.keys.sign(part, signer);
         let head = format!(
@@ -282,15 +283,17 @@
     }
 }
 
-/// A partner hands in: its receipt is signed by us and carries the digest of what it signed.
+/// The receipt for a partner's message is signed by us and has the digest of what the partner signed.
 #[rstest]
 #[case::good("bank", "bank", 200, "; processed\r\n")]
 #[case::forged("bank", "stranger", 200, "; processed/error: authentication-failed\r\n")]
 #[case::unknown("nobody", "bank", 403, "")]
-fn a_partner_hands_in(#[case] from: &str, #[case] signer: &str, #[case] status: u16, #[case] said: &str) {
+fn a_partners_message_gets_a_signed_receipt(
+    #[case] from: &str, #[case] signer: &str, #[case] status: u16, #[case] said: &str,
+) {
     let endpoint = Server::always("200 OK");
-    let s = stage_with_endpoint(&endpoint);
-    let answer = s.hand_in(from, signer, "");
+    let s = fixture_with_endpoint(&endpoint);
+    let answer = s.submit_as(from, signer, "");
     assert_eq!(answer.status(), status);
     if status == 200 {
         let part = s.keys.open(&answer).expect("signed by us");
@@ -303,16 +306,16 @@
         assert_eq!(endpoint.wait("the payout", |all| !all.is_empty())[0].text(), "pay the creator");
         s.daemon.wait_log("outcome=Ok");
         // A repeat gets the same answer, and nothing runs again.
-        assert!(s.keys.open(&s.hand_in(from, signer, "")).expect("signed").contains(said));
+        assert!(s.keys.open(&s.submit_as(from, signer, "")).expect("signed").contains(said));
     }
     assert_eq!(endpoint.heard().len(), usize::from(said.contains("; processed\r")));
 }
 
-/// Who asks for its receipt later gets it when the message is over, also across a kill, and only once.
+/// An asynchronous receipt is sent once the message is complete, also after a kill, and only once.
 #[rstest]
 #[case::delivered("200 OK", "; processed\r\n")]
 #[case::failed("500 Oops", "; processed/error: unexpected-processing-error\r\n")]
-fn a_later_receipt_tells_the_end(#[case] status: &'static str, #[case] said: &str) {
+fn an_asynchronous_receipt_reports_the_outcome(#[case] status: &'static str, #[case] said: &str) {
     let held = Arc::new(AtomicBool::new(true));
     let mine = held.clone();
     let endpoint = Server::start(move |_, _| {
@@ -322,10 +325,10 @@
             say(status, "", "")
         }
     });
-    let mut s = stage_with_endpoint(&endpoint);
+    let mut s = fixture_with_endpoint(&endpoint);
     let to = format!("receipt-delivery-option: http://{}/as2\r\n", s.bank.addr);
-    assert_eq!(s.hand_in("bank", "bank", &to).status(), 200);
-    // Its outcome is known before the kill: else it might have run.
+    assert_eq!(s.submit_as("bank", "bank", &to).status(), 200);
+    // The kill must come after the attempt's outcome: otherwise the attempt may have taken effect.
     s.daemon.wait_log("pace cut");
     s.daemon.kill();
     held.store(false, Ordering::SeqCst);
@@ -336,10 +339,10 @@
     assert_eq!(s.bank.heard().len(), 1);
 }
 
-/// The same, with an endpoint of the platform behind what the bank hands in.
-fn stage_with_endpoint(endpoint: &Server) -> Stage {
-    let mut s = stage(GOOD, false);
-    // The bank only hands in here: what reaches it are receipts.
+/// The same, with an endpoint of the platform to which the bank's messages are forwarded.
+fn fixture_with_endpoint(endpoint: &Server) -> Fixture {
+    let mut s = fixture(GOOD, false);
+    // The bank only submits here: all that it receives are receipts.
     s.bank = Server::always("200 OK");
     let file = String::from_utf8(s.keys.read("as2.json")).expect("text");
     let old =
@@ -355,7 +358,7 @@
 }
 
 #[test]
-fn the_front_is_off_unless_its_file_says_otherwise() {
+fn the_front_is_off_without_a_settings_file() {
     let endpoint = Server::always("200 OK");
     let known = list(1, &[(7, endpoint.addr)]);
     let disco = discovery(known.clone());
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -1,4 +1,5 @@
-//! Clients that are bad, slow, silent or too many: each hears an error or a close, and the others are served.
+//! Clients that send invalid requests, are slow or silent, or are too many: each gets an error or a close, and the others are
+//! served.
 mod stand;
 use rstest::rstest;
 use stand::*;
@@ -15,11 +16,11 @@
     (disco, daemon)
 }
 
-/// Everything that comes until the connection is closed, in any way.
-fn read_out(socket: &mut TcpStream) -> String {
+/// Everything that arrives until the connection is closed or reset.
+fn read_until_close(socket: &mut TcpStream) -> String {
     let mut all = Vec::new();
     match socket.read_to_end(&mut all) {
-        Err(e) if e.kind() != ErrorKind::ConnectionReset => panic!("neither a word nor a close: {e}"),
+        Err(e) if e.kind() != ErrorKind::ConnectionReset => panic!("neither a response nor a close: {e}"),
         _ => String::from_utf8_lossy(&all).into_owned(),
     }
 }
@@ -41,18 +42,20 @@
 #[case::length_and_encoding(&plain(&format!("Content-Length: {}\r\n{CHUNKED}", HIDDEN.len()), HIDDEN), "400")]
 #[case::encoding_and_length(&plain(&format!("{CHUNKED}Content-Length: {}\r\n", HIDDEN.len()), HIDDEN), "400")]
 #[case::chunks_too_long(&plain(CHUNKED, &format!("11171\r\n{}", "x".repeat(70_001))), "413")]
-fn it_hears_an_error_or_a_close_and_nothing_is_passed_on(#[case] text: &str, #[case] status: &str) {
+fn an_invalid_request_gets_an_error_or_a_close_and_is_not_forwarded(
+    #[case] text: &str, #[case] status: &str,
+) {
     let endpoint = Server::always("200 OK");
     let (_disco, daemon) = start(&endpoint, 1024);
     let begun = Instant::now();
     let mut socket = daemon.connect();
     // The rest may find the connection closed.
     let _ = socket.write_all(text.as_bytes());
-    let heard = read_out(&mut socket);
+    let response = read_until_close(&mut socket);
     assert!(begun.elapsed() < Duration::from_millis(2700), "{:?}", begun.elapsed());
-    let line = heard.lines().next().unwrap_or_default();
-    assert!(line.strip_prefix("HTTP/1.1 ").unwrap_or_default().starts_with(status), "{heard}");
-    assert_eq!(heard.matches("HTTP/1.1").count(), usize::from(!status.is_empty()));
+    let line = response.lines().next().unwrap_or_default();
+    assert!(line.strip_prefix("HTTP/1.1 ").unwrap_or_default().starts_with(status), "{response}");
+    assert_eq!(response.matches("HTTP/1.1").count(), usize::from(!status.is_empty()));
     assert_eq!(daemon.hand_in("stats", "good"), 202);
     endpoint.wait_id("good");
     assert_eq!(endpoint.heard().len(), 1);
@@ -62,9 +65,9 @@
     format!("POST /stats HTTP/1.1\r\nX-Request-Id: bad\r\nX-Class: stats\r\nX-Tenant: t\r\nX-Deadline: 9000m\r\nX-Envelope: dest=7\r\n{more}\r\n{body}")
 }
 
-/// A chunked body alone is good, also behind another request; its connection ends with its answer.
+/// A chunked body without Content-Length is valid, also after another request; its connection closes with its response.
 #[test]
-fn a_chunked_body_is_taken_on() {
+fn a_chunked_body_is_accepted() {
     let endpoint = Server::always("200 OK");
     let (_disco, daemon) = start(&endpoint, 1024);
     let mut socket = daemon.connect();
@@ -77,12 +80,11 @@
     assert_eq!(endpoint.wait_id("bad").text(), "abc");
 }
 
-/// A third of the descriptors is for clients. Those that say nothing, or stay once they had an answer, keep no
-/// other out.
+/// A third of the descriptors is for clients. Connections that are silent, or stay open after a response, block no other.
 #[rstest]
 #[case::silent(false)]
 #[case::staying(true)]
-fn connections_that_stand_open_keep_nobody_out(#[case] ask: bool) {
+fn silent_and_idle_connections_do_not_block_new_ones(#[case] ask: bool) {
     let endpoint = Server::always("200 OK");
     let (_disco, daemon) = start(&endpoint, 60);
     daemon.descriptors(60);
@@ -101,10 +103,10 @@
     assert!(begun.elapsed() < Duration::from_millis(1000), "{:?}", begun.elapsed());
 }
 
-/// Idle clients fill their share of the descriptors while discovery is down: what is left serves the journal, the
-/// endpoints and the next asks, and the list comes through once discovery is back.
+/// Idle clients use up their share of the descriptors while discovery is down: the rest is enough for the journal, the
+/// endpoints and the next polls, and the list arrives once discovery is back.
 #[test]
-fn idle_clients_leave_descriptors_for_all_else_while_discovery_is_down() {
+fn idle_clients_leave_descriptors_for_other_uses_while_discovery_is_down() {
     let (old, new) = (Server::always("200 OK"), Server::always("200 OK"));
     let fresh = list(2, &[(7, new.addr)]).replace("s-0", "s-1");
     let back = Arc::new(AtomicBool::new(false));
@@ -129,9 +131,9 @@
     drop(open);
 }
 
-/// Before the first list nobody knows which destinations there are: coming again is harmless, and the first list answers.
+/// Before the first endpoint list the destinations are unknown: messages are rejected, and may be repeated after the list.
 #[test]
-fn without_any_list_a_message_is_refused_and_not_failed() {
+fn without_an_endpoint_list_a_message_is_rejected_and_not_failed() {
     let endpoint = Server::always("200 OK");
     let back = Arc::new(AtomicBool::new(false));
     let (is_back, fresh) = (back.clone(), list(2, &[(7, endpoint.addr)]));
@@ -150,7 +152,7 @@
 }
 
 #[test]
-fn it_goes_on_when_descriptors_run_out() {
+fn service_goes_on_after_descriptors_run_out() {
     let endpoint = Server::always("200 OK");
     let (_disco, mut daemon) = start(&endpoint, 1024);
     assert_eq!(daemon.hand_in("stats", "d1"), 202);
@@ -175,9 +177,9 @@
     assert!(matches!(end.kind(), ErrorKind::ConnectionReset | ErrorKind::BrokenPipe), "{end}");
 }
 
-/// Whoever uses the id of an open request does not get in the way of that one.
+/// A message with the id of a pending one does not affect that one.
 #[test]
-fn another_message_under_the_id_of_an_open_one_is_turned_away() {
+fn another_message_with_the_id_of_a_pending_one_is_rejected() {
     let endpoint = Server::start(|_, _| Reply::Hold(String::new()));
     let (_disco, daemon) = start(&endpoint, 1024);
     assert_eq!(daemon.hand_in("payout", "i1"), 202);
--- a/tests/sites.rs
+++ b/tests/sites.rs
@@ -10,14 +10,14 @@
 use std::time::{Duration, Instant};
 
 /// The names that a request needs from the settings.
-struct Site {
+struct Deployment {
     settings: String,
-    /// Each class, and the time that its messages have.
+    /// Each class, and its deadline in milliseconds.
     classes: Vec<(String, u64)>,
     tenant: Option<String>,
 }
 
-fn site(name: &str) -> Site {
+fn site(name: &str) -> Deployment {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/sites").join(name).join("settings.json");
     let settings = std::fs::read_to_string(&path).expect("its settings");
     let read: Value = serde_json::from_str(&settings).expect("JSON");
@@ -28,11 +28,11 @@
     let classes = read["classes"].as_array().expect("classes").iter().map(class).collect();
     let tenant = read["tenants"].as_array().expect("tenants").first();
     let tenant = tenant.map(|t| t["name"].as_str().expect("a name").to_string());
-    Site { settings, classes, tenant }
+    Deployment { settings, classes, tenant }
 }
 
 /// One message of this class for dest 7, in the form of the protocol page: no tenant is named where there is none.
-fn request(site: &Site, class: &str, deadline_ms: u64, id: &str) -> Vec<u8> {
+fn request(site: &Deployment, class: &str, deadline_ms: u64, id: &str) -> Vec<u8> {
     let tenant = site.tenant.as_ref().map(|t| format!("X-Tenant: {t}\r\n")).unwrap_or_default();
     let body = format!("body of {id}");
     format!(
@@ -46,14 +46,14 @@
 
 #[rstest]
 #[case::no_tenants_one_class_in_order("quayside-alerts")]
-#[case::six_classes_and_told_limits("orchard-freight")]
-fn messages_of_each_class_are_taken_on_and_delivered_also_over_a_restart(#[case] name: &str) {
+#[case::six_classes_and_reported_limits("orchard-freight")]
+fn messages_of_each_class_are_accepted_and_delivered_also_after_a_restart(#[case] name: &str) {
     let site = site(name);
     let open = Arc::new(AtomicBool::new(true));
     let is_open = open.clone();
     let endpoint = Server::start(move |_, _| match is_open.load(Ordering::Relaxed) {
         true => say("200 OK", "", ""),
-        // Turned away, never run: it stays owed.
+        // Rejected, so it had no effect and stays pending.
         false => say("503 Later", "", ""),
     });
     let known = list(1, &[(7, endpoint.addr)]);
@@ -110,9 +110,9 @@
     (endpoint, came)
 }
 
-/// With a window of 1 s, a message that may have run is repeated inside it only, and has its end in time.
+/// With a window of 1 s, an attempt that may have run is retried inside it only, and the message completes in time.
 #[test]
-fn what_may_have_run_is_repeated_inside_a_short_window_only() {
+fn an_attempt_that_may_have_run_is_retried_inside_the_window_only() {
     let site = site("quayside-alerts");
     let (endpoint, came) = resetting();
     let known = list(1, &[(7, endpoint.addr)]);
@@ -126,11 +126,11 @@
     assert!(calls.iter().all(|c| *c < WINDOW), "{calls:?}");
 }
 
-/// The same across a restart: the window counts from the call before it.
+/// The same after a restart: the window counts from the attempt before it.
 #[rstest]
 #[case::inside_a_long_one("8000000000", Duration::ZERO, true)]
 #[case::after_a_short_one("1000000000", WINDOW, false)]
-fn a_restart_does_not_lengthen_the_window(
+fn a_restart_does_not_extend_the_window(
     #[case] window_ns: &str, #[case] down_for: Duration, #[case] again: bool,
 ) {
     let mut site = site("quayside-alerts");
