--- a/src/acme.rs
+++ b/src/acme.rs
@@ -40,7 +40,8 @@
     /// The authority cannot be reached or has rejected a request: check `acme.directory` and `acme.domain`.
     #[error(transparent)]
     Protocol(#[from] instant_acme::Error),
-    /// The certificate's key cannot be used, or is not the certificate's: if it comes back, ask the authority's operator.
+    /// The certificate's key cannot be used, or is not the certificate's: if it comes back, ask the authority's
+    /// operator.
     #[error(transparent)]
     Tls(#[from] rustls::Error),
     /// The certificate or its key is not PEM: if it comes back, ask the authority's operator.
@@ -52,7 +53,8 @@
     /// The authority does not validate by HTTP-01 (RFC 8555, section 8.3): choose another one in `acme.directory`.
     #[error("the authority offers no HTTP-01")]
     NoHttp01Challenge,
-    /// The authority did not validate the domain: check that it can reach `acme.challenge_listen` on port 80 of the domain.
+    /// The authority did not validate the domain: check that it can reach `acme.challenge_listen` on port 80 of the
+    /// domain.
     #[error("the order is {0:?}")]
     OrderNotReady(OrderStatus),
 }
--- a/src/as2/check.rs
+++ b/src/as2/check.rs
@@ -1,5 +1,5 @@
-//! Reports all errors in the AS2 settings file: unknown keys, malformed addresses, and certificates and keys that cannot be
-//! read or parsed.
+//! Reports all errors in the AS2 settings file: unknown keys, malformed addresses, and certificates and keys that
+//! cannot be read or parsed.
 use super::file::{AcmeSettings, As2File, PartnerEntry};
 use super::key_dir;
 use super::smime::Identity;
@@ -11,8 +11,8 @@
 use std::path::Path;
 use x509_cert::Certificate;
 
-/// Checks the file and returns all errors; none if there is no file. `deployment` has the names of classes and tenants to
-/// which the file refers; `None` if the configuration cannot be parsed.
+/// Checks the file and returns all errors; none if there is no file. `deployment` has the names of classes and tenants
+/// to which the file refers; `None` if the configuration cannot be parsed.
 pub fn check_file(path: &Path, deployment: Option<&DeploymentSettings>) -> Vec<ConfigError> {
     let mut errors = ConfigErrors::new(path);
     let text = match std::fs::read_to_string(path) {
--- a/src/as2/error.rs
+++ b/src/as2/error.rs
@@ -3,8 +3,8 @@
 use std::io;
 use std::path::PathBuf;
 
-/// Why the AS2 settings cannot be loaded, or an outgoing message or receipt cannot be created. `micaladder check` reports
-/// errors in the settings by file and key.
+/// Why the AS2 settings cannot be loaded, or an outgoing message or receipt cannot be created. `micaladder check`
+/// reports errors in the settings by file and key.
 #[derive(Debug, thiserror::Error)]
 pub enum As2Error {
     /// The settings file is not JSON, or a key is missing or has the wrong type: correct the key that the error names.
--- a/src/as2/mdn.rs
+++ b/src/as2/mdn.rs
@@ -58,7 +58,8 @@
     }
 }
 
-/// Composes a receipt as a MIME entity; `our_name` is the recipient that it names. It is signed if an identity is given.
+/// Composes a receipt as a MIME entity; `our_name` is the recipient that it names. It is signed if an identity is
+/// given.
 ///
 /// # Errors
 ///
--- a/src/as2/mod.rs
+++ b/src/as2/mod.rs
@@ -97,8 +97,8 @@
 }
 
 impl As2Settings {
-    /// Loads the settings file and the keys and certificates that it names. Returns `None` if there is no readable file or
-    /// the front is not enabled.
+    /// Loads the settings file and the keys and certificates that it names. Returns `None` if there is no readable file
+    /// or the front is not enabled.
     ///
     /// # Errors
     ///
--- a/src/client/as2/mdn.rs
+++ b/src/client/as2/mdn.rs
@@ -48,8 +48,8 @@
     Compose(#[from] As2Error),
 }
 
-/// What is stored with a message whose receipt is sent once the message is complete. It is in the journal's format, so its
-/// keys stay.
+/// What is stored with a message whose receipt is sent once the message is complete. It is in the journal's format, so
+/// its keys stay.
 #[derive(Serialize, Deserialize)]
 pub(super) struct Origin {
     /// The sender's AS2 name.
@@ -112,7 +112,8 @@
 }
 
 impl As2Front {
-    /// The response to a message, with the receipt if it is synchronous. An asynchronous one is sent by a task of its own.
+    /// The response to a message, with the receipt if it is synchronous. An asynchronous one is sent by a task of its
+    /// own.
     pub(super) fn mdn_response(
         &self, request: &MdnRequest, outcome: MdnOutcome, mic: Option<String>,
     ) -> Response {
@@ -138,8 +139,8 @@
     }
 }
 
-/// Sends the asynchronous receipts of messages that are complete, for as long as the process runs. The exchange is notified
-/// once a receipt needs no further attempt.
+/// Sends the asynchronous receipts of messages that are complete, for as long as the process runs. The exchange is
+/// notified once a receipt needs no further attempt.
 pub async fn send_mdns(
     settings: Arc<As2Settings>, exchange: Exchange, mut callbacks: UnboundedReceiver<Callback>,
 ) {
--- a/src/client/as2/mod.rs
+++ b/src/client/as2/mod.rs
@@ -1,5 +1,5 @@
-//! The AS2 front (RFC 4130): receives partners' messages, and their asynchronous receipts for messages that were sent to
-//! them. `mdn` composes and delivers our own receipts.
+//! The AS2 front (RFC 4130): receives partners' messages, and their asynchronous receipts for messages that were sent
+//! to them. `mdn` composes and delivers our own receipts.
 mod mdn;
 
 pub use mdn::send_mdns;
@@ -140,8 +140,8 @@
         }
     }
 
-    /// The context of a partner's message. `None` if its body cannot be decoded or is too long, or if the settings have no
-    /// class, tenant or destination for the partner's messages.
+    /// The context of a partner's message. `None` if its body cannot be decoded or is too long, or if the settings have
+    /// no class, tenant or destination for the partner's messages.
     fn request_context(
         &self, request: &MdnRequest, subject: &str, mic: &str, part: &[u8],
     ) -> Option<RequestContext> {
--- a/src/client/connection.rs
+++ b/src/client/connection.rs
@@ -1,5 +1,5 @@
-//! Serves one client connection: reads complete requests within their limits, has them answered, and closes without losing
-//! a response.
+//! Serves one client connection: reads complete requests within their limits, has them answered, and closes without
+//! losing a response.
 use super::limiter::{ConnectionLimiter, ConnectionPermit, ConnectionState, Phase};
 use super::socket::{ClientSocket, DISCARD_TIMEOUT};
 use super::FINAL_RESPONSES;
@@ -71,7 +71,8 @@
     let mut shutting_down = false;
     loop {
         tokio::select! {
-            // Eviction first, or a request could begin between the eviction and the close. Then what has arrived already.
+            // Eviction first, or a request could begin between the eviction and the close. Then what has arrived
+            // already.
             biased;
             () = state.evicted() => break,
             ended = &mut connection => {
@@ -134,8 +135,8 @@
             }
             Err(status) => (status.into_response(), None),
         };
-        // The end of the request is not certain, or its unread rest would be taken for the next request (RFC 9112, section
-        // 6.3), or the connection's place is needed.
+        // The end of the request is not certain, or its unread rest would be taken for the next request (RFC 9112,
+        // section 6.3), or the connection's place is needed.
         if chunked || body_size.is_none() || self.limiter.is_crowded() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
@@ -146,8 +147,8 @@
 }
 
 /// Reads a request's body; returns the complete request and the body's size. A body that is too long is not stored, one
-/// that does not arrive in time is given up, and while connections are being closed it is given up soon: the request was
-/// not accepted.
+/// that does not arrive in time is given up, and while connections are being closed it is given up soon: the request
+/// was not accepted.
 async fn read_complete(
     request: Request<Incoming>, limits: Limits, closing: watch::Receiver<bool>,
 ) -> Result<(Request<Body>, usize), StatusCode> {
--- a/src/client/error.rs
+++ b/src/client/error.rs
@@ -2,8 +2,8 @@
 use axum::http::StatusCode;
 use axum::response::{IntoResponse, Response};
 
-/// Why a client's request cannot be accepted. The text is the response's body; the client has to correct the request. None
-/// of these requests has taken effect.
+/// Why a client's request cannot be accepted. The text is the response's body; the client has to correct the request.
+/// None of these requests has taken effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ClientError {
     /// A header's value has bytes that are not visible ASCII.
--- a/src/client/head.rs
+++ b/src/client/head.rs
@@ -53,8 +53,8 @@
         self.complete && !self.unreliable && !self.has_content_length
     }
 
-    /// Prepares for the next head after a request whose body had this size. Returns whether bytes of a further request have
-    /// arrived.
+    /// Prepares for the next head after a request whose body had this size. Returns whether bytes of a further request
+    /// have arrived.
     pub(super) fn next_request(&mut self, body_size: usize) -> bool {
         let unreliable = self.unreliable || !self.complete || self.bytes_after != body_size;
         let more_arrived = self.bytes_after > body_size;
--- a/src/client/limiter.rs
+++ b/src/client/limiter.rs
@@ -9,10 +9,11 @@
 
 /// How long a connection that has carried a request stands idle before it may be evicted.
 const EVICT_IDLE_AFTER: Duration = Duration::from_secs(2);
-/// How long a connection may stay without a first byte before it may be evicted: a client with a request sends it at once.
+/// How long a connection may stay without a first byte before it may be evicted: a client with a request sends it at
+/// once.
 const EVICT_SILENT_AFTER: Duration = Duration::from_millis(100);
-/// How long a connection may stop in the middle of a head before it may be evicted: a client waits 400 ms for its response
-/// and gives up after that.
+/// How long a connection may stop in the middle of a head before it may be evicted: a client waits 400 ms for its
+/// response and gives up after that.
 const EVICT_PARTIAL_HEAD_AFTER: Duration = Duration::from_millis(500);
 /// Share of the limit beyond which responses close their connections.
 const CROWDED_SHARE: f64 = 0.75;
@@ -150,8 +151,8 @@
         Arc::new(ConnectionLimiter { limit: limit.max(1), open: Mutex::default(), released: Notify::new() })
     }
 
-    /// Waits for a permit and evicts connections that carry no request meanwhile. Guards the file descriptors against clients
-    /// that connect and send nothing.
+    /// Waits for a permit and evicts connections that carry no request meanwhile. Guards the file descriptors against
+    /// clients that connect and send nothing.
     pub async fn acquire(self: &Arc<ConnectionLimiter>) -> ConnectionPermit {
         loop {
             if let Some(permit) = self.try_acquire() {
@@ -182,8 +183,8 @@
         ranked.min_by_key(|(rank, _)| *rank).map(|(_, state)| state.clone())
     }
 
-    /// Whether idle connections would soon block new ones. They may not be evicted for 2 s, but a response may say that it is
-    /// the last one on its connection (RFC 9112, section 9.6).
+    /// Whether idle connections would soon block new ones. They may not be evicted for 2 s, but a response may say that
+    /// it is the last one on its connection (RFC 9112, section 9.6).
     pub(super) fn is_crowded(&self) -> bool {
         lock(&self.open).by_id.len() as f64 > self.limit as f64 * CROWDED_SHARE
     }
--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -32,8 +32,8 @@
 
 /// How long responses may still be sent once connections are being closed.
 pub const FINAL_RESPONSES: Duration = Duration::from_millis(250);
-/// How long the process outlives its last client connection. Guards the last responses: one that is still in the socket's
-/// buffer when the process ends may be lost, and the client would count an accepted request as not received.
+/// How long the process outlives its last client connection. Guards the last responses: one that is still in the
+/// socket's buffer when the process ends may be lost, and the client would count an accepted request as not received.
 pub const CLOSE_LINGER: Duration = Duration::from_millis(100);
 /// Connections that the kernel queues before they are accepted; the standard library's value.
 const BACKLOG: u32 = 1024;
@@ -42,8 +42,8 @@
 /// Pause after a failed `accept` for lack of descriptors or memory.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Listens for clients. If `shared`, another process of this user may listen at the same address (`SO_REUSEPORT`), as it
-/// does during a takeover; the kernel assigns each new connection to one of them.
+/// Listens for clients. If `shared`, another process of this user may listen at the same address (`SO_REUSEPORT`), as
+/// it does during a takeover; the kernel assigns each new connection to one of them.
 ///
 /// # Errors
 ///
@@ -83,8 +83,8 @@
     Ok(Arc::new(config).into())
 }
 
-/// Serves a front until `closing` becomes true. Then every request that has arrived still gets its response; returns when
-/// no client connection of the process is left.
+/// Serves a front until `closing` becomes true. Then every request that has arrived still gets its response; returns
+/// when no client connection of the process is left.
 pub async fn serve(front: Front, limiter: Arc<ConnectionLimiter>, closing: watch::Receiver<bool>) {
     let Front { listener, routes, limits, tls } = front;
     let acceptor = Acceptor { routes, limits, tls, closing };
--- a/src/client/platform.rs
+++ b/src/client/platform.rs
@@ -17,8 +17,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Clients send at full speed and wait 400 ms for their response; a request that is not complete gets an error within 3 s
-/// of the connect.
+/// Clients send at full speed and wait 400 ms for their response; a request that is not complete gets an error within 3
+/// s of the connect.
 pub const LIMITS: Limits = Limits {
     head_timeout: Duration::from_millis(2200),
     body_timeout: Duration::from_millis(500),
--- a/src/client/socket.rs
+++ b/src/client/socket.rs
@@ -11,8 +11,8 @@
 
 /// Clients read at full speed. One that reads nothing for so long is treated as gone.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long input is read and discarded after the write side was shut down. A client closes its side as soon as it has read
-/// the end of the stream: one round trip.
+/// How long input is read and discarded after the write side was shut down. A client closes its side as soon as it has
+/// read the end of the stream: one round trip.
 pub(super) const DISCARD_TIMEOUT: Duration = Duration::from_millis(100);
 /// The most bytes that are discarded. Bounds the work for a client that goes on sending.
 const DISCARD_LIMIT: usize = 256 * 1024;
@@ -120,9 +120,9 @@
         self.limit_write_time(cx, flushed)
     }
 
-    /// Closes the connection: the write side is shut down, then input is read and discarded until the client has closed its
-    /// side or a short time is over. Guards the last response: a close with unread input resets the connection (RFC 9112,
-    /// section 9.6).
+    /// Closes the connection: the write side is shut down, then input is read and discarded until the client has closed
+    /// its side or a short time is over. Guards the last response: a close with unread input resets the connection (RFC
+    /// 9112, section 9.6).
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         if matches!(self.close, CloseState::Open) {
             let shut = Pin::new(&mut self.io).poll_shutdown(cx);
--- a/src/client/tests.rs
+++ b/src/client/tests.rs
@@ -1,5 +1,5 @@
-//! Client connections over loopback sockets, in an order that the tests force: the runtime has one thread, so everything
-//! between two awaits of a test happens before the connection's task runs again.
+//! Client connections over loopback sockets, in an order that the tests force: the runtime has one thread, so
+//! everything between two awaits of a test happens before the connection's task runs again.
 use super::connection::{self, Limits};
 use super::limiter::{ConnectionLimiter, ConnectionState, Phase};
 use axum::routing::post;
@@ -166,8 +166,8 @@
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer:?}");
 }
 
-/// A request whose body is incomplete when connections close is rejected and so provably not accepted. Regression test: it
-/// was waited for until the process ended.
+/// A request whose body is incomplete when connections close is rejected and so provably not accepted. Regression test:
+/// it was waited for until the process ended.
 #[tokio::test]
 async fn a_request_without_its_body_is_rejected_in_time_while_connections_are_closing() {
     let fixture = fixture(false).await;
--- a/src/logger.rs
+++ b/src/logger.rs
@@ -1,5 +1,5 @@
-//! The log: lines on standard error, as text or as JSON, with the key-value fields of the `log` macros. Each call site is
-//! limited to one line per second beyond a burst; the next line says how many were suppressed.
+//! The log: lines on standard error, as text or as JSON, with the key-value fields of the `log` macros. Each call site
+//! is limited to one line per second beyond a burst; the next line says how many were suppressed.
 #![warn(missing_docs)]
 use crate::clock;
 use crate::interface::Nanos;
@@ -253,8 +253,8 @@
     path
 }
 
-/// Installs the logger of the process. `burst` is the number of lines that a call site may write at once; 0: no limit. Only
-/// the first call in a process has an effect.
+/// Installs the logger of the process. `burst` is the number of lines that a call site may write at once; 0: no limit.
+/// Only the first call in a process has an effect.
 pub fn install(filter: &Filter, format: Format, burst: u32) {
     let limiter = Mutex::new(RateLimiter::new(burst));
     let mut builder = env_logger::Builder::new();
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -53,8 +53,8 @@
     overrides: CommandLineOverrides,
 }
 
-/// The settings that all forwarders of a deployment share: the decision module's, and the names that are used on the wire
-/// for the module's indices.
+/// The settings that all forwarders of a deployment share: the decision module's, and the names that are used on the
+/// wire for the module's indices.
 #[derive(PartialEq)]
 pub struct DeploymentSettings {
     /// The decision module's settings.
@@ -74,8 +74,9 @@
 impl DeploymentSettings {
     /// Number of forwarders that poll the same discovery service, by which polls are spread over time.
     ///
-    /// A pushed list is available to each forwarder at no cost to the others, and its endpoints count as notified as soon
-    /// as it changes, so a forwarder that waited for its turn would keep sending to endpoints that drain: the number is 1.
+    /// A pushed list is available to each forwarder at no cost to the others, and its endpoints count as notified as
+    /// soon as it changes, so a forwarder that waited for its turn would keep sending to endpoints that drain: the
+    /// number is 1.
     pub fn polling_forwarders(&self) -> usize {
         match self.module.poll_interval {
             Some(_) => self.module.forwarders,
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -1,5 +1,5 @@
-//! Clients that send invalid requests, are slow or silent, or are too many: each gets an error or a close, and the others are
-//! served.
+//! Clients that send invalid requests, are slow or silent, or are too many: each gets an error or a close, and the
+//! others are served.
 mod stand;
 use rstest::rstest;
 use stand::*;
@@ -80,7 +80,8 @@
     assert_eq!(endpoint.wait_id("bad").text(), "abc");
 }
 
-/// A third of the descriptors is for clients. Connections that are silent, or stay open after a response, block no other.
+/// A third of the descriptors is for clients. Connections that are silent, or stay open after a response, block no
+/// other.
 #[rstest]
 #[case::silent(false)]
 #[case::staying(true)]
@@ -131,7 +132,8 @@
     drop(open);
 }
 
-/// Before the first endpoint list the destinations are unknown: messages are rejected, and may be repeated after the list.
+/// Before the first endpoint list the destinations are unknown: messages are rejected, and may be repeated after the
+/// list.
 #[test]
 fn without_an_endpoint_list_a_message_is_rejected_and_not_failed() {
     let endpoint = Server::always("200 OK");
