--- a/src/lib.rs
+++ b/src/lib.rs
@@ -42,9 +42,9 @@
 //! assert!(actions.iter().all(|a| !matches!(a, Action::Send { .. })));
 //! ```
 //!
-//! The rest of the crate is the parts of the daemon, so that tools, models and benchmarks run what is shipped:
-//! [`core`] and [`journal`] without a network, the transports in [`client`] and [`upstream`], which meet in
-//! [`exchange`]. `main.rs` only wires them together.
+//! The rest of the crate is the daemon's parts, so that tools, models and benchmarks drive what is shipped:
+//! [`core`] and [`journal`] without a wire, the wires themselves in [`client`] and [`upstream`], which meet in
+//! [`exchange`], and [`daemon`], which wires them together.
 #![forbid(unsafe_code)]
 #[deny(missing_docs)]
 mod interface;
@@ -60,6 +60,7 @@
 pub mod clock;
 pub mod config_error;
 pub mod core;
+pub mod daemon;
 pub mod deduplication;
 pub mod discovery;
 pub mod exchange;
--- a/src/logger.rs
+++ b/src/logger.rs
@@ -15,7 +15,7 @@
 
 const CRATE: &str = "micaladder";
 /// The modules that a filter may name, with any path below each.
-const MODULES: [&str; 23] = [
+const MODULES: [&str; 24] = [
     "acme",
     "as2",
     "callbacks",
@@ -23,6 +23,7 @@
     "client",
     "config_error",
     "core",
+    "daemon",
     "deduplication",
     "discovery",
     "exchange",
