--- a/src/as2/mod.rs
+++ b/src/as2/mod.rs
@@ -40,7 +40,7 @@
     pub acme: Option<AcmeSettings>,
 }
 
-/// How a partner returns the receipt (MDN) for a message that was sent to it (RFC 4130, section 7.1).
+/// How a partner returns the receipt (MDN) for a message that was sent to it (RFC 4130, section 7.2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MdnDelivery {
     /// In the response to the message's own HTTP request.
--- a/src/client/as2/mdn.rs
+++ b/src/client/as2/mdn.rs
@@ -1,5 +1,5 @@
 //! Our receipts (MDNs) for partners' messages: in the response to the message, or in an HTTP request of their own (RFC
-//! 4130, section 7.1).
+//! 4130, section 7.2).
 use super::As2Front;
 use crate::as2::mdn::{self, Mdn};
 use crate::as2::smime::{Entity, SmimeError};
--- a/src/settings/file.rs
+++ b/src/settings/file.rs
@@ -67,7 +67,7 @@
     pub destination: u64,
     /// `Ready`, `Terminating` or `Gone`.
     pub state: String,
-    /// Its nominal capacity in messages per second.
+    /// Its listed rate; `settings.weightKind` says what it means.
     #[serde(rename = "capacity_hint")]
     pub rate: Option<f64>,
 }
@@ -165,7 +165,7 @@
 /// `settings.limits`: bounds on attempts and connections.
 #[derive(Deserialize, serde::Deserialize)]
 pub(super) struct DeliveryLimits {
-    /// Nanoseconds after which an endpoint closes an idle connection.
+    /// Nanoseconds after which an idle connection to an endpoint closes.
     #[serde(rename = "connIdleNs")]
     pub(super) connection_idle_ns: u64,
     /// Nanoseconds that a connect may take.
