--- a/src/client/as2/mdn.rs
+++ b/src/client/as2/mdn.rs
@@ -1,5 +1,5 @@
 //! Our receipts (MDNs) for partners' messages: in the response to the message, or in an HTTP request of their own (RFC
-//! 4130, section 7.1).
+//! 4130, section 7.2).
 use super::As2Front;
 use crate::as2::mdn::{self, Mdn};
 use crate::as2::smime::{Entity, SmimeError};
@@ -31,7 +31,7 @@
 
 type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// Why no asynchronous receipt is sent for a message. Its partner has to be told by other means.
+/// Why no asynchronous receipt is sent for a message. The partner has to be informed by other means.
 #[derive(Debug, thiserror::Error)]
 enum MdnError {
     /// The journal's record of the message is damaged: keep the journal, and report it.
@@ -48,8 +48,8 @@
     Compose(#[from] As2Error),
 }
 
-/// What is stored with a message whose receipt is sent once the message is complete. It is in the journal's format, so its
-/// keys stay.
+/// What is stored with a message whose receipt is sent once the message is complete. It is in the journal's format, so
+/// its keys stay.
 #[derive(Serialize, Deserialize)]
 pub(super) struct Origin {
     /// The sender's AS2 name.
@@ -112,7 +112,8 @@
 }
 
 impl As2Front {
-    /// The response to a message, with the receipt if it is synchronous. An asynchronous one is sent by a task of its own.
+    /// The response to a message, with the receipt if it is synchronous. An asynchronous one is sent by a task of its
+    /// own.
     pub(super) fn mdn_response(
         &self, request: &MdnRequest, outcome: MdnOutcome, mic: Option<String>,
     ) -> Response {
@@ -138,8 +139,8 @@
     }
 }
 
-/// Sends the asynchronous receipts of messages that are complete, for as long as the process runs. The exchange is told
-/// once a receipt needs no further attempt.
+/// Sends the asynchronous receipts of messages that are complete, for as long as the process runs. The exchange is
+/// notified once a receipt needs no further attempt.
 pub async fn send_mdns(
     settings: Arc<As2Settings>, exchange: Exchange, mut callbacks: UnboundedReceiver<Callback>,
 ) {
