--- a/crates/lab/tests/takeover.rs
+++ b/crates/lab/tests/takeover.rs
@@ -1,6 +1,6 @@
-//! Two processes with one folder, explored whole: every interleaving of their looks at the locks, of what clients, partners
-//! and the disk do, of kills and new starts. Whose turn it is, is the shipped code (`takeover::state`); a process that is
-//! paused is one that takes no step for a while. Each property is shown to find a fault that is put in on purpose.
+//! Two processes with one folder, checked exhaustively: every interleaving of their polls of the locks, of what clients,
+//! partners and the disk do, of kills and starts. The state machine is the shipped code (`takeover::state`); a paused
+//! process is one that takes no step for a while. Each property is shown to find a fault that is injected.
 use micaladder::takeover::state::{Action, Observed, State, StateMachine, DRAIN_TIMEOUT};
 use micaladder::Nanos;
 use rstest::rstest;
@@ -8,46 +8,46 @@
 
 /// Payouts; the second may come only once the first has ended, since they have a key in common.
 const MESSAGES: usize = 2;
-const KILLS: u8 = 2;
-const STARTS: u8 = 2;
-const DISK: u8 = 2;
+const MAX_KILLS: u8 = 2;
+const MAX_STARTS: u8 = 2;
+const MAX_DISK_CHANGES: u8 = 2;
 /// Attempts of a message.
-const TRIES: u8 = 3;
+const MAX_ATTEMPTS: u8 = 3;
 
 /// What the journal says of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Logged {
     Nothing,
-    Taken,
+    Accepted,
     Started(u8),
-    Ended,
+    Completed,
 }
 
 /// What a process has in memory of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Known {
     Nothing,
-    Held,
+    Pending,
     /// Its call is out.
-    Out(u8),
+    InFlight(u8),
     /// It may be out at the process before.
-    Elder(u8),
-    Ended,
+    AtPredecessor(u8),
+    Completed,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Process {
     alive: bool,
     asks: bool,
-    turn: StateMachine,
+    takeover: StateMachine,
     known: [Known; MESSAGES],
     /// Records of `late` that it has read.
     read: usize,
-    elder: bool,
+    has_predecessor: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Late {
+enum Outcome {
     Delivered,
     NeverRan,
 }
@@ -60,61 +60,72 @@
     late: Option<usize>,
     logged: [Logged; MESSAGES],
     /// Which message and which of its attempts, and how it ended; none: there is no such file.
-    records: Option<Vec<(usize, u8, Late)>>,
+    records: Option<Vec<(usize, u8, Outcome)>>,
     /// The truth at the partner: the message may have run.
     may_have_run: [bool; MESSAGES],
     attempts: [u8; MESSAGES],
-    full: bool,
+    disk_full: bool,
     kills: u8,
     starts: u8,
-    disk: u8,
-    broken: Option<&'static str>,
+    disk_changes: u8,
+    violation: Option<&'static str>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
-    Look(usize, bool),
-    Take(usize, usize),
+    Poll(usize, bool),
+    Accept(usize, usize),
     Send(usize, usize),
-    Finish(usize, usize, Late),
+    Finish(usize, usize, Outcome),
     ReadLate(usize),
     Kill(usize),
     Start(usize),
-    Disk,
+    ChangeDisk,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fault {
+enum InjectedFault {
     None,
     /// The owner's lock is freed before `late` is held.
-    OwnerFirst,
+    OwnerLockReleasedFirst,
     /// What is left of a call counts for any try of its message.
-    AnyTry,
+    OutcomeOfAnyAttempt,
     /// What is out at the elder is taken for never run.
-    ElderForgotten,
+    PredecessorForgotten,
     /// Messages behind one at the elder are not kept back.
-    KeyForgotten,
+    OrderingKeyForgotten,
     /// A journal that cannot be written is handed on.
-    FullHandedOn,
+    FullJournalReleased,
     /// Who has let go still takes on.
-    TakesOnStill,
+    AcceptsAfterRelease,
 }
 
-struct Folder(Fault);
+/// The folder and its two processes, with a fault of the code put in.
+struct FolderModel(InjectedFault);
+
+impl Outcome {
+    /// What the process then knows of the message, and what the journal says of it.
+    fn result(self) -> (Known, Logged) {
+        match self {
+            Outcome::Delivered => (Known::Completed, Logged::Completed),
+            Outcome::NeverRan => (Known::Pending, Logged::Accepted),
+        }
+    }
+}
 
 impl Process {
-    fn fresh(asks: bool) -> Process {
+    fn started(asks: bool) -> Process {
         let known = [Known::Nothing; MESSAGES];
-        Process { alive: true, asks, turn: StateMachine::new(), known, read: 0, elder: false }
+        Process { alive: true, asks, takeover: StateMachine::new(), known, read: 0, has_predecessor: false }
     }
-    fn calls(&self) -> bool {
-        self.known.iter().any(|k| matches!(k, Known::Out(_)))
+    fn has_calls_in_flight(&self) -> bool {
+        self.known.iter().any(|k| matches!(k, Known::InFlight(_)))
     }
-    fn elders(&self) -> bool {
-        self.known.iter().any(|k| matches!(k, Known::Elder(_)))
+    fn waits_for_predecessor(&self) -> bool {
+        self.known.iter().any(|k| matches!(k, Known::AtPredecessor(_)))
     }
-    fn door(&self) -> bool {
-        self.alive && matches!(self.turn.state, State::Serving | State::Draining { .. })
+    fn accepts(&self) -> bool {
+        self.alive && matches!(self.takeover.state, State::Serving | State::Draining { .. })
     }
 }
 
@@ -122,30 +133,31 @@
     /// A process writes the journal: it has to own it, and the disk has to take it.
     fn log(&mut self, p: usize, m: usize, what: Logged) -> bool {
         if self.owner != Some(p) {
-            self.broken = Some("the journal was written by one that does not own it");
+            self.violation = Some("the journal was written by one that does not own it");
         }
-        if !self.full {
+        if !self.disk_full {
             self.logged[m] = what;
         }
-        !self.full
+        !self.disk_full
     }
 
-    fn free(&mut self, p: usize) {
+    fn release_locks(&mut self, p: usize) {
         for lock in [&mut self.owner, &mut self.next, &mut self.late] {
             *lock = lock.filter(|holder| *holder != p);
         }
     }
 
-    fn look(&mut self, fault: Fault, p: usize, clients: bool) {
+    fn poll(&mut self, fault: InjectedFault, p: usize, clients: bool) {
         let me = &self.processes[p];
-        let owns = me.turn.state == State::WaitingForLock && self.owner.is_none();
+        let owns = me.takeover.state == State::WaitingForLock && self.owner.is_none();
         let asked = self.next.is_some_and(|n| n != p);
-        let bound = me.elders() || (self.full && fault != Fault::FullHandedOn);
-        let mut turn = me.turn;
+        let bound =
+            me.waits_for_predecessor() || (self.disk_full && fault != InjectedFault::FullJournalReleased);
+        let mut takeover = me.takeover;
         // Time passes as it likes: the closing may have lasted for long already.
         let now = if clients { Nanos(0) } else { DRAIN_TIMEOUT };
-        let calls = me.calls();
-        let what = turn.step(
+        let calls = me.has_calls_in_flight();
+        let what = takeover.step(
             now,
             Observed {
                 lock_acquired: owns,
@@ -162,62 +174,59 @@
                 self.serve(fault, p);
             }
             Some(Action::Release) => {
-                if self.late.is_some() && fault != Fault::OwnerFirst {
+                if self.late.is_some() && fault != InjectedFault::OwnerLockReleasedFirst {
                     return;
                 }
-                if fault == Fault::OwnerFirst {
+                if fault == InjectedFault::OwnerLockReleasedFirst {
                     // Its file is made and held at its next look, when the lock is long free.
                     self.records = self.records.take().or(Some(Vec::new()));
                 } else {
                     (self.late, self.records) = (Some(p), Some(Vec::new()));
                 }
                 self.owner = None;
-                if self.full {
-                    self.broken = Some("a journal that cannot be written was handed on");
+                if self.disk_full {
+                    self.violation = Some("a journal that cannot be written was handed on");
                 }
             }
             Some(Action::Reset) => {
                 self.late = self.late.filter(|l| *l != p);
-                self.processes[p] = Process::fresh(false);
+                self.processes[p] = Process::started(false);
             }
             Some(Action::StopAccepting | Action::ResumeAccepting) | None => {}
         }
         if what != Some(Action::Reset) {
-            self.processes[p].turn = turn;
+            self.processes[p].takeover = takeover;
         }
         let me = &self.processes[p];
-        if me.turn.state == State::WaitingForLock && me.asks && self.next.is_none() {
+        if me.takeover.state == State::WaitingForLock && me.asks && self.next.is_none() {
             self.next = Some(p);
         }
     }
 
     /// Reads the journal.
-    fn serve(&mut self, fault: Fault, p: usize) {
-        let elder = self.records.is_some();
+    fn serve(&mut self, fault: InjectedFault, p: usize) {
+        let has_predecessor = self.records.is_some();
         for m in 0..MESSAGES {
             self.processes[p].known[m] = match self.logged[m] {
                 Logged::Nothing => Known::Nothing,
-                Logged::Taken => Known::Held,
-                Logged::Started(_) if fault == Fault::ElderForgotten => Known::Held,
-                Logged::Started(n) if elder => Known::Elder(n),
-                Logged::Started(_) => Known::Ended,
-                Logged::Ended => Known::Ended,
+                Logged::Accepted => Known::Pending,
+                Logged::Started(_) if fault == InjectedFault::PredecessorForgotten => Known::Pending,
+                Logged::Started(n) if has_predecessor => Known::AtPredecessor(n),
+                Logged::Started(_) => Known::Completed,
+                Logged::Completed => Known::Completed,
             };
         }
-        (self.processes[p].read, self.processes[p].elder) = (0, elder);
+        (self.processes[p].read, self.processes[p].has_predecessor) = (0, has_predecessor);
     }
 
-    fn read_late(&mut self, fault: Fault, p: usize) {
+    fn read_late(&mut self, fault: InjectedFault, p: usize) {
         let (gone, records) = (self.late.is_none(), self.records.clone().unwrap_or_default());
         let from = self.processes[p].read;
         self.processes[p].read = records.len();
         for (m, n, how) in records.into_iter().skip(from) {
-            if let Known::Elder(at) = self.processes[p].known[m] {
-                if at == n || fault == Fault::AnyTry {
-                    let (known, logged) = match how {
-                        Late::Delivered => (Known::Ended, Logged::Ended),
-                        Late::NeverRan => (Known::Held, Logged::Taken),
-                    };
+            if let Known::AtPredecessor(at) = self.processes[p].known[m] {
+                if at == n || fault == InjectedFault::OutcomeOfAnyAttempt {
+                    let (known, logged) = how.result();
                     self.processes[p].known[m] = known;
                     self.log(p, m, logged);
                 }
@@ -225,28 +234,128 @@
         }
         if gone {
             for m in 0..MESSAGES {
-                if matches!(self.processes[p].known[m], Known::Elder(_)) {
+                if matches!(self.processes[p].known[m], Known::AtPredecessor(_)) {
                     // A payout that may have run ends as undeliverable.
-                    self.processes[p].known[m] = Known::Ended;
-                    self.log(p, m, Logged::Ended);
+                    self.processes[p].known[m] = Known::Completed;
+                    self.log(p, m, Logged::Completed);
                 }
             }
-            self.processes[p].elder = false;
-            if !self.full {
+            self.processes[p].has_predecessor = false;
+            if !self.disk_full {
                 self.records = None;
             }
         }
     }
+
+    fn accept(&mut self, p: usize, m: usize) {
+        if self.log(p, m, Logged::Accepted) {
+            self.processes[p].known[m] = Known::Pending;
+        }
+    }
+
+    fn send(&mut self, p: usize, m: usize) {
+        let attempt = self.attempts[m];
+        if !self.log(p, m, Logged::Started(attempt)) {
+            return;
+        }
+        if self.may_have_run[m] {
+            self.violation = Some("a payout went out twice");
+        }
+        let is_in_flight = |q: &Process| q.known[..m].iter().any(|k| matches!(k, Known::InFlight(_)));
+        if self.processes.iter().any(is_in_flight) {
+            self.violation = Some("two of a key were out at once");
+        }
+        self.may_have_run[m] = true;
+        self.attempts[m] = attempt + 1;
+        self.processes[p].known[m] = Known::InFlight(attempt);
+    }
+
+    /// The attempt of a message ends; none where it has none in flight.
+    fn finish(&mut self, p: usize, m: usize, outcome: Outcome) -> Option<()> {
+        let Known::InFlight(attempt) = self.processes[p].known[m] else { return None };
+        if outcome == Outcome::NeverRan {
+            self.may_have_run[m] = false;
+        }
+        if self.processes[p].takeover.state == State::Released {
+            self.processes[p].known[m] = Known::Completed;
+            self.records.iter_mut().for_each(|records| records.push((m, attempt, outcome)));
+            return Some(());
+        }
+        let (known, logged) = outcome.result();
+        self.processes[p].known[m] = known;
+        // One that cannot be written is kept and written later; a kill before that makes it may have run.
+        self.log(p, m, logged);
+        if self.disk_full {
+            self.processes[p].known[m] = Known::InFlight(attempt);
+            self.may_have_run[m] = true;
+        }
+        Some(())
+    }
+
+    fn kill(&mut self, p: usize) {
+        self.release_locks(p);
+        self.kills += 1;
+        self.processes[p] = Process { alive: false, ..Process::started(true) };
+    }
+}
+
+impl FolderModel {
+    fn process_steps(&self, world: &World, p: usize, steps: &mut Vec<Step>) {
+        let process = &world.processes[p];
+        if !process.alive {
+            if world.starts < MAX_STARTS {
+                steps.push(Step::Start(p));
+            }
+            return;
+        }
+        steps.extend([Step::Poll(p, true), Step::Poll(p, false)]);
+        if world.kills < MAX_KILLS {
+            steps.push(Step::Kill(p));
+        }
+        if process.accepts() && process.has_predecessor {
+            steps.push(Step::ReadLate(p));
+        }
+        for m in 0..MESSAGES {
+            self.message_steps(world, p, m, steps);
+        }
+    }
+
+    fn message_steps(&self, world: &World, p: usize, m: usize, steps: &mut Vec<Step>) {
+        let process = &world.processes[p];
+        let released = process.takeover.state == State::Released;
+        let accepts = process.accepts() || (self.0 == InjectedFault::AcceptsAfterRelease && released);
+        let earlier_accepted = world.logged[..m].iter().all(|l| *l != Logged::Nothing);
+        if accepts && earlier_accepted && world.logged[m] == Logged::Nothing {
+            steps.push(Step::Accept(p, m));
+        }
+        let is_pending = process.known[m] == Known::Pending;
+        let has_attempts = world.attempts[m] < MAX_ATTEMPTS;
+        if process.accepts() && self.is_first_of_key(process, m) && is_pending && has_attempts {
+            steps.push(Step::Send(p, m));
+        }
+        if matches!(process.known[m], Known::InFlight(_)) {
+            steps.extend([Step::Finish(p, m, Outcome::Delivered), Step::Finish(p, m, Outcome::NeverRan)]);
+        }
+    }
+
+    /// Whether the process takes all messages before this one for completed.
+    fn is_first_of_key(&self, process: &Process, m: usize) -> bool {
+        process.known[..m].iter().all(|known| match known {
+            Known::Completed => true,
+            Known::AtPredecessor(_) => self.0 == InjectedFault::OrderingKeyForgotten,
+            Known::Nothing | Known::Pending | Known::InFlight(_) => false,
+        })
+    }
 }
 
-impl Model for Folder {
+impl Model for FolderModel {
     type State = World;
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let dead = Process { alive: false, ..Process::fresh(true) };
+        let dead = Process { alive: false, ..Process::started(true) };
         vec![World {
-            processes: [Process::fresh(true), dead],
+            processes: [Process::started(true), dead],
             owner: None,
             next: None,
             late: None,
@@ -254,135 +363,65 @@
             records: None,
             may_have_run: [false; MESSAGES],
             attempts: [0; MESSAGES],
-            full: false,
+            disk_full: false,
             kills: 0,
             starts: 0,
-            disk: 0,
-            broken: None,
+            disk_changes: 0,
+            violation: None,
         }]
     }
 
-    fn actions(&self, w: &World, steps: &mut Vec<Step>) {
-        for (p, process) in w.processes.iter().enumerate() {
-            if !process.alive {
-                steps.extend((w.starts < STARTS).then_some(Step::Start(p)));
-                continue;
-            }
-            steps.extend([Step::Look(p, true), Step::Look(p, false)]);
-            steps.extend((w.kills < KILLS).then_some(Step::Kill(p)));
-            if process.door() && process.elder {
-                steps.push(Step::ReadLate(p));
-            }
-            let takes =
-                process.door() || (self.0 == Fault::TakesOnStill && process.turn.state == State::Released);
-            for m in 0..MESSAGES {
-                let earlier = w.logged[..m].iter().all(|l| *l != Logged::Nothing);
-                steps
-                    .extend((takes && earlier && w.logged[m] == Logged::Nothing).then_some(Step::Take(p, m)));
-                let first = process.known[..m].iter().all(|k| match k {
-                    Known::Ended => true,
-                    Known::Elder(_) => self.0 == Fault::KeyForgotten,
-                    Known::Nothing | Known::Held | Known::Out(_) => false,
-                });
-                steps.extend(
-                    (process.door() && first && process.known[m] == Known::Held && w.attempts[m] < TRIES)
-                        .then_some(Step::Send(p, m)),
-                );
-                if matches!(process.known[m], Known::Out(_)) {
-                    steps.extend([Step::Finish(p, m, Late::Delivered), Step::Finish(p, m, Late::NeverRan)]);
-                }
-            }
+    fn actions(&self, world: &World, steps: &mut Vec<Step>) {
+        for p in 0..world.processes.len() {
+            self.process_steps(world, p, steps);
+        }
+        if world.disk_changes < MAX_DISK_CHANGES {
+            steps.push(Step::ChangeDisk);
         }
-        steps.extend((w.disk < DISK).then_some(Step::Disk));
     }
 
     fn next_state(&self, last: &World, step: Step) -> Option<World> {
-        let mut w = last.clone();
+        let mut world = last.clone();
         match step {
-            Step::Look(p, clients) => w.look(self.0, p, clients),
-            Step::Take(p, m) => {
-                if w.log(p, m, Logged::Taken) {
-                    w.processes[p].known[m] = Known::Held;
-                }
-            }
-            Step::Send(p, m) => {
-                let n = w.attempts[m];
-                if w.log(p, m, Logged::Started(n)) {
-                    if w.may_have_run[m] {
-                        w.broken = Some("a payout went out twice");
-                    }
-                    let out = w.processes.iter().any(|q| (0..m).any(|e| matches!(q.known[e], Known::Out(_))));
-                    if out {
-                        w.broken = Some("two of a key were out at once");
-                    }
-                    (w.may_have_run[m], w.attempts[m]) = (true, n + 1);
-                    w.processes[p].known[m] = Known::Out(n);
-                }
-            }
-            Step::Finish(p, m, how) => {
-                let Known::Out(n) = w.processes[p].known[m] else { return None };
-                let stage = w.processes[p].turn.state;
-                if how == Late::NeverRan {
-                    w.may_have_run[m] = false;
-                }
-                let (known, logged) = match how {
-                    Late::Delivered => (Known::Ended, Logged::Ended),
-                    Late::NeverRan => (Known::Held, Logged::Taken),
-                };
-                w.processes[p].known[m] = known;
-                if stage == State::Released {
-                    w.processes[p].known[m] = Known::Ended;
-                    w.records.iter_mut().for_each(|r| r.push((m, n, how)));
-                } else {
-                    // One that cannot be written is kept and written later; a kill before that makes it may have run.
-                    w.log(p, m, logged);
-                    if w.full {
-                        w.processes[p].known[m] = Known::Out(n);
-                        w.may_have_run[m] = true;
-                    }
-                }
-            }
-            Step::ReadLate(p) => {
-                if w.full {
-                    return None;
-                }
-                w.read_late(self.0, p);
-            }
-            Step::Kill(p) => {
-                w.free(p);
-                w.kills += 1;
-                w.processes[p] = Process { alive: false, ..Process::fresh(true) };
-            }
+            Step::Poll(p, clients) => world.poll(self.0, p, clients),
+            Step::Accept(p, m) => world.accept(p, m),
+            Step::Send(p, m) => world.send(p, m),
+            Step::Finish(p, m, outcome) => world.finish(p, m, outcome)?,
+            Step::ReadLate(_) if world.disk_full => return None,
+            Step::ReadLate(p) => world.read_late(self.0, p),
+            Step::Kill(p) => world.kill(p),
             Step::Start(p) => {
-                w.starts += 1;
-                w.processes[p] = Process::fresh(true);
+                world.starts += 1;
+                world.processes[p] = Process::started(true);
             }
-            Step::Disk => {
-                w.disk += 1;
-                w.full = !w.full;
+            Step::ChangeDisk => {
+                world.disk_changes += 1;
+                world.disk_full = !world.disk_full;
             }
         }
-        (w != *last).then_some(w)
+        (world != *last).then_some(world)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no rule is broken", |_, w: &World| w.broken.is_none()),
+            Property::always("no rule is broken", |_, w: &World| w.violation.is_none()),
             Property::always("one serves at a time", |_, w: &World| {
-                w.processes.iter().filter(|p| p.door()).count() <= 1
+                w.processes.iter().filter(|p| p.accepts()).count() <= 1
             }),
             Property::always("who serves owns the journal", |_, w: &World| {
-                w.processes.iter().enumerate().all(|(p, process)| !process.door() || w.owner == Some(p))
+                w.processes.iter().enumerate().all(|(p, process)| !process.accepts() || w.owner == Some(p))
             }),
             Property::sometimes(
                 "the second takes over with a call still out at the first",
-                |_, w: &World| w.processes[1].door() && w.processes[0].alive && w.processes[0].calls(),
+                |_, w: &World| {
+                    w.processes[1].accepts() && w.processes[0].alive && w.processes[0].has_calls_in_flight()
+                },
             ),
             Property::sometimes("the first takes the journal up again", |_, w: &World| {
-                w.processes[0].door() && !w.processes[0].asks && w.kills == 1
+                w.processes[0].accepts() && !w.processes[0].asks && w.kills == 1
             }),
             Property::sometimes("all messages end", |_, w: &World| {
-                w.logged.iter().all(|l| *l == Logged::Ended)
+                w.logged.iter().all(|l| *l == Logged::Completed)
             }),
         ]
     }
@@ -390,21 +429,21 @@
 
 #[test]
 fn two_processes_with_one_folder_keep_the_rules_in_every_interleaving() {
-    let done = Folder(Fault::None).checker().threads(2).spawn_bfs().join();
+    let done = FolderModel(InjectedFault::None).checker().threads(2).spawn_bfs().join();
     println!("{} states", done.unique_state_count());
     assert!(done.unique_state_count() > 10_000, "{} states", done.unique_state_count());
     done.assert_properties();
 }
 
 #[rstest]
-#[case(Fault::OwnerFirst)]
-#[case(Fault::AnyTry)]
-#[case(Fault::ElderForgotten)]
-#[case(Fault::KeyForgotten)]
-#[case(Fault::FullHandedOn)]
-#[case(Fault::TakesOnStill)]
-fn a_fault_that_is_put_in_is_found(#[case] fault: Fault) {
-    let done = Folder(fault)
+#[case(InjectedFault::OwnerLockReleasedFirst)]
+#[case(InjectedFault::OutcomeOfAnyAttempt)]
+#[case(InjectedFault::PredecessorForgotten)]
+#[case(InjectedFault::OrderingKeyForgotten)]
+#[case(InjectedFault::FullJournalReleased)]
+#[case(InjectedFault::AcceptsAfterRelease)]
+fn a_fault_that_is_put_in_is_found(#[case] fault: InjectedFault) {
+    let done = FolderModel(fault)
         .checker()
         .threads(2)
         .finish_when(stateright::HasDiscoveries::AnyFailures)
--- a/src/flags.rs
+++ b/src/flags.rs
@@ -1,15 +1,24 @@
-//! The command line: what may be said there or in the environment, each with one definition. A flag goes before its
-//! variable. Holds no settings of the platform's own files; those are `settings`.
+//! The command line: flags and environment variables, each defined once. A flag takes precedence over its variable. The
+//! settings in the platform's own files belong to `settings`.
+//!
+//! The doc comments of flags and commands are the help texts that users see: editing one changes the program's output.
+#![warn(missing_docs)]
 use crate::logger::{Filter, Format};
 use clap::parser::ValueSource;
 use clap::{ArgMatches, Args, CommandFactory, FromArgMatches, Parser, Subcommand};
 use std::ffi::OsString;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use std::path::PathBuf;
 
-/// Where the AS2 front's file and the scripts lie, from the folder that the program is started in.
-const AS2: &str = "deploy/as2.json";
-const PLUGINS: &str = "deploy/plugins";
+/// The AS2 front's file, relative to the folder that the program is started in.
+const DEFAULT_AS2_FILE: &str = "deploy/as2.json";
+/// The folder of scripts, relative to the folder that the program is started in.
+const DEFAULT_PLUGINS_FOLDER: &str = "deploy/plugins";
+/// The shortest and the longest pause of `fleet watch`, in seconds.
+const WATCH_PAUSE_SECS: RangeInclusive<f64> = 0.1..=3600.0;
+/// The flags that stand before a key of the configuration, by the name of their field.
+const OVERRIDING_FLAGS: [&str; 4] = ["name", "listen", "discovery", "mgmt"];
 
 /// Forwards messages to partners' endpoints: in time, at most as often as allowed, with one final answer.
 #[derive(Parser, Debug)]
@@ -19,13 +28,13 @@
     after_help = "Without a command it runs, and takes the flags of run. Exit codes: 0 done, 1 cannot go on, 2 wrong \
         flags."
 )]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
-    command: Word,
+    command: Subcommands,
 }
 
 #[derive(Subcommand, Debug)]
-enum Word {
+enum Subcommands {
     /// Takes messages and delivers them, until SIGTERM. The usual command.
     Run(RunFlags),
     /// Reads every file that `run` would read and says what is wrong in them, by file and key; starts nothing.
@@ -44,14 +53,14 @@
     },
 }
 
-/// What is to be done.
+/// What the command line asks for.
 #[derive(Debug)]
 pub enum Command {
     /// Run the forwarder.
     Run(RunFlags),
     /// Read all files and say what is wrong.
     Check(FileFlags),
-    /// Show the fleet's view.
+    /// Show a member's view of the fleet.
     Fleet(FleetCommand),
     /// Write the completions of a shell.
     Completions(clap_complete::Shell),
@@ -64,11 +73,12 @@
     #[arg(long, env = "RELAY_CONFIG", value_name = "FILE")]
     pub config: PathBuf,
     /// The AS2 front's file; there need not be one at the usual place.
-    #[arg(long, env = "MICALADDER_AS2", value_name = "FILE", default_value = AS2)]
+    #[arg(long, env = "MICALADDER_AS2", value_name = "FILE", default_value = DEFAULT_AS2_FILE)]
     pub as2: PathBuf,
     /// The folder of scripts; there need not be one.
-    #[arg(long, env = "MICALADDER_PLUGINS", value_name = "FOLDER", default_value = PLUGINS)]
+    #[arg(long, env = "MICALADDER_PLUGINS", value_name = "FOLDER", default_value = DEFAULT_PLUGINS_FOLDER)]
     pub plugins: PathBuf,
+    /// The flags of the peers.
     #[command(flatten)]
     pub peers: PeerFlags,
 }
@@ -102,6 +112,7 @@
     /// About how many there are.
     #[arg(id = "neighbours-size", long, env = "MICALADDER_NEIGHBOURS_SIZE", default_value_t = 10)]
     pub size: u32,
+    /// The group and the certificates.
     #[command(flatten)]
     pub identity: PeerIdentityFlags,
 }
@@ -138,6 +149,7 @@
     /// JSON, an object a line, and not a table.
     #[arg(long)]
     pub json: bool,
+    /// The group and the certificates.
     #[command(flatten)]
     pub identity: PeerIdentityFlags,
 }
@@ -149,22 +161,27 @@
     Show(FleetQueryFlags),
     /// Shows it, and again each time that it has changed.
     Watch {
+        /// Whom to ask, and how the answer is printed.
         #[command(flatten)]
         query: FleetQueryFlags,
         /// Seconds between two questions.
-        #[arg(long, value_name = "SECONDS", default_value_t = 1.0, value_parser = pause)]
+        #[arg(long, value_name = "SECONDS", default_value_t = 1.0, value_parser = parse_watch_pause)]
         every: f64,
     },
 }
 
-fn pause(text: &str) -> Result<f64, String> {
-    let secs = text.parse::<f64>().map_err(|e| e.to_string())?;
-    (0.1..=3600.0).contains(&secs).then_some(secs).ok_or("between 0.1 and 3600 seconds".into())
+fn parse_watch_pause(text: &str) -> Result<f64, String> {
+    let seconds = text.parse::<f64>().map_err(|error| error.to_string())?;
+    if !WATCH_PAUSE_SECS.contains(&seconds) {
+        return Err("between 0.1 and 3600 seconds".into());
+    }
+    Ok(seconds)
 }
 
 /// What a forwarder is told at its start.
 #[derive(Args, Debug, Clone)]
 pub struct RunFlags {
+    /// The files that are read.
     #[command(flatten)]
     pub files: FileFlags,
     /// The folder that lasts: the journal lies there.
@@ -182,6 +199,7 @@
     /// Where operators call; else the configuration's, and without that nobody listens for them.
     #[arg(long, env = "RELAY_MGMT", value_name = "IP:PORT")]
     pub mgmt: Option<SocketAddr>,
+    /// The flags of the log.
     #[command(flatten)]
     pub log: LogFlags,
     /// Which of the settings that stand before keys were flags, and not variables.
@@ -209,41 +227,48 @@
 /// # Errors
 ///
 /// What is wrong with a flag or a variable, named, as clap puts it; also the texts of `--help` and `--version`.
-pub fn parse<I: IntoIterator<Item = T>, T: Into<OsString>>(words: I) -> Result<Command, clap::Error> {
-    let mut words: Vec<OsString> = words.into_iter().map(Into::into).collect();
-    let of_line = |w: &OsString| matches!(w.to_str(), Some("-h" | "--help" | "-V" | "--version"));
-    // A bare command with nothing or with flags is `run`: so the deploy file starts it.
-    if words.get(1).is_none_or(|w| w.to_string_lossy().starts_with('-') && !of_line(w)) {
-        words.insert(1.min(words.len()), "run".into());
+pub fn parse<I: IntoIterator<Item = T>, T: Into<OsString>>(arguments: I) -> Result<Command, clap::Error> {
+    let mut arguments: Vec<OsString> = arguments.into_iter().map(Into::into).collect();
+    if is_bare_run(&arguments) {
+        arguments.insert(1.min(arguments.len()), "run".into());
     }
-    let matches = Line::command().try_get_matches_from(words)?;
-    let line = Line::from_arg_matches(&matches)?;
-    let with_flags = |mut run: RunFlags, matches: &ArgMatches| {
-        run.given_as_flags = ["name", "listen", "discovery", "mgmt"]
-            .into_iter()
-            .filter(|id| matches.value_source(id) == Some(ValueSource::CommandLine))
-            .map(str::to_string)
-            .collect();
-        Command::Run(run)
-    };
-    Ok(match line.command {
-        Word::Run(run) => with_flags(run, matches.subcommand().map_or(&matches, |s| s.1)),
-        Word::Check(files) => Command::Check(files),
-        Word::Fleet(what) => Command::Fleet(what),
-        Word::Completions { shell } => Command::Completions(shell),
+    let matches = CommandLine::command().try_get_matches_from(arguments)?;
+    let command_line = CommandLine::from_arg_matches(&matches)?;
+    Ok(match command_line.command {
+        Subcommands::Run(mut flags) => {
+            let run_matches = matches.subcommand().map_or(&matches, |(_, matches)| matches);
+            flags.given_as_flags = flags_on_command_line(run_matches);
+            Command::Run(flags)
+        }
+        Subcommands::Check(files) => Command::Check(files),
+        Subcommands::Fleet(command) => Command::Fleet(command),
+        Subcommands::Completions { shell } => Command::Completions(shell),
     })
 }
 
+/// Whether there is no command, or only flags of `run`: so the deploy file starts the daemon.
+fn is_bare_run(arguments: &[OsString]) -> bool {
+    let Some(first) = arguments.get(1) else { return true };
+    let asks_for_text = matches!(first.to_str(), Some("-h" | "--help" | "-V" | "--version"));
+    first.to_string_lossy().starts_with('-') && !asks_for_text
+}
+
+fn flags_on_command_line(matches: &ArgMatches) -> Vec<String> {
+    let is_flag = |id: &&str| matches.value_source(id) == Some(ValueSource::CommandLine);
+    OVERRIDING_FLAGS.into_iter().filter(is_flag).map(str::to_string).collect()
+}
+
 /// Writes the completions to standard output.
 pub fn write_completions(shell: clap_complete::Shell) {
-    clap_complete::generate(shell, &mut Line::command(), "micaladder", &mut std::io::stdout());
+    clap_complete::generate(shell, &mut CommandLine::command(), "micaladder", &mut std::io::stdout());
 }
 
 impl RunFlags {
-    /// What stands before a key of the configuration: a flag always, a variable only where it differs. The platform
-    /// sets the variables to what the file says; one that only repeats its key must not hold the key's old value
-    /// after a reload.
+    /// The value that overrides `key` of the configuration: that of a flag always, that of a variable only where it
+    /// differs. The platform sets the variables to what the file says; one that only repeats its key must not keep the
+    /// key's old value in force after a reload. `id` is the name of the flag's field.
     pub fn override_for(&self, id: &str, value: Option<String>, key: &str) -> Option<String> {
-        value.filter(|s| s != key || self.given_as_flags.iter().any(|f| f == id))
+        let is_flag = self.given_as_flags.iter().any(|flag| flag == id);
+        value.filter(|value| value != key || is_flag)
     }
 }
