--- a/crates/lab/tests/takeover.rs
+++ b/crates/lab/tests/takeover.rs
@@ -28,9 +28,9 @@
 enum Known {
     Nothing,
     Pending,
-    /// Its call is out.
+    /// Its call is in flight.
     InFlight(u8),
-    /// It may be out at the process before.
+    /// Its call may be in flight at the predecessor.
     AtPredecessor(u8),
     Completed,
 }
@@ -86,17 +86,17 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum InjectedFault {
     None,
-    /// The owner's lock is freed before `late` is held.
+    /// The owner's lock is released before `late` is locked.
     OwnerLockReleasedFirst,
-    /// What is left of a call counts for any try of its message.
+    /// A late outcome counts for any attempt of its message.
     OutcomeOfAnyAttempt,
-    /// What is out at the elder is taken for never run.
+    /// What is in flight at the predecessor is taken for never run.
     PredecessorForgotten,
-    /// Messages behind one at the elder are not kept back.
+    /// Messages behind one at the predecessor by their ordering key are not kept back.
     OrderingKeyForgotten,
-    /// A journal that cannot be written is handed on.
+    /// A journal that cannot be written is released.
     FullJournalReleased,
-    /// Who has let go still takes on.
+    /// A process accepts messages after its release.
     AcceptsAfterRelease,
 }
 
@@ -148,26 +148,21 @@
     }
 
     fn poll(&mut self, fault: InjectedFault, p: usize, clients: bool) {
-        let me = &self.processes[p];
-        let owns = me.takeover.state == State::WaitingForLock && self.owner.is_none();
-        let asked = self.next.is_some_and(|n| n != p);
-        let bound =
-            me.waits_for_predecessor() || (self.disk_full && fault != InjectedFault::FullJournalReleased);
-        let mut takeover = me.takeover;
-        // Time passes as it likes: the closing may have lasted for long already.
+        let process = &self.processes[p];
+        let is_waiting = process.takeover.state == State::WaitingForLock;
+        let journal_blocked = self.disk_full && fault != InjectedFault::FullJournalReleased;
+        let observed = Observed {
+            lock_acquired: is_waiting && self.owner.is_none(),
+            takeover_requested: self.next.is_some_and(|n| n != p),
+            clients_connected: clients,
+            calls_in_flight: process.has_calls_in_flight(),
+            release_blocked: process.waits_for_predecessor() || journal_blocked,
+        };
+        // Any time may pass between two steps: the drain may have reached its timeout already.
         let now = if clients { Nanos(0) } else { DRAIN_TIMEOUT };
-        let calls = me.has_calls_in_flight();
-        let what = takeover.step(
-            now,
-            Observed {
-                lock_acquired: owns,
-                takeover_requested: asked,
-                clients_connected: clients,
-                calls_in_flight: calls,
-                release_blocked: bound,
-            },
-        );
-        match what {
+        let mut takeover = process.takeover;
+        let action = takeover.step(now, observed);
+        match action {
             Some(Action::StartServing) => {
                 self.owner = Some(p);
                 self.next = self.next.filter(|n| *n != p);
@@ -178,10 +173,11 @@
                     return;
                 }
                 if fault == InjectedFault::OwnerLockReleasedFirst {
-                    // Its file is made and held at its next look, when the lock is long free.
+                    // Its file is created and locked only after the owner's lock was released.
                     self.records = self.records.take().or(Some(Vec::new()));
                 } else {
-                    (self.late, self.records) = (Some(p), Some(Vec::new()));
+                    self.late = Some(p);
+                    self.records = Some(Vec::new());
                 }
                 self.owner = None;
                 if self.disk_full {
@@ -194,7 +190,7 @@
             }
             Some(Action::StopAccepting | Action::ResumeAccepting) | None => {}
         }
-        if what != Some(Action::Reset) {
+        if action != Some(Action::Reset) {
             self.processes[p].takeover = takeover;
         }
         let me = &self.processes[p];
@@ -216,23 +212,25 @@
                 Logged::Completed => Known::Completed,
             };
         }
-        (self.processes[p].read, self.processes[p].has_predecessor) = (0, has_predecessor);
+        self.processes[p].read = 0;
+        self.processes[p].has_predecessor = has_predecessor;
     }
 
     fn read_late(&mut self, fault: InjectedFault, p: usize) {
-        let (gone, records) = (self.late.is_none(), self.records.clone().unwrap_or_default());
+        let predecessor_exited = self.late.is_none();
+        let records = self.records.clone().unwrap_or_default();
         let from = self.processes[p].read;
         self.processes[p].read = records.len();
-        for (m, n, how) in records.into_iter().skip(from) {
+        for (m, attempt, outcome) in records.into_iter().skip(from) {
             if let Known::AtPredecessor(at) = self.processes[p].known[m] {
-                if at == n || fault == InjectedFault::OutcomeOfAnyAttempt {
-                    let (known, logged) = how.result();
+                if at == attempt || fault == InjectedFault::OutcomeOfAnyAttempt {
+                    let (known, logged) = outcome.result();
                     self.processes[p].known[m] = known;
                     self.log(p, m, logged);
                 }
             }
         }
-        if gone {
+        if predecessor_exited {
             for m in 0..MESSAGES {
                 if matches!(self.processes[p].known[m], Known::AtPredecessor(_)) {
                     // A payout that may have run ends as undeliverable.
@@ -428,7 +426,7 @@
 }
 
 #[test]
-fn two_processes_with_one_folder_keep_the_rules_in_every_interleaving() {
+fn two_processes_with_one_folder_keep_all_properties_in_every_interleaving() {
     let done = FolderModel(InjectedFault::None).checker().threads(2).spawn_bfs().join();
     println!("{} states", done.unique_state_count());
     assert!(done.unique_state_count() > 10_000, "{} states", done.unique_state_count());
@@ -442,7 +440,7 @@
 #[case(InjectedFault::OrderingKeyForgotten)]
 #[case(InjectedFault::FullJournalReleased)]
 #[case(InjectedFault::AcceptsAfterRelease)]
-fn a_fault_that_is_put_in_is_found(#[case] fault: InjectedFault) {
+fn an_injected_fault_is_found(#[case] fault: InjectedFault) {
     let done = FolderModel(fault)
         .checker()
         .threads(2)
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,13 +1,13 @@
-//! The command line of the real program: what is said there stands before the environment, what is wrong is named, and
-//! `check` finds by file and key what a start would stumble over, and more.
+//! The command line of the real program: flags override the environment, errors are named, and `check` finds by file and
+//! key whatever a start would fail on, and more.
 mod stand;
 use rstest::rstest;
 use stand::*;
 use std::path::Path;
 use std::process::{Command, Output};
 
-/// Runs the program with these words and variables and nothing else of its own in the environment.
-fn say(words: &[&str], env: &[(&str, &str)]) -> Output {
+/// Runs the program with these arguments and variables, and no other variable of its own in the environment.
+fn run_program(words: &[&str], env: &[(&str, &str)]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_micaladder"));
     for name in ["RELAY_CONFIG", "RELAY_STATE", "RELAY_NAME", "RELAY_LISTEN", "RELAY_DISCOVERY"] {
         command.env_remove(name);
@@ -28,7 +28,7 @@
     std::fs::write(&path, config.replacen(from, to, 1)).expect("written");
     let path = path.to_string_lossy().into_owned();
     let none = folder.path().join("none").to_string_lossy().into_owned();
-    (say(&["check", "--config", &path, "--as2", &none, "--plugins", &none], &[]), path)
+    (run_program(&["check", "--config", &path, "--as2", &none, "--plugins", &none], &[]), path)
 }
 
 #[test]
@@ -75,7 +75,7 @@
 #[case::disk("\"disk_mb\":3", "\"disk_mb\":0.1", "limits.disk_mb: holds no message")]
 #[case::state("\"Ready\"", "\"Redy\"", "known.targets[0].state: \"Redy\" is none of Ready")]
 #[case::zone("\"az\":\"here\"", "\"az\":\"there\"", "known.targets[0].az: is not in settings.localities")]
-fn a_fault_is_named_by_file_and_key(#[case] from: &str, #[case] to: &str, #[case] wanted: &str) {
+fn an_error_names_its_file_and_key(#[case] from: &str, #[case] to: &str, #[case] wanted: &str) {
     let (output, path) = check(from, to);
     let said = text(&output.stderr);
     assert_eq!(output.status.code(), Some(1), "{said}");
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn all_faults_of_all_files_are_said_at_once() {
+fn all_errors_of_all_files_are_reported_at_once() {
     let folder = tempfile::tempdir().expect("a folder");
     let at = |name: &str| folder.path().join(name).to_string_lossy().into_owned();
     let config = std::fs::read_to_string("examples/config.json").expect("the example");
@@ -97,7 +97,7 @@
     std::fs::create_dir(at("scripts")).expect("a folder");
     std::fs::write(at("scripts/bad.rhai"), "fn on_request(").expect("written");
     let files = ["--config", &at("config.json"), "--as2", &at("as2.json"), "--plugins", &at("scripts")];
-    let output = say(&[&["check"], &files[..]].concat(), &[]);
+    let output = run_program(&[&["check"], &files[..]].concat(), &[]);
     let said = text(&output.stderr);
     for wanted in [
         "config.json: settings.familyInfo.workers: is 0",
@@ -122,7 +122,8 @@
 fn a_check_starts_nothing_and_leaves_nothing() {
     let folder = tempfile::tempdir().expect("a folder");
     let state = folder.path().join("state").to_string_lossy().into_owned();
-    let output = say(&["check"], &[("RELAY_CONFIG", "examples/config.json"), ("RELAY_STATE", &state)]);
+    let output =
+        run_program(&["check"], &[("RELAY_CONFIG", "examples/config.json"), ("RELAY_STATE", &state)]);
     assert!(output.status.success(), "{}", text(&output.stderr));
     assert!(!Path::new(&state).exists());
 }
@@ -139,7 +140,7 @@
     #[case] words: &[&str], #[case] env: &[(&str, &str)], #[case] wanted: &str,
 ) {
     for start in [&[][..], &["run"][..]] {
-        let output = say(&[start, words].concat(), env);
+        let output = run_program(&[start, words].concat(), env);
         assert_eq!(output.status.code(), Some(2), "{}", text(&output.stderr));
         assert!(text(&output.stderr).contains(wanted), "{}", text(&output.stderr));
     }
@@ -152,7 +153,7 @@
     let config = std::fs::read_to_string("examples/config.json").expect("the example");
     std::fs::write(&path, config.replace("\"workers\":4", "\"workers\":\"four\"")).expect("written");
     let state = folder.path().to_string_lossy().into_owned();
-    let output = say(&["run", "--config", &path, "--state", &state], &[]);
+    let output = run_program(&["run", "--config", &path, "--state", &state], &[]);
     assert_eq!(output.status.code(), Some(1));
     let wanted = format!("cannot go on: {path}: settings.familyInfo.workers: invalid type: string \"four\"");
     assert!(text(&output.stderr).contains(&wanted), "{}", text(&output.stderr));
@@ -160,26 +161,26 @@
 
 #[test]
 fn version_help_and_completions_need_no_settings() {
-    let version = say(&["--version"], &[]);
+    let version = run_program(&["--version"], &[]);
     assert_eq!(text(&version.stdout), concat!("micaladder ", env!("CARGO_PKG_VERSION"), "\n"));
     // The platform's variables are set wherever somebody looks.
-    let script = say(&["completions", "bash"], &[("RELAY_CONFIG", "c"), ("RELAY_STATE", "s")]);
+    let script = run_program(&["completions", "bash"], &[("RELAY_CONFIG", "c"), ("RELAY_STATE", "s")]);
     assert!(script.status.success(), "{}", text(&script.stderr));
     for word in ["--config", "--log-filter", "check", "completions"] {
         assert!(text(&script.stdout).contains(word), "{word}");
     }
-    let help = text(&say(&["run", "--help"], &[]).stdout);
+    let help = text(&run_program(&["run", "--help"], &[]).stdout);
     for variable in ["RELAY_CONFIG", "RELAY_STATE", "RELAY_LISTEN", "MICALADDER_AS2", "MICALADDER_LOG_FORMAT"]
     {
         assert!(help.contains(variable), "{variable} is not in\n{help}");
     }
 }
 
-/// Both with the word `run` and without, under the platform's variables.
+/// With the command `run` and without it, under the platform's variables.
 #[rstest]
 #[case::run("run")]
 #[case::bare("")]
-fn a_flag_goes_before_its_variable_and_both_before_the_file(#[case] word: &str) {
+fn a_flag_overrides_its_variable_and_both_override_the_file(#[case] word: &str) {
     let disco = discovery(list(1, &[]));
     let flags =
         [word, "--name", "by-flag"].into_iter().filter(|w| !w.is_empty()).map(str::to_string).collect();
@@ -188,9 +189,9 @@
     daemon.wait_log("ready: by-flag listens on");
 }
 
-/// A variable that repeats its key gives way on a reload; a flag was meant.
+/// A variable that repeats its key gives way on a reload; a flag stays in force.
 #[test]
-fn a_flag_stands_before_its_key_also_after_a_reload() {
+fn a_flag_overrides_its_key_also_after_a_reload() {
     let (old, new) = (discovery(list(1, &[])), Server::always("500 Oops"));
     let flags = vec!["--discovery".to_string(), old.addr.to_string()];
     let daemon = Setup { flags, ..setup(&old, list(1, &[])) }.start();
@@ -230,9 +231,9 @@
     assert_eq!(taken["level"], "DEBUG");
 }
 
-/// A place that floods is held to a line a second, and the line says what was kept back.
+/// One place in the code logs one line a second at most after its burst, and that line has the number of dropped ones.
 #[test]
-fn a_flood_does_not_fill_the_log() {
+fn a_flood_of_lines_is_rate_limited() {
     let endpoint = Server::always("200 OK");
     let known = list(1, &[(7, endpoint.addr)]);
     let disco = discovery(known.clone());
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn the_watch_and_the_notices_move_at_once_and_no_client_connection_is_dropped() {
+fn the_watch_and_the_callbacks_move_at_once_and_no_client_connection_is_dropped() {
     let (before, after) = (Server::always("500 Oops"), Server::always("200 OK"));
     let known = list(9, &[(7, before.addr)]);
     let old = Server::start(|heard, _| match heard.first.starts_with("POST") {
@@ -17,7 +17,7 @@
         false => Reply::Hold("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n1\r\n\n\r\n".into()),
     });
     let new = discovery(list(2, &[(7, after.addr)]).replace("s-0", "s-1"));
-    // The platform's variable repeats the key at the start. It must not hold the watch at the old place.
+    // The platform's variable repeats the key at the start: it must not keep the watch at the old address.
     let env = vec![("RELAY_DISCOVERY".to_string(), old.addr.to_string())];
     let mut daemon = Setup { env, ..setup(&old, known) }.start();
     let mut kept = daemon.connect();
@@ -26,7 +26,7 @@
     assert_eq!(read_http(&mut answers).map(|h| h.status()), Some(202));
     old.wait_text("p1");
     daemon.reload(&address(&old), &address(&new));
-    // Its notice was without an answer at the old place.
+    // Its callback had no answer at the old address.
     new.wait_text(r#"{"id":"p1","status":"undeliverable"}"#);
     daemon.wait_log("upstream group: version 2");
     kept.write_all(&message("payout", "p2", "20000m", "")).expect("written");
@@ -35,13 +35,15 @@
     assert!(daemon.runs());
 }
 
-/// What cannot be used leaves the old configuration in force; so does a variable that stands before the key.
+/// An unusable file leaves the old configuration in force; so does a variable that overrides the key.
 #[rstest]
 #[case::no_json("{\"name\"", "{\"name", &[], "not reloaded, the old one stays")]
 #[case::no_address("\"discovery\":\"", "\"discovery\":\"nowhere at all ", &[], "not reloaded, the old one stays")]
 #[case::variable("\"discovery\":\"", "\"discovery\":\"127.0.0.1:1\",\"was\":\"", &["RELAY_DISCOVERY"], "configuration reloaded")]
 #[case::fixed("\"disk_mb\":3", "\"disk_mb\":4", &[], "a new limits needs a restart")]
-fn what_is_held_stays(#[case] from: &str, #[case] to: &str, #[case] set: &[&str], #[case] line: &str) {
+fn an_unusable_or_overridden_change_leaves_the_configuration_in_force(
+    #[case] from: &str, #[case] to: &str, #[case] set: &[&str], #[case] line: &str,
+) {
     let endpoint = Server::always("200 OK");
     let known = list(1, &[(7, endpoint.addr)]);
     let disco = discovery(known.clone());
@@ -49,6 +51,8 @@
     let elsewhere = Server::always("200 OK");
     let in_file = if set.is_empty() { &disco } else { &elsewhere };
     let mut daemon = Setup { env, ..setup(in_file, known) }.start();
+    // Counted below: a daemon that is ready may not have opened its first watch yet.
+    disco.wait("the first watch", |all| all.iter().any(|h| h.first.starts_with("GET")));
     daemon.reload(from, to);
     daemon.wait_log(line);
     assert_eq!(daemon.hand_in("stats", "h1"), 202);
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! A second process beside the first: the journal changes hands while messages come and calls are out.
+//! Takeover by a second process, while messages arrive and calls are in flight.
 mod stand;
 use stand::*;
 use std::fs::File;
@@ -32,7 +32,7 @@
     old: Daemon,
 }
 
-/// One forwarder that operators look after, and an endpoint that answers slow requests like this once the gate is open.
+/// A forwarder with a management address, and an endpoint that answers slow requests like this once the gate is open.
 fn scene(slow: &'static str, headers: &'static str) -> Scene {
     let gate = Gate::default();
     let mine = gate.clone();
@@ -50,8 +50,8 @@
     Scene { gate, endpoint, disco, old }
 }
 
-/// The same with the call of the payout `slow-p` out.
-fn payout_out(slow: &'static str, headers: &'static str) -> Scene {
+/// The same with the call of the payout `slow-p` in flight.
+fn scene_with_payout_in_flight(slow: &'static str, headers: &'static str) -> Scene {
     let s = scene(slow, headers);
     assert_eq!(s.old.hand_in("payout", "slow-p"), 202);
     s.endpoint.wait_id("slow-p");
@@ -64,8 +64,8 @@
         (self.old.beside("RELAY_MGMT", &mgmt.to_string()), mgmt)
     }
 
-    /// A second process, once it serves and the first has let go.
-    fn handed_over(&self) -> Daemon {
+    /// A second process, once it serves and the first has released the journal.
+    fn take_over(&self) -> Daemon {
         let (new, mgmt) = self.second();
         new.wait_log("ready:");
         self.old.wait_log("handed over");
@@ -77,13 +77,13 @@
         self.endpoint.heard().iter().filter(|h| h.id() == id).count()
     }
 
-    fn notices(&self, id: &str) -> usize {
+    fn callbacks(&self, id: &str) -> usize {
         self.disco.different(&format!(r#""id":"{id}""#))
     }
 }
 
 #[test]
-fn nothing_that_comes_while_the_journal_changes_hands_is_refused_and_calls_that_are_out_end_well() {
+fn requests_during_a_takeover_are_not_rejected_and_calls_in_flight_complete() {
     let s = scene("200 OK", "");
     for n in 0..3 {
         assert_eq!(s.old.hand_in("payout", &format!("slow-{n}")), 202);
@@ -106,14 +106,14 @@
             })
         })
         .collect();
-    let new = s.handed_over();
+    let new = s.take_over();
     s.gate.open();
     new.wait_log("heard of a call of the process before message=slow-2");
     done.store(true, Ordering::Relaxed);
     let all: Vec<_> = clients.into_iter().flat_map(|c| c.join().expect("a client")).collect();
-    let refused: Vec<_> = all.iter().filter(|(_, s)| *s != Some(202)).collect();
-    // What comes in the moment itself on a connection that is open already may be told to come again.
-    assert!(all.len() > 20 && refused.len() <= 2, "{} of {}: {refused:?}", refused.len(), all.len());
+    let rejected: Vec<_> = all.iter().filter(|(_, s)| *s != Some(202)).collect();
+    // A request on an open connection at the very moment of the release may be rejected with Retry-After.
+    assert!(all.len() > 20 && rejected.len() <= 2, "{} of {}: {rejected:?}", rejected.len(), all.len());
     let taken = all.iter().filter(|(_, s)| *s == Some(202)).map(|(id, _)| id.clone());
     let taken: Vec<String> = taken.chain((0..3).map(|n| format!("slow-{n}"))).collect();
     s.endpoint.wait("each of them", |all| taken.iter().all(|id| all.iter().any(|h| h.id() == id)));
@@ -131,17 +131,17 @@
 }
 
 #[test]
-fn a_key_waits_at_the_new_process_for_the_call_of_the_old_one() {
+fn an_ordering_key_waits_for_the_call_of_the_predecessor() {
     let s = scene("200 OK", "");
     let keyed = |id: &str| message("sync", id, "20000m", "X-Key: 00aa\r\n");
     assert_eq!(s.old.ask(&keyed("slow-1")).map(|h| h.status()), Some(202));
     assert_eq!(s.old.ask(&keyed("held")).map(|h| h.status()), Some(202));
     s.endpoint.wait_id("slow-1");
-    let new = s.handed_over();
+    let new = s.take_over();
     assert_eq!(new.ask(&keyed("second")).map(|h| h.status()), Some(202));
     assert_eq!(new.hand_in("stats", "free"), 202);
     s.endpoint.wait_id("free");
-    assert_eq!((s.calls("held"), s.calls("second")), (0, 0), "the first of their key is still out");
+    assert_eq!((s.calls("held"), s.calls("second")), (0, 0), "the first of their key is still in flight");
     s.gate.open();
     let all =
         s.endpoint.wait("both", |all| ["held", "second"].iter().all(|id| all.iter().any(|h| h.id() == *id)));
@@ -150,26 +150,26 @@
 }
 
 #[test]
-fn a_payout_whose_old_process_is_killed_is_undeliverable_and_never_sent_again() {
-    let mut s = payout_out("200 OK", "");
-    let _new = s.handed_over();
+fn an_at_most_once_message_of_a_killed_predecessor_is_undeliverable_and_never_sent_again() {
+    let mut s = scene_with_payout_in_flight("200 OK", "");
+    let _new = s.take_over();
     s.old.kill();
     s.disco.wait_text(r#"{"id":"slow-p","status":"undeliverable"}"#);
     assert_eq!(s.calls("slow-p"), 1);
 }
 
 #[test]
-fn one_that_never_ran_at_the_old_process_is_sent_by_the_new_one() {
-    let s = payout_out("503 Full", "");
-    let _new = s.handed_over();
+fn a_message_that_never_ran_at_the_predecessor_is_sent_by_the_successor() {
+    let s = scene_with_payout_in_flight("503 Full", "");
+    let _new = s.take_over();
     s.gate.open();
-    s.endpoint.wait("the second try", |all| all.iter().filter(|h| h.id() == "slow-p").count() >= 2);
+    s.endpoint.wait("the second attempt", |all| all.iter().filter(|h| h.id() == "slow-p").count() >= 2);
 }
 
 #[test]
-fn a_wait_told_to_the_old_process_binds_the_new_one() {
-    let s = payout_out("429 Later", "Retry-After: 1.5\r\n");
-    let new = s.handed_over();
+fn a_retry_after_received_by_the_predecessor_holds_for_the_successor() {
+    let s = scene_with_payout_in_flight("429 Later", "Retry-After: 1.5\r\n");
+    let new = s.take_over();
     let before = new.log().len();
     let told = Instant::now();
     s.gate.open();
@@ -180,8 +180,8 @@
 }
 
 #[test]
-fn one_that_asks_and_never_comes_up_leaves_the_old_one_serving() {
-    let s = payout_out("200 OK", "");
+fn a_successor_that_asks_and_never_starts_leaves_the_predecessor_serving() {
+    let s = scene_with_payout_in_flight("200 OK", "");
     // It asks for the folder, and that is all it does.
     let asks = File::create(s.old.folder.join("state/next")).expect("a file");
     asks.lock().expect("its lock");
@@ -191,11 +191,11 @@
     assert_eq!(s.old.hand_in("stats", "a"), 202);
     s.endpoint.wait_id("a");
     drop(asks);
-    assert_eq!((s.calls("slow-p"), s.notices("slow-p")), (1, 0));
+    assert_eq!((s.calls("slow-p"), s.callbacks("slow-p")), (1, 0));
 }
 
 #[test]
-fn one_that_asks_and_dies_at_once_changes_nothing() {
+fn a_successor_that_asks_and_dies_at_once_changes_nothing() {
     let s = scene("200 OK", "");
     let (mut new, _) = s.second();
     new.wait_log("waiting for it");
@@ -205,9 +205,9 @@
 }
 
 #[test]
-fn the_old_one_takes_up_again_what_the_new_one_leaves_when_it_is_killed() {
+fn the_predecessor_takes_over_again_from_a_killed_successor() {
     let s = scene("200 OK", "");
-    let mut new = s.handed_over();
+    let mut new = s.take_over();
     s.old.wait_log("waiting for it");
     assert_eq!(new.hand_in("payout", "slow-n"), 202);
     s.endpoint.wait_id("slow-n");
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn without_operators_a_second_process_waits_until_the_first_has_ended() {
+fn without_a_management_address_a_second_process_waits_until_the_first_has_ended() {
     let endpoint = Server::always("200 OK");
     let known = list(1, &[(7, endpoint.addr)]);
     let disco = discovery(known.clone());
