--- a/src/daemon/error.rs
+++ b/src/daemon/error.rs
@@ -1,17 +1,18 @@
 //! Why the daemon cannot start or go on.
+use crate::as2::As2Error;
+use crate::settings::SettingsError;
 use crate::takeover::TakeoverError;
-use std::error::Error;
 use std::io;
 
 /// Why the daemon cannot start or go on. Each text names the file, key or address at fault.
 #[derive(Debug, thiserror::Error)]
 pub enum DaemonError {
     /// The configuration cannot be read, or a key in it is wrong: `micaladder check` finds all that is wrong.
-    #[error("{0}")]
-    Configuration(Box<dyn Error>),
+    #[error(transparent)]
+    Configuration(#[from] SettingsError),
     /// The file of the AS2 front, or a key or certificate that it names, is wrong: see `micaladder check`.
-    #[error("{0}")]
-    As2Settings(Box<dyn Error>),
+    #[error(transparent)]
+    As2Settings(#[from] As2Error),
     /// The address for operators cannot be listened at: see that no other process has it.
     #[error(transparent)]
     ManagementAddress(io::Error),
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -84,7 +84,7 @@
 
 /// Waits for the journal, serves, and ends or releases the journal.
 async fn run_once(flags: &RunFlags, process: &mut Process) -> Result<RunEnd, DaemonError> {
-    let config = Config::read(flags).map_err(DaemonError::Configuration)?;
+    let config = Config::read(flags)?;
     start_management(&config, process)?;
     let Signals { mut terminate, hangup } = Signals::install()?;
     let folder = SharedFolder::open(&config.state_dir)?;
--- a/src/daemon/startup.rs
+++ b/src/daemon/startup.rs
@@ -36,7 +36,7 @@
     let late_outcomes = folder.open_late_outcomes();
     let (journal, records) =
         Journal::open(&config.state_dir, config.disk_limit).map_err(DaemonError::Journal)?;
-    let as2 = As2Settings::load(&flags.files.as2).map_err(DaemonError::As2Settings)?.map(Arc::new);
+    let as2 = As2Settings::load(&flags.files.as2)?.map(Arc::new);
     let core = Core::new(CoreOptions {
         site: config.deployment.clone(),
         seed: config.seed,
@@ -125,8 +125,8 @@
     tokio::spawn(client::as2::send_mdns(settings.clone(), exchange.clone(), receipts));
     let authority = settings.acme.clone();
     let routes = client::as2::routes(client::as2::As2Front {
-        site: config.deployment.clone(),
-        book: settings,
+        deployment: config.deployment.clone(),
+        settings,
         exchange: exchange.clone(),
     });
     let mut tls = None;
