--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -1,73 +1,103 @@
-//! What is handed in: what can be told at once, what is taken on, and the journal before the answer.
+//! Admission: which requests have their answer at once, which the module decides on, and the journal before the answer.
 use super::messages::{Answer, Output};
-use super::pending::{weigh, Held};
+use super::pending::journal_bytes;
 use super::Core;
+use crate::deduplication::PriorResult;
 use crate::interface::{Action, Event, MessageId, Nanos};
 use crate::journal::{self, Completion, Record};
 use crate::metrics::MessageResult;
 use crate::plugins::Verdict;
 use crate::request::{RequestContext, RequestDetails};
 use std::collections::BTreeMap;
-use std::sync::Arc;
 
-/// A line that would come with each request comes once in so many seconds.
-const LOG_EACH: f64 = 1.0;
+/// A warning that would come with each request is logged once in so many seconds.
+const WARNING_INTERVAL_S: f64 = 1.0;
+/// The longest wait that a request is told which is rejected here and not by the module, in seconds: what stands in its
+/// way may pass at any time.
+const RETRY_AFTER_S: f64 = 1.0;
 
 impl Core {
-    /// Decides what can be told at once; else hands the message to the module, and gives its id.
-    pub(super) fn handed(&mut self, id: MessageId, mut context: RequestContext) -> Option<MessageId> {
-        let (weight, class) = (weigh(&context), context.class);
-        let answer = if let Some(delivered) = self.ended.delivered(&context.name, &context.idempotency_key) {
-            if delivered {
-                Answer::Delivered
-            } else {
-                Answer::Failed
-            }
-        } else if let Some(held) = self.names.get(&context.name).and_then(|id| self.held.get(id)) {
-            // The same request once more, over a connection that crossed its answer: it is held already.
-            // Guards the clients of open requests against others that use their ids: another message under
-            // the same id is not that one, whichever came first.
-            if held.context.same_message(&context) {
-                Answer::Accepted
-            } else {
-                Answer::Reject(self.rejection_retry_after())
-            }
-        } else if self.dests.is_empty() {
-            // No list has come yet: which destinations there are is not known, and coming again is harmless.
-            Answer::Reject(self.rejection_retry_after())
-        } else if !self.dests.contains(&context.dest) {
-            Answer::UnknownDestination
-        } else if context.deadline <= self.now {
-            Answer::Failed
-        } else if self.open >= self.settings.max_pending || self.ledger.stuck() {
-            Answer::Reject(self.rejection_retry_after())
-        } else if self.weight + self.ended.weight() + weight > self.ledger.room() {
-            if self.now >= self.room_log {
-                log::warn!("reject: no room in the journal");
-                self.room_log = self.now + LOG_EACH;
-            }
-            Answer::Reject(self.rejection_retry_after())
-        } else if let Verdict::Pass(tags) = self.plugins.on_request(&context, self.details(&context)) {
-            context.tags = tags;
-            self.keep(id, context);
-            if !self.stands_behind(id) {
-                let h = self.held.get(&id);
-                self.events.extend(h.map(|h| Event::Message(h.message(id))));
-            }
-            return Some(id);
-        } else {
-            log::info!(message = context.name, dest = context.dest; "reject: a script's word");
-            Answer::Reject(self.rejection_retry_after())
+    /// Answers a request at once, or gives it to the module and returns its id.
+    pub(super) fn submitted(&mut self, id: MessageId, mut context: RequestContext) -> Option<MessageId> {
+        let class = context.class;
+        if let Some(answer) = self.immediate_answer(&context) {
+            self.answer(id, class, answer);
+            return None;
+        }
+        let Verdict::Pass(tags) = self.plugins.on_request(&context, self.details(&context)) else {
+            log::info!(message = context.name, dest = context.dest; "rejected by a script");
+            self.answer(id, class, Answer::Reject(self.rejection_retry_after()));
+            return None;
         };
-        self.answered(id, class, answer);
+        context.tags = tags;
+        self.pending.insert(id, context);
+        if !self.wait_for_predecessor(id) {
+            self.events.extend(self.pending.get(id).map(|m| Event::Message(m.message(id))));
+        }
+        Some(id)
+    }
+
+    /// The answer to a request on which nothing is left to decide; none for one that scripts and the module see.
+    fn immediate_answer(&mut self, context: &RequestContext) -> Option<Answer> {
+        if let Some(answer) = self.answer_to_repeat(context) {
+            return Some(answer);
+        }
+        if self.endpoints.has_no_destinations() {
+            // No endpoint list has come yet: which destinations exist is not known, and a retry is harmless.
+            return Some(Answer::Reject(self.rejection_retry_after()));
+        }
+        if !self.endpoints.has_destination(context.dest) {
+            return Some(Answer::UnknownDestination);
+        }
+        if context.deadline <= self.now {
+            return Some(Answer::Failed);
+        }
+        if !self.has_capacity(context) {
+            return Some(Answer::Reject(self.rejection_retry_after()));
+        }
         None
     }
 
-    /// When a client that is turned away here may come again.
+    /// The answer to a request that is known by its name or its idempotency key.
+    fn answer_to_repeat(&self, context: &RequestContext) -> Option<Answer> {
+        match self.deduplication.get(&context.name, &context.idempotency_key) {
+            Some(PriorResult::Delivered) => return Some(Answer::Delivered),
+            Some(PriorResult::Failed) => return Some(Answer::Failed),
+            None => {}
+        }
+        // The same request again, over a connection that crossed its answer: it is pending already. Guards the clients of
+        // pending requests against others that use their names: another message under the same name is not that one,
+        // whichever came first.
+        let pending = self.pending.by_name(&context.name)?;
+        if pending.context.same_message(context) {
+            Some(Answer::Accepted)
+        } else {
+            Some(Answer::Reject(self.rejection_retry_after()))
+        }
+    }
+
+    /// Whether the tables and the journal have room for one more message.
+    fn has_capacity(&mut self, context: &RequestContext) -> bool {
+        if self.pending.open() >= self.settings.max_pending || self.journal.is_unavailable() {
+            return false;
+        }
+        let reserved = self.pending.journal_bytes() + self.deduplication.journal_bytes();
+        if reserved + journal_bytes(context) <= self.journal.capacity() {
+            return true;
+        }
+        if self.now >= self.capacity_warning_at {
+            log::warn!("rejected: no capacity left in the journal");
+            self.capacity_warning_at = self.now + WARNING_INTERVAL_S;
+        }
+        false
+    }
+
+    /// When a client whose request is rejected here may come again; none where the settings name no wait.
     pub fn rejection_retry_after(&self) -> Option<Nanos> {
-        self.settings.retry_after.map(|top| Nanos::from_secs(1.0).min(top))
+        self.settings.retry_after.map(|longest| Nanos::from_secs(RETRY_AFTER_S).min(longest))
     }
 
+    /// What scripts are shown of a request beside its context.
     pub(super) fn details(&self, context: &RequestContext) -> RequestDetails<'_> {
         RequestDetails {
             class: self.site.classes.get(context.class).map_or("", String::as_str),
@@ -76,81 +106,77 @@
         }
     }
 
-    pub(super) fn keep(&mut self, id: MessageId, context: RequestContext) {
-        let weight = weigh(&context);
-        self.weight += weight;
-        self.open += 1;
-        self.names.insert(context.name.clone(), id);
-        let context = Arc::new(context);
-        let (attempts, out, first_possible_run, end, heard, logged) = (0, None, None, None, false, false);
-        let held = Held { context, attempts, out, first_possible_run, end, heard, logged, weight };
-        self.held.insert(id, held);
-    }
-
-    pub(super) fn withdrawn(&mut self, id: MessageId) {
-        if self.held.get(&id).is_some_and(|h| h.end.is_none()) {
+    /// The client has gone. A message that is complete already stays as it is.
+    pub(super) fn withdraw(&mut self, id: MessageId) {
+        if self.pending.get_open(id).is_some() {
             self.events.push(Event::Withdrawn(id));
-            self.end(id, Completion::Withdrawn);
+            self.complete(id, Completion::Withdrawn);
         }
     }
 
-    /// Answers the clients of this moment's requests. What is taken on is in the journal before that.
-    pub(super) fn answer(&mut self, handed: &[MessageId], actions: &[Action]) {
-        let mut rejects = BTreeMap::new();
+    /// Answers the requests of this step on which the module has decided. An accepted one is in the journal before that.
+    pub(super) fn answer_submitted(&mut self, submitted: &[MessageId], actions: &[Action]) {
+        let mut refusals = BTreeMap::new();
         for action in actions {
             match action {
-                Action::Reject { id, after } => rejects.insert(*id, Answer::Reject(*after)),
-                Action::Fail(id) => rejects.insert(*id, Answer::Failed),
-                _ => None,
-            };
+                Action::Reject { id, after } => drop(refusals.insert(*id, Answer::Reject(*after))),
+                Action::Fail(id) => drop(refusals.insert(*id, Answer::Failed)),
+                _ => {}
+            }
         }
-        for id in handed {
-            let Some(h) = self.held.get(id) else { continue };
-            let context = h.context.clone();
-            let answer = match rejects.get(id) {
-                Some(answer) => *answer,
-                None if self.take_on(*id) => {
-                    log::debug!(message = context.name, class = context.class, dest = context.dest; "taken on");
-                    Answer::Accepted
-                }
-                None => {
-                    self.events.push(Event::Withdrawn(*id));
-                    self.wake = Some(self.now);
-                    Answer::Reject(self.rejection_retry_after())
-                }
+        for id in submitted {
+            let Some(message) = self.pending.get(*id) else { continue };
+            let class = message.context.class;
+            let answer = match refusals.get(id) {
+                Some(refusal) => *refusal,
+                None => self.accept(*id),
             };
             if answer != Answer::Accepted {
-                self.forget(*id);
+                self.remove(*id);
             }
-            self.answered(*id, context.class, answer);
+            self.answer(*id, class, answer);
         }
     }
 
+    /// Accepts a message if the journal takes it, or withdraws it from the module.
+    fn accept(&mut self, id: MessageId) -> Answer {
+        if self.write_accepted(id) {
+            if let Some(message) = self.pending.get(id) {
+                let context = &message.context;
+                log::debug!(message = context.name, class = context.class, dest = context.dest; "message accepted");
+            }
+            return Answer::Accepted;
+        }
+        self.events.push(Event::Withdrawn(id));
+        self.wake_at = Some(self.now);
+        Answer::Reject(self.rejection_retry_after())
+    }
+
+    /// Whether the journal has the message now.
+    fn write_accepted(&mut self, id: MessageId) -> bool {
+        let Some(message) = self.pending.get(id) else { return false };
+        let record = Record::Accepted(message.accepted(id));
+        if self.journal.needs_rewrite(self.now, journal::size(&record)) {
+            self.rewrite_journal();
+        }
+        let written = self.journal.append(self.now, &record).is_ok();
+        if let Some(message) = self.pending.get_mut(id) {
+            message.in_journal = written;
+        }
+        written
+    }
+
     /// The one place where a request has its answer, and where one that ends with it is counted.
-    fn answered(&mut self, id: MessageId, class: usize, answer: Answer) {
-        let ending = match answer {
+    fn answer(&mut self, id: MessageId, class: usize, answer: Answer) {
+        let result = match answer {
             Answer::Accepted => None,
             Answer::Delivered => Some(MessageResult::Fulfilled),
             Answer::Reject(_) => Some(MessageResult::Throttled),
             Answer::UnknownDestination | Answer::Failed => Some(MessageResult::Faulted),
         };
-        if let Some(ending) = ending {
-            self.metrics.record_result(class, ending);
+        if let Some(result) = result {
+            self.metrics.record_result(class, result);
         }
-        self.orders.push(Output::Answer(id, answer));
-    }
-
-    /// Whether the journal has the message.
-    pub(super) fn take_on(&mut self, id: MessageId) -> bool {
-        let Some(h) = self.held.get(&id) else { return false };
-        let record = Record::Accepted(h.taken(id));
-        if self.ledger.is_full(self.now, journal::size(&record)) {
-            self.write_anew();
-        }
-        let logged = self.ledger.first(self.now, &record);
-        if let Some(h) = self.held.get_mut(&id) {
-            h.logged = logged;
-        }
-        logged
+        self.outputs.push(Output::Answer(id, answer));
     }
 }
--- a/src/core/completions.rs
+++ b/src/core/completions.rs
@@ -1,133 +1,137 @@
-//! Ends: told once, kept until they are heard of, remembered for repeats.
+//! Completions: written to the journal, reported once, kept until the callback is acknowledged, remembered for repeats.
 use super::messages::Output;
-use super::pending::{owes_word, Stage};
-use super::suspensions::ending;
 use super::Core;
 use crate::interface::{Effect, MessageId, Nanos};
 use crate::journal::{Completion, Record};
+use crate::metrics::MessageResult;
 use crate::request::RequestContext;
-use std::collections::hash_map::Entry::Occupied;
 
-/// How long beyond its time a message that is over is remembered, in seconds.
-const REMEMBER: f64 = 2.0;
+/// How long after its deadline a complete message is remembered, in seconds: a repeat may cross the network that long.
+const REMEMBER_AFTER_DEADLINE_S: f64 = 2.0;
 
-/// So shortly before its time, in seconds, a message is out of it: one that is handed back does not run after a restart
-/// either, and one that is answered may have been written off already.
-pub(super) const TIME_UP: f64 = 0.05;
+/// A message this close to its deadline, in seconds, counts as past it: one that is handed back does not run after a
+/// restart either, and the client of one that is answered may have given it up already.
+pub(super) const DEADLINE_MARGIN_S: f64 = 0.05;
+
+/// How operators count a completion; none where the client withdrew the message.
+fn message_result(completion: Completion) -> Option<MessageResult> {
+    match completion {
+        Completion::Delivered => Some(MessageResult::Fulfilled),
+        Completion::Undeliverable => Some(MessageResult::Faulted),
+        Completion::Deferred(_) => Some(MessageResult::Throttled),
+        Completion::Withdrawn => None,
+    }
+}
 
 impl Core {
-    /// The message is over for its client.
-    pub(super) fn end(&mut self, id: MessageId, end: Completion) {
+    /// Completes a message, unless it is complete already.
+    pub(super) fn complete(&mut self, id: MessageId, wanted: Completion) {
         let now = self.now;
-        let Some(h) = self.held.get_mut(&id).filter(|h| h.end.is_none()) else { return };
-        let context = h.context.clone();
-        // One that is held back never went out; the module still waits to hear of it.
-        if let Some(attempt) = h.out.as_ref().filter(|o| o.stage == Stage::HeldBack).map(|o| o.attempt) {
-            self.take_out(id);
-            self.not_sent(id, attempt, true);
-        }
+        let Some(message) = self.pending.get_open(id) else { return };
+        let context = message.context.clone();
+        self.abandon_deferred_attempt(id);
         let left_s = (context.deadline - now).secs();
-        log::debug!(message = context.name, end:?, left_s; "over");
-        let record = |end| Record::Completed { id: id.0, at: now.0, end };
-        let written = self.ledger.first(now, &record(end));
-        let end = if written { end } else { self.end_unwritten(&context, end) };
-        self.close(id, end);
-        if let Some(ending) = ending(end) {
-            self.metrics.record_result(context.class, ending);
+        log::debug!(message = context.name, completion:? = wanted, left_s; "complete");
+        let record = Record::Completed { id: id.0, at: now.0, end: wanted };
+        let written = self.journal.append(now, &record).is_ok();
+        let completion = if written { wanted } else { self.completion_without_journal(&context, wanted) };
+        self.set_complete(id, completion);
+        if let Some(result) = message_result(completion) {
+            self.metrics.record_result(context.class, result);
         }
-        let Some(h) = self.held.get_mut(&id) else { return };
-        let word = owes_word(&context, end).then(|| Output::Callback(h.notice(id, end)));
+        let Some(message) = self.pending.get(id) else { return };
+        let callback = message.callback(id, completion).map(Output::Callback);
         if written {
-            self.orders.extend(word);
+            self.outputs.extend(callback);
         } else {
-            // What is given up has its answer at once. That it was delivered can wait: after a kill, the word
-            // would be another one.
-            let (now_told, later) = if end == Completion::Delivered { (None, word) } else { (word, None) };
-            self.orders.extend(now_told);
-            self.ledger.keep(now, record(end), later);
+            self.report_before_journal(id, completion, callback);
         }
-        self.remember(&context, now, end);
-        self.drop_if_done(id);
+        self.remember(&context, now, completion);
+        self.remove_if_done(id);
     }
 
-    /// What a client is told where the journal cannot know of it yet. Guards "no double effect": a process that is
-    /// killed now takes the message up again, so its client must not be told that coming again is harmless.
-    pub(super) fn end_unwritten(&self, context: &RequestContext, end: Completion) -> Completion {
+    /// An attempt that was never handed to the transport ends with its message; the module still waits for its outcome.
+    fn abandon_deferred_attempt(&mut self, id: MessageId) {
+        let deferred = self.pending.get_mut(id).and_then(|m| m.deferred_attempt_mut());
+        let Some(attempt) = deferred.map(|a| a.attempt) else { return };
+        self.pending.take_in_flight(id);
+        self.skip_attempt(id, attempt);
+    }
+
+    /// The completion to report where the journal cannot hold it yet. Guards "no double effect": a process that is killed
+    /// now resumes the message, so its client must not be told that a retry is harmless.
+    fn completion_without_journal(&self, context: &RequestContext, wanted: Completion) -> Completion {
         let effect = self.settings.classes.get(context.class).map(|c| c.effect);
-        let runs_again = (context.deadline - self.now).secs() > TIME_UP;
-        match end {
-            Completion::Deferred(_) if effect == Some(Effect::AtMostOnce) && runs_again => {
+        let would_run_again = (context.deadline - self.now).secs() > DEADLINE_MARGIN_S;
+        match wanted {
+            Completion::Deferred(_) if effect == Some(Effect::AtMostOnce) && would_run_again => {
                 Completion::Undeliverable
             }
-            _ => end,
+            _ => wanted,
         }
     }
 
-    pub(super) fn close(&mut self, id: MessageId, end: Completion) {
-        let Some(h) = self.held.get_mut(&id) else { return };
-        h.end = Some(end);
-        self.open -= 1;
-        if let Some(key) = h.context.ordering_key {
-            *self.unheard.entry(key).or_default() += 1;
+    /// Reports a completion that the journal does not hold yet. A delivery is reported only once it is written: after a
+    /// kill, the message might complete in another way.
+    fn report_before_journal(&mut self, id: MessageId, completion: Completion, callback: Option<Output>) {
+        let record = Record::Completed { id: id.0, at: self.now.0, end: completion };
+        if completion == Completion::Delivered {
+            self.journal.append_or_defer(self.now, record, callback);
+        } else {
+            self.outputs.extend(callback);
+            self.journal.append_or_defer(self.now, record, None);
         }
     }
 
-    pub(super) fn heard(&mut self, id: MessageId) {
-        let Some(h) = self.held.get_mut(&id).filter(|h| h.end.is_some() && !h.heard) else { return };
-        h.heard = true;
-        let key = h.context.ordering_key;
-        self.free(key);
-        self.drop_if_done(id);
+    /// Marks the message complete. Its ordering key is blocked until its callback is acknowledged.
+    pub(super) fn set_complete(&mut self, id: MessageId, completion: Completion) {
+        let Some(message) = self.pending.get(id) else { return };
+        let key = message.context.ordering_key;
+        self.pending.set_complete(id, completion);
+        if let Some(key) = key {
+            self.ordering.block(key);
+        }
     }
 
-    /// One message fewer of this key is over and not heard of.
-    pub(super) fn free(&mut self, key: Option<u64>) {
-        let Some(key) = key else { return };
-        if let Occupied(mut left) = self.unheard.entry(key) {
-            *left.get_mut() -= 1;
-            if *left.get() == 0 {
-                left.remove();
-                self.held_back.extend(self.parked.remove(&key).unwrap_or_default());
-            }
+    /// The client has acknowledged the message's callback.
+    pub(super) fn acknowledge_callback(&mut self, id: MessageId) {
+        let Some(message) = self.pending.acknowledge_callback(id) else { return };
+        if let Some(key) = message.context.ordering_key {
+            self.ordering.unblock(key);
         }
+        self.remove_if_done(id);
     }
 
-    /// One that was handed back or withdrawn may come again as if new.
-    pub(super) fn remember(&mut self, context: &RequestContext, at: Nanos, end: Completion) {
-        if !matches!(end, Completion::Delivered | Completion::Undeliverable) {
-            return;
-        }
+    /// Remembers a complete message for its repeats. One that was handed back or withdrawn may come again as if new.
+    pub(super) fn remember(&mut self, context: &RequestContext, at: Nanos, completion: Completion) {
+        let delivered = match completion {
+            Completion::Delivered => true,
+            Completion::Undeliverable => false,
+            Completion::Deferred(_) | Completion::Withdrawn => return,
+        };
         let class = self.settings.classes.get(context.class);
         let window = match class.map(|c| c.effect) {
             Some(Effect::IdempotentByKey { window, .. }) => window,
             _ => Nanos(0),
         };
-        let until = context.deadline.max(at + window) + REMEMBER;
-        let (name, repeat_key) = (context.name.clone(), context.idempotency_key.clone());
-        self.ended.forget(self.now);
-        self.ended.add(name, repeat_key, until, end == Completion::Delivered);
+        let until = context.deadline.max(at + window) + REMEMBER_AFTER_DEADLINE_S;
+        let (name, idempotency_key) = (context.name.clone(), context.idempotency_key.clone());
+        self.deduplication.expire(self.now);
+        self.deduplication.insert(name, idempotency_key, until, delivered);
     }
 
-    pub(super) fn drop_if_done(&mut self, id: MessageId) {
-        let Some(h) = self.held.get(&id) else { return };
-        let told = h.end.is_some_and(|end| h.heard || !owes_word(&h.context, end));
-        if told && h.out.is_none() {
-            self.forget(id);
+    /// Removes the message once neither a callback nor an attempt of it is left.
+    pub(super) fn remove_if_done(&mut self, id: MessageId) {
+        let Some(message) = self.pending.get(id) else { return };
+        if message.is_settled() && message.in_flight().is_none() {
+            self.remove(id);
         }
     }
 
-    pub(super) fn forget(&mut self, id: MessageId) {
-        self.take_out(id);
-        if let Some(h) = self.held.remove(&id) {
-            self.weight -= h.weight;
-            match h.end {
-                None => self.open -= 1,
-                Some(_) if !h.heard => self.free(h.context.ordering_key),
-                Some(_) => {}
-            }
-            if self.names.get(&h.context.name) == Some(&id) {
-                self.names.remove(&h.context.name);
-            }
+    /// Removes the message, whatever is left of it.
+    pub(super) fn remove(&mut self, id: MessageId) {
+        if let Some(key) = self.pending.remove(id) {
+            self.ordering.unblock(key);
         }
     }
 }
--- a/src/core/journal_writer.rs
+++ b/src/core/journal_writer.rs
@@ -1,182 +1,212 @@
 //! Keeps the journal a step ahead of what the core does, also on a disk that fails. What must be in the journal
-//! before something happens is written or the thing does not happen; what has happened already is kept and written
+//! before something happens is written or the thing does not happen; what has happened already is deferred and written
 //! later, in order, before anything else. What a record means is the core's.
 //!
 //! | record that is not written | what happens | a kill before it is |
 //! | --- | --- | --- |
-//! | `Taken` | the client gets 503 | nothing was taken on |
-//! | `Started` | the attempt does not start; the module hears `Unsent` | it never started |
-//! | `Outcome` | kept for later | the attempt may have run: a payout ends as undeliverable |
-//! | `Ended` | kept for later | the message ends once more; what may have run does not run again |
-//! | `Heard` | kept for later | the same notice goes out once more |
+//! | `Accepted` | the client gets 503 | nothing was accepted |
+//! | `AttemptStarted` | the attempt does not start; the module gets `NotSent` | it never started |
+//! | `AttemptEnded` | deferred | the attempt may have run: an at-most-once message ends as undeliverable |
+//! | `Completed` | deferred | the message completes once more; what may have run does not run again |
+//! | `CallbackAcknowledged` | deferred | the same callback is sent once more |
 //!
-//! What is kept is bounded: while the journal cannot be written nothing is taken on and no attempt starts, so each
-//! message that is held adds its outcome, its end and its notice at the most.
+//! The deferred records are bounded: while the journal cannot be written nothing is accepted and no attempt starts, so
+//! each pending message adds its outcome, its completion and its acknowledgement at the most.
 use super::messages::Output;
 use crate::journal::{Fault, Journal, Record};
 use crate::Nanos;
 use std::collections::VecDeque;
 
 /// The first and the longest pause before a disk that failed is tried again, in seconds. The first is that of a
-/// passing fault; the longest costs one failing call a second.
-const PAUSE: f64 = 0.02;
-const PAUSE_MOST: f64 = 1.0;
-/// So long after it came back, a disk that fails anew is in the same trouble: no second line at ERROR, and the
-/// pause goes on from where it was. In seconds.
-const SAME_TROUBLE: f64 = 10.0;
-
-/// A record that waits, and what is to be done once it is written.
-type Late = (Record, Option<Output>);
+/// passing error; the longest costs one failing call a second.
+const FIRST_BACKOFF_S: f64 = 0.02;
+const MAX_BACKOFF_S: f64 = 1.0;
+/// For so long after it recovered, in seconds, a disk that fails again has the same fault: no second line at ERROR, and
+/// the backoff goes on from where it was.
+const SAME_FAULT_S: f64 = 10.0;
+
+/// The journal did not take a record, so what the record announces must not happen. The cause is in the log.
+#[derive(Debug, thiserror::Error)]
+#[error("not written to the journal; the cause is in the log: make room on its disk, or wait for messages to complete")]
+pub(super) struct NotWritten;
+
+/// A record that waits for the journal, and what is to be done once it is written.
+struct DeferredRecord {
+    record: Record,
+    then: Option<Output>,
+}
 
-pub struct Ledger {
+/// The journal, with the records that it could not take.
+pub(super) struct JournalWriter {
     journal: Journal,
-    late: VecDeque<Late>,
-    /// When the journal is tried again, while it cannot be written.
-    again: Option<Nanos>,
-    /// When the log may be written anew after that has failed, while it does.
-    anew: Option<Nanos>,
-    pause: f64,
-    back_at: Option<Nanos>,
-    gone: bool,
+    deferred: VecDeque<DeferredRecord>,
+    /// When the journal is tried again; set while it cannot be written.
+    retry_at: Option<Nanos>,
+    /// When a rewrite may be tried again; set while the last one failed.
+    rewrite_retry_at: Option<Nanos>,
+    /// The next pause, in seconds.
+    backoff_s: f64,
+    recovered_at: Option<Nanos>,
+    /// The journal is another process's.
+    released: bool,
 }
 
-impl Ledger {
-    pub fn new(journal: Journal) -> Ledger {
-        Ledger {
+impl JournalWriter {
+    pub(super) fn new(journal: Journal) -> JournalWriter {
+        JournalWriter {
             journal,
-            late: VecDeque::new(),
-            again: None,
-            anew: None,
-            pause: PAUSE,
-            back_at: None,
-            gone: false,
+            deferred: VecDeque::new(),
+            retry_at: None,
+            rewrite_retry_at: None,
+            backoff_s: FIRST_BACKOFF_S,
+            recovered_at: None,
+            released: false,
         }
     }
 
-    /// Whether the journal cannot be written.
-    pub fn stuck(&self) -> bool {
-        self.again.is_some()
+    /// Whether the journal cannot be written at present.
+    pub(super) fn is_unavailable(&self) -> bool {
+        self.retry_at.is_some()
     }
 
     /// The journal is another process's from now on: nothing is written any more.
-    pub fn release_journal(&mut self) {
-        self.gone = true;
+    pub(super) fn release(&mut self) {
+        self.released = true;
     }
 
     /// When `retry` is to be called.
-    pub fn next_wake(&self) -> Option<Nanos> {
-        self.again
+    pub(super) fn next_wake(&self) -> Option<Nanos> {
+        self.retry_at
     }
 
-    /// Bytes that all that is owed may take.
-    pub fn room(&self) -> u64 {
+    /// Bytes that all that must be kept may take.
+    pub(super) fn capacity(&self) -> u64 {
         self.journal.room()
     }
 
-    /// Whether the log should be written anew before a record of so many bytes is added.
-    pub fn is_full(&self, now: Nanos, more: u64) -> bool {
-        !self.stuck() && !self.gone && self.anew.is_none_or(|at| now >= at) && self.journal.is_full(more)
+    /// Whether the journal should be rewritten before a record of so many bytes is added.
+    pub(super) fn needs_rewrite(&self, now: Nanos, more: u64) -> bool {
+        !self.is_unavailable()
+            && !self.released
+            && self.rewrite_retry_at.is_none_or(|at| now >= at)
+            && self.journal.is_full(more)
     }
 
-    /// Writes what must be in the journal before it happens. False: it must not happen.
-    pub fn first(&mut self, now: Nanos, record: &Record) -> bool {
-        if self.stuck() || self.gone {
-            return false;
+    /// Writes what must be in the journal before it happens.
+    ///
+    /// # Errors
+    ///
+    /// The journal cannot be written, has no room for another message, or is another process's.
+    pub(super) fn append(&mut self, now: Nanos, record: &Record) -> Result<(), NotWritten> {
+        if self.is_unavailable() || self.released {
+            return Err(NotWritten);
         }
         match self.journal.append(record) {
-            Ok(()) => true,
-            // The log's own limit says nothing of the disk. What has been taken on has its reserve behind it.
+            Ok(()) => Ok(()),
+            // The journal's own limit says nothing of the disk. What has been accepted has its reserve behind it.
             Err(Fault::Limit) if matches!(record, Record::Accepted(_)) => {
-                log::warn!("reject: no room in the journal");
-                false
+                log::warn!("rejected: no capacity left in the journal");
+                Err(NotWritten)
             }
-            Err(fault) => {
-                self.failed(now, &fault);
-                false
+            Err(error) => {
+                self.failed(now, &error);
+                Err(NotWritten)
             }
         }
     }
 
-    /// Writes what has happened. Where it cannot be, it is kept, and `then` is given back by `retry`.
-    pub fn keep(&mut self, now: Nanos, record: Record, then: Option<Output>) -> Option<Output> {
-        if self.first(now, &record) {
+    /// Writes what has happened. Where it cannot be written it is deferred, and `retry` returns `then` once it is; the
+    /// caller gets `then` back where the record is written at once.
+    pub(super) fn append_or_defer(
+        &mut self, now: Nanos, record: Record, then: Option<Output>,
+    ) -> Option<Output> {
+        if self.append(now, &record).is_ok() {
             return then;
         }
-        self.late.push_back((record, then));
+        self.deferred.push_back(DeferredRecord { record, then });
         None
     }
 
-    fn failed(&mut self, now: Nanos, fault: &Fault) {
-        let same = self.back_at.is_some_and(|at| (now - at).secs() < SAME_TROUBLE);
-        if !same {
-            self.pause = PAUSE;
-            log::error!("journal cannot be written: {fault}; nothing is taken on or sent until it can");
+    fn failed(&mut self, now: Nanos, error: &Fault) {
+        let is_same_fault = self.recovered_at.is_some_and(|at| (now - at).secs() < SAME_FAULT_S);
+        if !is_same_fault {
+            self.backoff_s = FIRST_BACKOFF_S;
+            log::error!("journal cannot be written: {error}; nothing is accepted or sent until it can");
         }
-        self.again = Some(now + self.pause);
-        self.pause = (self.pause * 2.0).min(PAUSE_MOST);
+        self.back_off(now);
     }
 
-    /// Attempts a journal that could not be written, when its time has come. `all` are the records of all that is
-    /// known. Gives what was to be done once its record was written; none while the journal is stuck.
-    pub fn retry<I: Iterator<Item = Record>>(
-        &mut self, now: Nanos, all: impl FnOnce() -> I,
+    fn back_off(&mut self, now: Nanos) {
+        self.retry_at = Some(now + self.backoff_s);
+        self.backoff_s = (self.backoff_s * 2.0).min(MAX_BACKOFF_S);
+    }
+
+    /// Tries a journal that could not be written again, when its time has come. `all_records` gives all that the journal
+    /// must hold. Returns what was to be done once its record was written; none where nothing was tried.
+    pub(super) fn retry<I: Iterator<Item = Record>>(
+        &mut self, now: Nanos, all_records: impl FnOnce() -> I,
     ) -> Option<Vec<Output>> {
-        if self.again.is_none_or(|at| now < at) {
+        if self.retry_at.is_none_or(|at| now < at) {
             return None;
         }
-        let mut done = Vec::new();
-        match self.catch_up(all, &mut done) {
+        let mut outputs = Vec::new();
+        match self.write_deferred(all_records, &mut outputs) {
             Ok(()) => {
                 log::info!("journal can be written again");
-                (self.again, self.back_at) = (None, Some(now));
+                self.retry_at = None;
+                self.recovered_at = Some(now);
             }
-            Err(fault) => {
-                log::debug!("journal still cannot be written: {fault}");
-                self.again = Some(now + self.pause);
-                self.pause = (self.pause * 2.0).min(PAUSE_MOST);
+            Err(error) => {
+                log::debug!("journal still cannot be written: {error}");
+                self.back_off(now);
             }
         }
-        Some(done)
+        Some(outputs)
     }
 
-    fn catch_up<I: Iterator<Item = Record>>(
-        &mut self, all: impl FnOnce() -> I, done: &mut Vec<Output>,
+    fn write_deferred<I: Iterator<Item = Record>>(
+        &mut self, all_records: impl FnOnce() -> I, outputs: &mut Vec<Output>,
     ) -> Result<(), Fault> {
-        // A mark without a meaning: whether the disk takes anything is seen before a message depends on it.
-        let mut fault = self.journal.append(&Record::CallbackAcknowledged { id: 0 }).err();
-        while fault.is_none() {
-            let Some((record, _)) = self.late.front() else { break };
-            fault = self.journal.append(record).err();
-            if fault.is_none() {
-                done.extend(self.late.pop_front().and_then(|l| l.1));
-            }
+        match self.append_deferred(outputs) {
+            Ok(()) => Ok(()),
+            // Another file helps where this one is at its limit or cannot be repaired; it holds all that was deferred.
+            Err(Fault::Limit) => self.replace(all_records(), outputs),
+            Err(_) if self.journal.is_torn() => self.replace(all_records(), outputs),
+            Err(error) => Err(error),
         }
-        match fault {
-            None => Ok(()),
-            // Another file helps where this one is at its end or cannot be mended; it holds all that waits.
-            Some(Fault::Limit) => self.anew(all(), done),
-            Some(_) if self.journal.is_torn() => self.anew(all(), done),
-            Some(fault) => Err(fault),
+    }
+
+    fn append_deferred(&mut self, outputs: &mut Vec<Output>) -> Result<(), Fault> {
+        // A record without a meaning: whether the disk takes anything is seen before a message depends on it.
+        self.journal.append(&Record::CallbackAcknowledged { id: 0 })?;
+        while let Some(next) = self.deferred.front() {
+            self.journal.append(&next.record)?;
+            outputs.extend(self.deferred.pop_front().and_then(|written| written.then));
         }
+        Ok(())
     }
 
-    fn anew(&mut self, all: impl Iterator<Item = Record>, done: &mut Vec<Output>) -> Result<(), Fault> {
-        self.journal.rewrite(all)?;
-        self.anew = None;
-        done.extend(self.late.drain(..).filter_map(|l| l.1));
+    fn replace(
+        &mut self, all_records: impl Iterator<Item = Record>, outputs: &mut Vec<Output>,
+    ) -> Result<(), Fault> {
+        self.journal.rewrite(all_records)?;
+        self.rewrite_retry_at = None;
+        outputs.extend(self.deferred.drain(..).filter_map(|written| written.then));
         Ok(())
     }
 
-    /// Writes the log anew. Where this fails, the old one goes on, and this is not tried again at once.
-    pub fn rewrite(&mut self, now: Nanos, all: impl Iterator<Item = Record>) {
-        match self.journal.rewrite(all) {
+    /// Rewrites the journal. Where this fails, the old one goes on, and this is not tried again at once.
+    pub(super) fn rewrite(&mut self, now: Nanos, all_records: impl Iterator<Item = Record>) {
+        match self.journal.rewrite(all_records) {
             Ok(()) => {
-                log::debug!("journal written anew");
-                self.anew = None;
+                log::debug!("journal rewritten");
+                self.rewrite_retry_at = None;
             }
-            Err(fault) => {
-                if self.anew.replace(now + PAUSE_MOST).is_none() {
-                    log::error!("journal not written anew, the old one goes on: {fault}");
+            Err(error) => {
+                let failed_before = self.rewrite_retry_at.is_some();
+                self.rewrite_retry_at = Some(now + MAX_BACKOFF_S);
+                if !failed_before {
+                    log::error!("journal not rewritten, the old one goes on: {error}");
                 }
             }
         }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,9 +1,11 @@
-//! Request contexts, attempts, outcomes and deadlines. Drives the decision module with all that happened in a
-//! moment, keeps the journal in step, and says what is to be done. It knows no wire.
+//! Pending messages, attempts, completions and deadlines, without I/O. Drives the decision module with all that happened
+//! in a step, keeps the journal ahead of what is done, and returns what is to be done. Knows no wire.
 //!
-//! By concern: `door` what is handed in, `attempts` what is out, `ends` what is over, `group` whom there is to call,
-//! `restart` what the journal says at a start, `ledger` what must be written first, `hand` whom operators took out,
-//! `elder` a journal that changes hands.
+//! By concern: `admission` requests and their answers, `pending` the table of messages, `attempts` and `in_flight` what is
+//! sent, `ordering` attempts that wait behind their ordering key, `completions` what is over, `endpoints` the endpoint
+//! registry, `suspensions` what operators change in it, `journal_writer` what must be written first, `restart` what the
+//! journal says at a start, `takeover` a journal that goes from one process to the next.
+#![warn(missing_docs)]
 mod admission;
 mod attempts;
 mod completions;
@@ -11,6 +13,7 @@
 mod in_flight;
 mod journal_writer;
 mod messages;
+mod ordering;
 mod pending;
 mod restart;
 mod suspensions;
@@ -28,12 +31,15 @@
 use crate::metrics::Metrics;
 use crate::plugins::Plugins;
 use crate::settings::Site;
-use in_flight::Busy;
-use journal_writer::Ledger;
-use pending::{records, Held};
-use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
+use endpoints::EndpointRegistry;
+use journal_writer::JournalWriter;
+use ordering::OrderingKeys;
+use pending::PendingMessages;
 use std::sync::Arc;
-use takeover::Elders;
+use takeover::PredecessorCalls;
+
+/// Nanoseconds in a millisecond, the unit in which a completion tells a wait.
+const NANOS_PER_MILLI: u64 = 1_000_000;
 
 /// What a core needs to start.
 pub struct CoreOptions {
@@ -67,50 +73,34 @@
 /// Pending messages, their attempts and their completions: drives the decision module and the journal.
 pub struct Core {
     settings: Settings,
+    site: Arc<Site>,
     balancer: Balancer,
-    ledger: Ledger,
     plugins: Plugins,
-    site: Arc<Site>,
-    held: BTreeMap<MessageId, Held>,
-    /// How many of them are not over.
-    open: usize,
-    /// Keys of those that are over and whose notice is not answered, and how many each has.
-    unheard: HashMap<u64, usize>,
-    names: HashMap<String, MessageId>,
-    ended: DeduplicationCache,
-    /// Attempts that go out at the end of this moment, unless their key is not free.
-    held_back: BTreeSet<MessageId>,
-    /// Attempts that wait for an earlier message's notice, by its key; looked at when the key is free, not before.
-    parked: HashMap<u64, Vec<MessageId>>,
-    busy: Busy,
-    hosts: BTreeMap<EndpointId, Endpoint>,
-    /// Gone from the upstream group, and still with an attempt out.
-    leaving: BTreeSet<EndpointId>,
-    next_host: u32,
-    /// Members that discovery does not list.
-    standing: Vec<Endpoint>,
-    uids: HashMap<String, EndpointId>,
-    /// Endpoints that operators took out, until they call them back.
-    suspended: BTreeSet<String>,
-    /// Endpoints that are listed no more, the oldest first: an operator's call for one is no slip.
-    retired: VecDeque<String>,
-    dests: BTreeSet<u64>,
-    /// Bytes that the journal must keep for what is owed.
-    weight: u64,
-    next: u64,
-    wake: Option<Nanos>,
-    events: Vec<Event>,
-    orders: Vec<Output>,
+    metrics: Arc<Metrics>,
+    journal: JournalWriter,
+    pending: PendingMessages,
+    ordering: OrderingKeys,
+    deduplication: DeduplicationCache,
+    endpoints: EndpointRegistry,
+    predecessor_calls: PredecessorCalls,
+    /// The number of the next message.
+    next_id: u64,
+    /// Time of the present step.
     now: Nanos,
-    resting: bool,
+    /// When the module is to be called at the latest.
+    wake_at: Option<Nanos>,
+    /// What the module is told next.
+    events: Vec<Event>,
+    /// What the present step returns.
+    outputs: Vec<Output>,
+    /// No new attempt starts, and the module is not called any more.
+    draining: bool,
     /// The module has been told that no attempt can start.
     paused: bool,
-    /// When the next line on a full journal may be logged.
-    room_log: Nanos,
-    metrics: Arc<Metrics>,
-    elders: Elders,
-    /// When the endpoints are counted next; never where nobody is shown the metrics.
-    count_at: Option<Nanos>,
+    /// When the next warning of a journal without capacity may be logged.
+    capacity_warning_at: Nanos,
+    /// When the endpoints are counted next; none while nobody is shown the metrics.
+    endpoint_count_at: Option<Nanos>,
 }
 
 impl Core {
@@ -119,174 +109,197 @@
         let CoreOptions { site, seed, static_endpoints, plugins, journal, records, predecessor, now } =
             options;
         let settings = site.module.clone();
-        let metrics = Arc::new(Metrics::new(&site.classes));
         let mut core = Core {
             balancer: Balancer::new(settings.clone(), seed),
             settings,
-            ledger: Ledger::new(journal),
             plugins,
+            metrics: Arc::new(Metrics::new(&site.classes)),
             site,
-            held: BTreeMap::new(),
-            open: 0,
-            unheard: HashMap::new(),
-            names: HashMap::new(),
-            ended: DeduplicationCache::default(),
-            held_back: BTreeSet::new(),
-            parked: HashMap::new(),
-            busy: Busy::default(),
-            hosts: BTreeMap::new(),
-            leaving: BTreeSet::new(),
-            next_host: 0,
-            standing: static_endpoints,
-            uids: HashMap::new(),
-            suspended: BTreeSet::new(),
-            retired: VecDeque::new(),
-            dests: BTreeSet::new(),
-            weight: 0,
-            next: 1,
-            wake: None,
-            events: Vec::new(),
-            orders: Vec::new(),
+            journal: JournalWriter::new(journal),
+            pending: PendingMessages::default(),
+            ordering: OrderingKeys::default(),
+            deduplication: DeduplicationCache::default(),
+            endpoints: EndpointRegistry::new(static_endpoints),
+            predecessor_calls: PredecessorCalls::default(),
+            next_id: 1,
             now,
-            resting: false,
+            wake_at: None,
+            events: Vec::new(),
+            outputs: Vec::new(),
+            draining: false,
             paused: false,
-            room_log: Nanos(0),
-            metrics,
-            elders: Elders::default(),
-            count_at: None,
+            capacity_warning_at: Nanos(0),
+            endpoint_count_at: None,
         };
-        records.into_iter().for_each(|r| core.replay(r));
+        for record in records {
+            core.replay(record);
+        }
         core.resume(predecessor);
         core
     }
 
-    /// The number for the next message that is handed in.
+    /// Takes the number for the next message that is submitted.
     pub fn next_id(&mut self) -> MessageId {
-        self.next += 1;
-        MessageId(self.next - 1)
+        let id = MessageId(self.next_id);
+        self.next_id += 1;
+        id
     }
 
-    /// The shortest time between two moments, as the settings have it.
+    /// The shortest time between two steps, from the settings.
     pub fn tick(&self) -> Nanos {
         self.settings.tick
     }
 
-    /// When `moment` is to be called at the latest.
+    /// When [`step`](Core::step) is to be called at the latest; none where nothing is due.
     pub fn next_wake(&self) -> Option<Nanos> {
-        self.wake.filter(|_| !self.resting).into_iter().chain(self.ledger.next_wake()).min()
+        let module = self.wake_at.filter(|_| !self.draining);
+        module.into_iter().chain(self.journal.next_wake()).min()
     }
 
-    /// Attempts that are out.
+    /// Attempts that have not ended.
     pub fn attempts_in_flight(&self) -> usize {
-        self.busy.all()
+        self.pending.in_flight().total()
     }
 
-    /// From now on no new attempt starts; what is handed in is kept for the next process.
+    /// From now on no new attempt starts; what is submitted is kept for the next process.
     pub fn start_draining(&mut self) {
-        self.resting = true;
+        self.draining = true;
     }
 
-    // ---- A moment.
-
-    /// Takes in all that happened, lets the module decide once, and says what is to be done.
+    /// Takes in all that happened, lets the module decide once, and returns what is to be done, in order.
     pub fn step(&mut self, now: Nanos, inputs: Vec<Input>) -> Vec<Output> {
         self.now = now;
         self.retry_journal();
-        let mut handed = Vec::new();
+        let mut submitted = Vec::new();
         for input in inputs {
-            match input {
-                Input::Endpoints { complete, endpoints } => self.group(complete, endpoints),
-                Input::Submitted { id, context } => handed.extend(self.handed(id, context)),
-                Input::Withdrawn(id) => self.withdrawn(id),
-                Input::AttemptEnded { id, attempt, outcome, over, report } => {
-                    self.attempt_ended(id, attempt, outcome, over, report)
-                }
-                Input::CallbackAcknowledged(id) => {
-                    self.ledger.keep(now, Record::CallbackAcknowledged { id: id.0 }, None);
-                    self.heard(id);
-                }
-                Input::RetryAfter { host, dest, wait } => {
-                    log::debug!(dest = dest.0, wait_s = wait.secs(); "told to wait");
-                    self.events.push(Event::RetryAfter { host, dest, wait });
-                }
-                Input::PeerObservations(sightings) => self.hearsay(sightings),
-                Input::PredecessorRecords(records) => self.elder_said(records),
-                Input::PredecessorExited => self.elder_gone(),
+            submitted.extend(self.take_in(input));
+        }
+        // The journal may have failed since the last step, when an attempt was about to start.
+        self.pause_if_journal_unavailable();
+        self.advance_predecessor_calls();
+        let actions = self.decide();
+        self.answer_submitted(&submitted, &actions);
+        for action in actions {
+            self.carry_out(action);
+        }
+        self.start_deferred_attempts();
+        self.retire_endpoints();
+        if self.journal.needs_rewrite(now, 0) {
+            self.rewrite_journal();
+        }
+        self.pause_if_journal_unavailable();
+        self.update_metrics();
+        std::mem::take(&mut self.outputs)
+    }
+
+    /// Takes in one input. Returns the id of a message that the module decides on in this step.
+    fn take_in(&mut self, input: Input) -> Option<MessageId> {
+        match input {
+            Input::Submitted { id, context } => return self.submitted(id, context),
+            Input::Endpoints { complete, endpoints } => self.update_endpoints(complete, endpoints),
+            Input::Withdrawn(id) => self.withdraw(id),
+            Input::AttemptEnded { id, attempt, outcome, over, report } => {
+                self.attempt_ended(id, attempt, outcome, over, report);
+            }
+            Input::CallbackAcknowledged(id) => {
+                let record = Record::CallbackAcknowledged { id: id.0 };
+                self.journal.append_or_defer(self.now, record, None);
+                self.acknowledge_callback(id);
             }
+            Input::RetryAfter { host, dest, wait } => {
+                log::debug!(dest = dest.0, wait_s = wait.secs(); "Retry-After received");
+                self.events.push(Event::RetryAfter { host, dest, wait });
+            }
+            Input::PeerObservations(observations) => self.peer_observations(observations),
+            Input::PredecessorRecords(records) => self.predecessor_records(records),
+            Input::PredecessorExited => self.predecessor_exited(),
         }
-        // The journal may have failed since the last moment, when an attempt was about to start.
-        self.pause();
-        self.look_after_elders();
+        None
+    }
+
+    /// Lets the module decide on all events so far; nothing while draining.
+    fn decide(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
-        if !self.resting {
-            if self.wake.is_some_and(|w| w <= now) {
-                self.wake = None;
-                self.events.push(Event::Due);
+        if self.draining {
+            return actions;
+        }
+        if self.wake_at.is_some_and(|at| at <= self.now) {
+            self.wake_at = None;
+            self.events.push(Event::Due);
+        }
+        let events = std::mem::take(&mut self.events);
+        self.balancer.handle(self.now, &events, &mut actions);
+        actions
+    }
+
+    fn carry_out(&mut self, action: Action) {
+        match action {
+            Action::Send { id, host, timeout } => self.defer_attempt(id, host, timeout),
+            Action::Cancel { id, attempt } => self.outputs.push(Output::CancelAttempt { id, attempt }),
+            Action::Reject { id, after } => {
+                let after_ms = after.map(|a| a.0 / NANOS_PER_MILLI);
+                self.complete(id, Completion::Deferred(after_ms));
             }
-            let events = std::mem::take(&mut self.events);
-            self.balancer.handle(now, &events, &mut actions);
+            Action::Fail(id) => self.complete(id, Completion::Undeliverable),
+            Action::WakeAt(at) => self.wake_by(at),
+            Action::CloseIdle(host) => self.outputs.push(Output::CloseIdle(host)),
+            // The watch on the endpoint list renews itself.
+            Action::WatchEndpointList => {}
+            Action::Log { text, host } => self.log_of_module(text, host),
         }
-        self.answer(&handed, &actions);
-        actions.into_iter().for_each(|a| self.carry_out(a));
-        self.release_held_back();
-        self.retire();
-        if self.ledger.is_full(now, 0) {
-            self.write_anew();
+    }
+
+    fn log_of_module(&self, text: &str, host: Option<EndpointId>) {
+        match host.and_then(|host| self.endpoints.get(host)) {
+            Some(endpoint) => log::info!(host = endpoint.uid, dest = endpoint.dest; "{text}"),
+            None => log::info!("{text}"),
         }
-        self.pause();
-        self.count();
-        std::mem::take(&mut self.orders)
     }
 
-    /// Where the journal could not be written, sees whether it can be again.
+    /// Wakes at this time, or earlier where that is due already.
+    fn wake_by(&mut self, at: Nanos) {
+        self.wake_at = Some(self.wake_at.map_or(at, |due| due.min(at)));
+    }
+
+    /// Where the journal could not be written, tries whether it can be again.
     fn retry_journal(&mut self) {
         let now = self.now;
-        let (held, ended, out) = (&self.held, &self.ended, &self.suspended);
-        if let Some(done) = self.ledger.retry(now, || records(held, ended, out, now)) {
-            self.orders.extend(done);
-            if !self.ledger.stuck() {
-                self.paused = false;
-                self.events.push(Event::Paused(false));
-                self.wake = Some(now);
-            }
+        let (pending, deduplication) = (&self.pending, &self.deduplication);
+        let endpoints = &self.endpoints;
+        let all_records = || journal_records(pending, deduplication, endpoints, now);
+        let Some(outputs) = self.journal.retry(now, all_records) else { return };
+        self.outputs.extend(outputs);
+        if !self.journal.is_unavailable() {
+            self.paused = false;
+            self.events.push(Event::Paused(false));
+            self.wake_at = Some(now);
         }
     }
 
-    /// Tells the module that no attempt can start. Without this it would decide on the attempts of all that it holds again
-    /// and again while a disk fails.
-    fn pause(&mut self) {
-        if self.ledger.stuck() && !self.paused {
+    /// Tells the module that no attempt can start. Without this it would decide on attempts of all its messages again and
+    /// again while a disk fails.
+    fn pause_if_journal_unavailable(&mut self) {
+        if self.journal.is_unavailable() && !self.paused {
             self.paused = true;
             self.events.push(Event::Paused(true));
-            self.wake = Some(self.now);
+            self.wake_at = Some(self.now);
         }
     }
 
-    fn write_anew(&mut self) {
+    fn rewrite_journal(&mut self) {
         let now = self.now;
-        self.ended.forget(now);
-        self.ledger.rewrite(now, records(&self.held, &self.ended, &self.suspended, now));
+        self.deduplication.expire(now);
+        let records = journal_records(&self.pending, &self.deduplication, &self.endpoints, now);
+        self.journal.rewrite(now, records);
     }
+}
 
-    fn carry_out(&mut self, action: Action) {
-        match action {
-            Action::Send { id, host, timeout } => self.send(id, host, timeout),
-            Action::Cancel { id, attempt } => self.orders.push(Output::CancelAttempt { id, attempt }),
-            Action::Reject { id, after } => {
-                self.end(id, Completion::Deferred(after.map(|a| a.0 / 1_000_000)))
-            }
-            Action::Fail(id) => self.end(id, Completion::Undeliverable),
-            Action::WakeAt(at) => self.wake = Some(self.wake.map_or(at, |w| w.min(at))),
-            Action::CloseIdle(host) => self.orders.push(Output::CloseIdle(host)),
-            // The watch on the upstream group renews itself.
-            Action::WatchEndpointList => {}
-            Action::Log { text, host } => {
-                let member = host.and_then(|h| self.hosts.get(&h));
-                match member {
-                    Some(m) => log::info!(host = m.uid, dest = m.dest; "{text}"),
-                    None => log::info!("{text}"),
-                }
-            }
-        }
-    }
+/// All that the journal must hold, in the fewest records.
+fn journal_records<'a>(
+    pending: &'a PendingMessages, deduplication: &'a DeduplicationCache, endpoints: &'a EndpointRegistry,
+    now: Nanos,
+) -> impl Iterator<Item = Record> + 'a {
+    let suspended = endpoints.suspended().iter();
+    let suspensions = suspended.map(|uid| Record::Suspended { uid: uid.clone(), out: true });
+    suspensions.chain(deduplication.records()).chain(pending.records(now))
 }
--- a/src/core/pending.rs
+++ b/src/core/pending.rs
@@ -1,120 +1,275 @@
-//! One held message: its attempts, what may have run, its end, and the records that the journal needs of it.
+//! Pending messages: each with its attempts, what may have run, its completion, and the records that the journal needs
+//! of it. The table keeps its counts and its index by name in step with the messages.
+use super::in_flight::{InFlight, InFlightCounts, Stage};
 use super::messages::Callback;
-use crate::deduplication::DeduplicationCache;
-use crate::interface::{DestinationId, EndpointId, Message, MessageId, Nanos};
+use crate::interface::{DestinationId, Message, MessageId, Nanos};
 use crate::journal::{AcceptedMessage, Completion, Journal, Record};
 use crate::request::RequestContext;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// How far an attempt has come.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum Stage {
-    /// Waits for an earlier message's notice, or for this moment to end; not on its way yet.
-    HeldBack,
-    /// Waits for its connection: no byte has gone out, and the journal does not know of it.
-    Connecting,
-    /// Its first byte may have gone out.
-    Sent,
-}
-
-pub(super) struct Out {
-    pub(super) attempt: u32,
-    pub(super) started: Nanos,
-    pub(super) zone: usize,
-    pub(super) stage: Stage,
-    pub(super) host: EndpointId,
-    pub(super) timeout: Nanos,
-}
-
-pub(super) struct Held {
+/// A message that is not complete, or whose attempt or callback is not over.
+pub(super) struct PendingMessage {
     pub(super) context: Arc<RequestContext>,
+    /// Attempts so far, with the one in flight.
     pub(super) attempts: u32,
-    pub(super) out: Option<Out>,
+    in_flight: Option<InFlight>,
     /// When, and in which zone, the first attempt started that may have run.
     pub(super) first_possible_run: Option<(Nanos, usize)>,
-    /// Set once the message is over; it is kept for its attempt and its notice.
-    pub(super) end: Option<Completion>,
-    pub(super) heard: bool,
-    /// The journal knows of it.
-    pub(super) logged: bool,
-    pub(super) weight: u64,
+    /// Set once; the message then remains for its attempt and its callback.
+    completion: Option<Completion>,
+    callback_acknowledged: bool,
+    /// Whether the journal has it.
+    pub(super) in_journal: bool,
+    /// Bytes that the journal reserves for it.
+    journal_bytes: u64,
 }
 
-impl Held {
+impl PendingMessage {
+    pub(super) fn in_flight(&self) -> Option<&InFlight> {
+        self.in_flight.as_ref()
+    }
+
+    /// The attempt in flight with this number; none once it has ended.
+    pub(super) fn attempt_mut(&mut self, attempt: u32) -> Option<&mut InFlight> {
+        self.in_flight.as_mut().filter(|a| a.attempt == attempt)
+    }
+
+    /// The attempt that has not been handed to the transport.
+    pub(super) fn deferred_attempt_mut(&mut self) -> Option<&mut InFlight> {
+        self.in_flight.as_mut().filter(|a| a.stage == Stage::Deferred)
+    }
+
+    pub(super) fn completion(&self) -> Option<Completion> {
+        self.completion
+    }
+
+    pub(super) fn is_open(&self) -> bool {
+        self.completion.is_none()
+    }
+
+    /// Whether the message is complete and nobody is to be notified of it any more.
+    pub(super) fn is_settled(&self) -> bool {
+        let Some(completion) = self.completion else { return false };
+        self.callback_acknowledged || !needs_callback(&self.context, completion)
+    }
+
+    /// The message as the decision module knows it.
     pub(super) fn message(&self, id: MessageId) -> Message {
-        let c = &self.context;
+        let context = &self.context;
         Message {
             id,
-            class: c.class,
-            tenant: c.tenant,
-            key: c.ordering_key,
-            dest: DestinationId(c.dest),
-            deadline: c.deadline,
+            class: context.class,
+            tenant: context.tenant,
+            key: context.ordering_key,
+            dest: DestinationId(context.dest),
+            deadline: context.deadline,
         }
     }
 
-    pub(super) fn notice(&self, id: MessageId, end: Completion) -> Callback {
-        Callback { id, name: self.context.name.clone(), origin: self.context.origin.clone(), completion: end }
+    /// What its client is to be notified of, if anything.
+    pub(super) fn callback(&self, id: MessageId, completion: Completion) -> Option<Callback> {
+        needs_callback(&self.context, completion).then(|| Callback {
+            id,
+            name: self.context.name.clone(),
+            origin: self.context.origin.clone(),
+            completion,
+        })
     }
 
-    pub(super) fn taken(&self, id: MessageId) -> AcceptedMessage {
-        let c = &self.context;
+    /// What the journal keeps of it.
+    pub(super) fn accepted(&self, id: MessageId) -> AcceptedMessage {
+        let context = &self.context;
         AcceptedMessage {
             id: id.0,
-            name: c.name.clone(),
-            origin: c.origin.clone(),
-            class: c.class as u32,
-            tenant: c.tenant as u32,
-            key: c.ordering_key,
-            dest: c.dest,
-            deadline: c.deadline.0,
-            repeat_key: c.idempotency_key.clone(),
-            body: c.body.clone(),
+            name: context.name.clone(),
+            origin: context.origin.clone(),
+            class: context.class as u32,
+            tenant: context.tenant as u32,
+            key: context.ordering_key,
+            dest: context.dest,
+            deadline: context.deadline.0,
+            repeat_key: context.idempotency_key.clone(),
+            body: context.body.clone(),
         }
     }
 
-    /// All that the journal must say of it, in the fewest records.
-    pub(super) fn records(&self, id: MessageId, now: Nanos) -> Vec<Record> {
-        let mut records = vec![Record::Accepted(self.taken(id))];
-        if let Some(end) = self.end {
+    /// All that the journal must hold of it, in the fewest records.
+    fn records(&self, id: MessageId, now: Nanos) -> Vec<Record> {
+        let mut records = vec![Record::Accepted(self.accepted(id))];
+        if let Some(end) = self.completion {
             records.push(Record::Completed { id: id.0, at: now.0, end });
-            records.extend(self.heard.then_some(Record::CallbackAcknowledged { id: id.0 }));
+            if self.callback_acknowledged {
+                records.push(Record::CallbackAcknowledged { id: id.0 });
+            }
             return records;
         }
-        let done = self.attempts - u32::from(self.out.is_some());
-        if done > 0 {
+        let ended_attempts = self.attempts - u32::from(self.in_flight.is_some());
+        if ended_attempts > 0 {
             let (at, zone) = self.first_possible_run.map_or((0, 0), |(at, zone)| (at.0, zone as u32));
-            records.push(Record::AttemptStarted { id: id.0, at, zone, before: done - 1 });
-            records.push(Record::AttemptEnded { id: id.0, may_have_run: self.first_possible_run.is_some() });
+            records.push(Record::AttemptStarted { id: id.0, at, zone, before: ended_attempts - 1 });
+            let may_have_run = self.first_possible_run.is_some();
+            records.push(Record::AttemptEnded { id: id.0, may_have_run });
+        }
+        if let Some(sent) = self.in_flight.as_ref().filter(|a| a.stage == Stage::Sent) {
+            let (at, zone) = (sent.started.0, sent.zone as u32);
+            records.push(Record::AttemptStarted { id: id.0, at, zone, before: 0 });
         }
-        let out = self.out.as_ref().filter(|o| o.stage == Stage::Sent);
-        records.extend(out.map(|o| {
-            let (at, zone) = (o.started.0, o.zone as u32);
-            Record::AttemptStarted { id: id.0, at, zone, before: 0 }
-        }));
         records
     }
 }
 
-/// All that the journal must say, in the fewest records.
-pub(super) fn records<'a>(
-    held: &'a BTreeMap<MessageId, Held>, ended: &'a DeduplicationCache, suspended: &'a BTreeSet<String>,
-    now: Nanos,
-) -> impl Iterator<Item = Record> + 'a {
-    let known = held.iter().filter(|(_, h)| h.logged);
-    let out = suspended.iter().map(|uid| Record::Suspended { uid: uid.clone(), out: true });
-    out.chain(ended.records()).chain(known.flat_map(move |(id, h)| h.records(*id, now)))
+/// All pending messages. Only its methods change what its counts are about, so that these agree with the messages.
+#[derive(Default)]
+pub(super) struct PendingMessages {
+    messages: BTreeMap<MessageId, PendingMessage>,
+    by_name: HashMap<String, MessageId>,
+    /// Messages that are not complete.
+    open: usize,
+    /// Bytes that the journal reserves for all of them.
+    journal_bytes: u64,
+    in_flight: InFlightCounts,
+}
+
+impl PendingMessages {
+    pub(super) fn get(&self, id: MessageId) -> Option<&PendingMessage> {
+        self.messages.get(&id)
+    }
+
+    pub(super) fn get_mut(&mut self, id: MessageId) -> Option<&mut PendingMessage> {
+        self.messages.get_mut(&id)
+    }
+
+    /// The message, if it is not complete.
+    pub(super) fn get_open(&self, id: MessageId) -> Option<&PendingMessage> {
+        self.get(id).filter(|m| m.is_open())
+    }
+
+    pub(super) fn by_name(&self, name: &str) -> Option<&PendingMessage> {
+        self.get(*self.by_name.get(name)?)
+    }
+
+    /// In the order of their ids.
+    pub(super) fn iter(&self) -> impl Iterator<Item = (MessageId, &PendingMessage)> {
+        self.messages.iter().map(|(id, message)| (*id, message))
+    }
+
+    pub(super) fn len(&self) -> usize {
+        self.messages.len()
+    }
+
+    pub(super) fn is_empty(&self) -> bool {
+        self.messages.is_empty()
+    }
+
+    /// Messages that are not complete.
+    pub(super) fn open(&self) -> usize {
+        self.open
+    }
+
+    /// Bytes that the journal reserves for all of them.
+    pub(super) fn journal_bytes(&self) -> u64 {
+        self.journal_bytes
+    }
+
+    pub(super) fn in_flight(&self) -> &InFlightCounts {
+        &self.in_flight
+    }
+
+    pub(super) fn insert(&mut self, id: MessageId, context: RequestContext) {
+        let journal_bytes = journal_bytes(&context);
+        self.journal_bytes += journal_bytes;
+        self.open += 1;
+        self.by_name.insert(context.name.clone(), id);
+        let message = PendingMessage {
+            context: Arc::new(context),
+            attempts: 0,
+            in_flight: None,
+            first_possible_run: None,
+            completion: None,
+            callback_acknowledged: false,
+            in_journal: false,
+            journal_bytes,
+        };
+        self.messages.insert(id, message);
+    }
+
+    /// The message has this attempt in flight, and no other.
+    pub(super) fn set_in_flight(&mut self, id: MessageId, attempt: InFlight) {
+        let Some(message) = self.messages.get_mut(&id) else { return };
+        self.in_flight.add(attempt.host);
+        if let Some(previous) = message.in_flight.replace(attempt) {
+            self.in_flight.remove(previous.host);
+        }
+    }
+
+    /// The message has no attempt in flight any more. Returns the one that it had.
+    pub(super) fn take_in_flight(&mut self, id: MessageId) -> Option<InFlight> {
+        let attempt = self.messages.get_mut(&id)?.in_flight.take()?;
+        self.in_flight.remove(attempt.host);
+        Some(attempt)
+    }
+
+    /// The message's attempt has ended. Where it may have run, remembers the first such attempt.
+    pub(super) fn end_attempt(&mut self, id: MessageId, may_have_run: bool) {
+        let Some(attempt) = self.take_in_flight(id) else { return };
+        if !may_have_run || attempt.stage != Stage::Sent {
+            return;
+        }
+        if let Some(message) = self.messages.get_mut(&id) {
+            message.first_possible_run.get_or_insert((attempt.started, attempt.zone));
+        }
+    }
+
+    /// The message is complete. The caller sees to it that it was open.
+    pub(super) fn set_complete(&mut self, id: MessageId, completion: Completion) {
+        let Some(message) = self.messages.get_mut(&id) else { return };
+        message.completion = Some(completion);
+        self.open -= 1;
+    }
+
+    /// The callback of the message is acknowledged. Returns the message if it was complete and this is news.
+    pub(super) fn acknowledge_callback(&mut self, id: MessageId) -> Option<&PendingMessage> {
+        let message = self.messages.get_mut(&id)?;
+        if message.is_open() || message.callback_acknowledged {
+            return None;
+        }
+        message.callback_acknowledged = true;
+        Some(message)
+    }
+
+    /// Removes a message with all that is counted of it. Returns its ordering key if the message still blocks that key.
+    pub(super) fn remove(&mut self, id: MessageId) -> Option<u64> {
+        self.take_in_flight(id);
+        let message = self.messages.remove(&id)?;
+        self.journal_bytes -= message.journal_bytes;
+        if message.is_open() {
+            self.open -= 1;
+        }
+        if self.by_name.get(&message.context.name) == Some(&id) {
+            self.by_name.remove(&message.context.name);
+        }
+        if message.is_open() || message.callback_acknowledged {
+            return None;
+        }
+        message.context.ordering_key
+    }
+
+    /// All that the journal must hold of the messages that it has, in the fewest records.
+    pub(super) fn records(&self, now: Nanos) -> impl Iterator<Item = Record> + '_ {
+        let in_journal = self.messages.iter().filter(|(_, message)| message.in_journal);
+        in_journal.flat_map(move |(id, message)| message.records(*id, now))
+    }
 }
 
-/// Bytes that the journal must keep for a message.
-pub(super) fn weigh(c: &RequestContext) -> u64 {
-    Journal::weight(&c.name, &c.origin, &c.idempotency_key, c.body.len())
+/// Bytes that the journal reserves for a message.
+pub(super) fn journal_bytes(context: &RequestContext) -> u64 {
+    Journal::weight(&context.name, &context.origin, &context.idempotency_key, context.body.len())
 }
 
-/// Whether somebody is still to be told of this end.
-pub(super) fn owes_word(context: &RequestContext, end: Completion) -> bool {
-    match end {
+/// Whether somebody is to be notified of this completion.
+fn needs_callback(context: &RequestContext, completion: Completion) -> bool {
+    match completion {
         Completion::Withdrawn => false,
         Completion::Delivered => !context.origin.is_empty(),
         Completion::Undeliverable | Completion::Deferred(_) => true,
--- a/src/core/restart.rs
+++ b/src/core/restart.rs
@@ -1,95 +1,111 @@
-//! What the journal says at a start: messages that are still owed, and attempts that may have run.
+//! A start: what the journal says is pending, which attempts may have run, and what is still to be reported.
+use super::in_flight::{InFlight, Stage};
 use super::messages::Output;
-use super::pending::{owes_word, Out, Stage};
 use super::{Core, Predecessor};
 use crate::interface::{EndpointId, MessageId, Nanos};
-use crate::journal::Record;
+use crate::journal::{AcceptedMessage, Completion, Record};
 use crate::request::RequestContext;
 
 impl Core {
+    /// Takes in one record of the journal, in their order.
     pub(super) fn replay(&mut self, record: Record) {
         match record {
-            Record::Accepted(t) => {
-                let id = MessageId(t.id);
-                self.next = self.next.max(t.id + 1);
-                let context = RequestContext {
-                    name: t.name,
-                    origin: t.origin,
-                    class: t.class as usize,
-                    tenant: t.tenant as usize,
-                    ordering_key: t.key,
-                    dest: t.dest,
-                    deadline: Nanos(t.deadline),
-                    idempotency_key: t.repeat_key,
-                    body: t.body,
-                    tags: Vec::new(),
-                };
-                self.keep(id, context);
-                if let Some(h) = self.held.get_mut(&id) {
-                    h.logged = true;
-                }
-            }
+            Record::Accepted(message) => self.replay_accepted(message),
             Record::AttemptStarted { id, at, zone, before } => {
-                if let Some(h) = self.held.get_mut(&MessageId(id)) {
-                    h.attempts += before;
-                    let (started, zone) = (Nanos(at), zone as usize);
-                    let (host, timeout) = (EndpointId(0), Nanos(0));
-                    let out = Out { attempt: h.attempts, started, zone, stage: Stage::Sent, host, timeout };
-                    h.attempts += 1;
-                    self.put_out(MessageId(id), out);
-                }
+                self.replay_attempt_started(MessageId(id), Nanos(at), zone as usize, before);
             }
             Record::AttemptEnded { id, may_have_run } => {
-                self.ran(MessageId(id), may_have_run);
-            }
-            Record::Completed { id, at, end } => {
-                if let Some(h) = self.held.get_mut(&MessageId(id)).filter(|h| h.end.is_none()) {
-                    let (context, at) = (h.context.clone(), Nanos(at));
-                    self.take_out(MessageId(id));
-                    self.close(MessageId(id), end);
-                    self.remember(&context, at, end);
-                    self.drop_if_done(MessageId(id));
-                }
+                self.pending.end_attempt(MessageId(id), may_have_run);
             }
-            Record::CallbackAcknowledged { id } => self.heard(MessageId(id)),
-            // These stand in `late` alone.
+            Record::Completed { id, at, end } => self.replay_completed(MessageId(id), Nanos(at), end),
+            Record::CallbackAcknowledged { id } => self.acknowledge_callback(MessageId(id)),
+            // These are in the file of a takeover, never in the journal.
             Record::LateOutcome { .. } | Record::Observed { .. } => {}
-            Record::Suspended { uid, out } => self.suspend(uid, out),
+            Record::Suspended { uid, out } => self.endpoints.set_suspended(uid, out),
             Record::Deduplicated { name, repeat_key, until, delivered } => {
-                self.ended.add(name, repeat_key, Nanos(until), delivered)
+                self.deduplication.insert(name, repeat_key, Nanos(until), delivered);
             }
         }
     }
 
-    pub(super) fn resume(&mut self, predecessor: Predecessor) {
-        let elder = predecessor == Predecessor::MayHaveCalls;
-        let out: Vec<MessageId> =
-            self.held.iter().filter(|(_, h)| h.out.is_some()).map(|(id, _)| *id).collect();
-        if elder {
-            self.leave_to_elder(&out);
+    fn replay_accepted(&mut self, message: AcceptedMessage) {
+        let id = MessageId(message.id);
+        self.next_id = self.next_id.max(message.id + 1);
+        let context = RequestContext {
+            name: message.name,
+            origin: message.origin,
+            class: message.class as usize,
+            tenant: message.tenant as usize,
+            ordering_key: message.key,
+            dest: message.dest,
+            deadline: Nanos(message.deadline),
+            idempotency_key: message.repeat_key,
+            body: message.body,
+            tags: Vec::new(),
+        };
+        self.pending.insert(id, context);
+        if let Some(message) = self.pending.get_mut(id) {
+            message.in_journal = true;
         }
-        for id in out.into_iter().filter(|_| !elder) {
-            // Guards "no double effect" across restarts: an attempt that was out may have run.
-            self.ran(id, true);
+    }
+
+    fn replay_attempt_started(&mut self, id: MessageId, started: Nanos, zone: usize, before: u32) {
+        let Some(message) = self.pending.get_mut(id) else { return };
+        message.attempts += before;
+        let attempt = message.attempts;
+        message.attempts += 1;
+        // The journal does not say where the attempt went, nor for how long.
+        let (host, timeout) = (EndpointId(0), Nanos(0));
+        let stage = Stage::Sent;
+        self.pending.set_in_flight(id, InFlight { attempt, started, zone, stage, host, timeout });
+    }
+
+    fn replay_completed(&mut self, id: MessageId, at: Nanos, completion: Completion) {
+        let Some(message) = self.pending.get_open(id) else { return };
+        let context = message.context.clone();
+        self.pending.take_in_flight(id);
+        self.set_complete(id, completion);
+        self.remember(&context, at, completion);
+        self.remove_if_done(id);
+    }
+
+    /// Resumes what is pending once all records are replayed.
+    pub(super) fn resume(&mut self, predecessor: Predecessor) {
+        let with_attempt = self.pending.iter().filter(|(_, m)| m.in_flight().is_some());
+        let in_flight: Vec<MessageId> = with_attempt.map(|(id, _)| id).collect();
+        match predecessor {
+            Predecessor::MayHaveCalls => self.leave_to_predecessor(&in_flight),
+            Predecessor::None => {
+                for id in in_flight {
+                    // Guards "no double effect" across restarts: an attempt that was in flight may have run.
+                    self.pending.end_attempt(id, true);
+                }
+            }
         }
-        let now = self.now;
-        self.ended.forget(now);
-        let all: Vec<MessageId> = self.held.keys().copied().collect();
+        self.deduplication.expire(self.now);
+        let all: Vec<MessageId> = self.pending.iter().map(|(id, _)| id).collect();
         for id in all {
-            let h = &self.held[&id];
-            if let Some(end) = h.end {
-                self.orders.extend(owes_word(&h.context, end).then(|| Output::Callback(h.notice(id, end))));
-            } else if h.out.is_none() && !self.stands_behind(id) {
-                self.tell_module(id);
-            }
+            self.resume_pending(id);
+        }
+        if predecessor == Predecessor::MayHaveCalls {
+            // Guards the journal against the predecessor: what it may still append goes to a file that is gone.
+            self.rewrite_journal();
+        }
+        if !self.pending.is_empty() {
+            log::info!(messages = self.pending.len(); "resumed from the journal");
+            self.wake_at = Some(self.now);
         }
-        if elder {
-            // Guards the log against whoever wrote it before: what that one may still add goes to a file that is gone.
-            self.write_anew();
+    }
+
+    /// Reports a complete message again, or gives an open one to the module.
+    fn resume_pending(&mut self, id: MessageId) {
+        let Some(message) = self.pending.get(id) else { return };
+        if let Some(completion) = message.completion() {
+            self.outputs.extend(message.callback(id, completion).map(Output::Callback));
+            return;
         }
-        if !self.held.is_empty() {
-            log::info!(messages = self.held.len(); "taken up from the journal");
-            self.wake = Some(now);
+        if message.in_flight().is_none() && !self.wait_for_predecessor(id) {
+            self.resume_message(id);
         }
     }
 }
--- a/src/core/takeover.rs
+++ b/src/core/takeover.rs
@@ -1,94 +1,126 @@
-//! A journal that changes hands while calls are out. The process that lets it go (the elder) says what comes of its
-//! calls; the one that takes it up holds those messages, and all behind them of the same key, until it has heard.
+//! A takeover: the journal goes from one process to the next while calls are in flight. The process that releases the
+//! journal (the predecessor) reports the outcomes of its calls. The one that takes it over holds back those messages, and
+//! all later ones with the same ordering key, until it has the outcomes.
+use super::in_flight::Stage;
 use super::messages::EndpointObservation;
-use super::pending::Stage;
 use super::Core;
-use crate::interface::{EndpointId, Event, Finding, MessageId, Nanos, Outcome, PriorAttempts as Before};
+use crate::interface::{
+    DestinationId, EndpointId, Event, Finding, MessageId, Nanos, Observation, Outcome, PriorAttempts,
+};
 use crate::journal::{Completion, LateOutcome, Record};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A message whose elder has said nothing by its time ends so long after it, in seconds: that one's own time-out, and the
-/// way through the file, come first.
-const ELDER_LATE: f64 = 0.08;
+/// A message of which the predecessor has reported nothing is given up this long after its deadline, in seconds: the
+/// predecessor's own time-out, and the way of its report through the file, come first.
+const REPORT_GRACE_S: f64 = 0.08;
 
-/// What a process that has taken the journal up knows of its elder's calls.
+/// Codes of findings in the journal's `Observed` records. They are read by the next version too, so they stay.
+mod finding_code {
+    pub(super) const OUTAGE: u8 = 0;
+    pub(super) const RECOVERING: u8 = 1;
+    pub(super) const HEALTHY: u8 = 2;
+    pub(super) const RETRY_AFTER: u8 = 3;
+    pub(super) const RATE_LIMIT: u8 = 4;
+    pub(super) const CONNECTION_CAPACITY: u8 = 5;
+}
+
+/// What a process that has taken the journal over knows of its predecessor's calls.
 #[derive(Default)]
-pub(super) struct Elders {
-    /// Messages that the elder may still have an attempt out for.
-    out: BTreeSet<MessageId>,
-    /// Attempts that may have run, and when the key may go again: the elder's process gave the call up just now.
-    resting: BTreeMap<MessageId, Nanos>,
-    /// Messages behind one of those by their key, in their order; the module does not know of them yet.
-    behind: HashMap<u64, Vec<MessageId>>,
-    /// The keys of those that are out there.
+pub(super) struct PredecessorCalls {
+    /// Messages that the predecessor may still have a call in flight for.
+    in_flight: BTreeSet<MessageId>,
+    /// Messages whose call there has ended without a delivery, and when they may go on.
+    resume_at: BTreeMap<MessageId, Nanos>,
+    /// Messages that wait for one of those by their ordering key, in their order; the module does not have them yet.
+    waiting: HashMap<u64, Vec<MessageId>>,
+    /// The ordering keys of the messages in `in_flight` and `resume_at`.
     keys: HashMap<MessageId, u64>,
 }
 
-impl Elders {
+impl PredecessorCalls {
     fn is_empty(&self) -> bool {
-        self.out.is_empty() && self.resting.is_empty() && self.behind.is_empty()
+        self.in_flight.is_empty() && self.resume_at.is_empty() && self.waiting.is_empty()
+    }
+
+    /// All messages that wait by their ordering key.
+    fn waiting(&self) -> impl Iterator<Item = MessageId> + '_ {
+        self.waiting.values().flatten().copied()
+    }
+
+    /// Nothing of this message is left there: the messages that waited for it, in their order.
+    fn release(&mut self, id: MessageId) -> Vec<MessageId> {
+        let Some(key) = self.keys.remove(&id) else { return Vec::new() };
+        self.waiting.remove(&key).unwrap_or_default()
     }
 }
 
-/// Finding as the journal's records hold it.
-fn written(finding: Finding, now: Nanos) -> (u8, [u64; 2]) {
+/// A finding as the journal's records hold it: its code and its values. Times are Unix nanoseconds.
+fn encode_finding(finding: Finding, now: Nanos) -> (u8, [u64; 2]) {
     match finding {
-        Finding::Outage { since, risky } => (0, [since.0, risky.into()]),
-        Finding::Recovering { since } => (1, [since.0, 0]),
-        Finding::Healthy { mean, dev } => (2, [mean.to_bits(), dev.to_bits()]),
-        Finding::RetryAfter { left } => (3, [(now + left).0, 0]),
-        Finding::RateLimit { rate } => (4, [rate.to_bits(), 0]),
-        Finding::ConnectionCapacity { calls } => (5, [calls.to_bits(), 0]),
+        Finding::Outage { since, risky } => (finding_code::OUTAGE, [since.0, risky.into()]),
+        Finding::Recovering { since } => (finding_code::RECOVERING, [since.0, 0]),
+        Finding::Healthy { mean, dev } => (finding_code::HEALTHY, [mean.to_bits(), dev.to_bits()]),
+        Finding::RetryAfter { left } => (finding_code::RETRY_AFTER, [(now + left).0, 0]),
+        Finding::RateLimit { rate } => (finding_code::RATE_LIMIT, [rate.to_bits(), 0]),
+        Finding::ConnectionCapacity { calls } => (finding_code::CONNECTION_CAPACITY, [calls.to_bits(), 0]),
     }
 }
 
-fn read(kind: u8, [a, b]: [u64; 2], now: Nanos) -> Option<Finding> {
-    let number = |bits| Some(f64::from_bits(bits)).filter(|v| v.is_finite() && *v >= 0.0);
-    Some(match kind {
-        0 => Finding::Outage { since: Nanos(a), risky: b == 1 },
-        1 => Finding::Recovering { since: Nanos(a) },
-        2 => Finding::Healthy { mean: number(a)?, dev: number(b)? },
-        3 => Finding::RetryAfter { left: Nanos(a) - now },
-        4 => Finding::RateLimit { rate: number(a)? },
-        5 => Finding::ConnectionCapacity { calls: number(a)? },
+/// The finding of a record; none where its code is unknown or a value makes no sense.
+fn decode_finding(code: u8, [first, second]: [u64; 2], now: Nanos) -> Option<Finding> {
+    let finding = match code {
+        finding_code::OUTAGE => Finding::Outage { since: Nanos(first), risky: second == 1 },
+        finding_code::RECOVERING => Finding::Recovering { since: Nanos(first) },
+        finding_code::HEALTHY => {
+            Finding::Healthy { mean: decode_number(first)?, dev: decode_number(second)? }
+        }
+        finding_code::RETRY_AFTER => Finding::RetryAfter { left: Nanos(first) - now },
+        finding_code::RATE_LIMIT => Finding::RateLimit { rate: decode_number(first)? },
+        finding_code::CONNECTION_CAPACITY => Finding::ConnectionCapacity { calls: decode_number(first)? },
         _ => return None,
-    })
+    };
+    Some(finding)
 }
 
-impl Core {
-    // ---- The elder.
+fn decode_number(bits: u64) -> Option<f64> {
+    Some(f64::from_bits(bits)).filter(|value| value.is_finite() && *value >= 0.0)
+}
 
-    /// Whether the journal cannot be handed on now.
+/// The process that releases the journal.
+impl Core {
+    /// Whether the journal cannot be released now: it cannot be written, or calls of an earlier takeover are unresolved.
     pub fn is_release_blocked(&self) -> bool {
-        self.ledger.stuck() || !self.elders.is_empty()
+        self.journal.is_unavailable() || !self.predecessor_calls.is_empty()
     }
 
-    /// Lets the journal go. From now on nothing is taken on, and no attempt starts; what is out goes on. Gives what the next
-    /// process should know of endpoints, told waits among it.
+    /// Releases the journal. From now on nothing is accepted and no attempt starts; calls in flight go on. Returns what the
+    /// next process should know of endpoints, with the waits of `Retry-After` that are in force.
     pub fn release_journal(&mut self, now: Nanos) -> Vec<Record> {
-        let seen = self.observations(now).into_iter().map(|EndpointObservation { uid, finding, age }| {
-            let (kind, values) = written(finding, now);
+        let observed = |observation: EndpointObservation| {
+            let EndpointObservation { uid, finding, age } = observation;
+            let (kind, values) = encode_finding(finding, now);
             Record::Observed { uid, at: (now - age).0, kind, values }
-        });
-        let seen = seen.collect();
-        self.resting = true;
-        self.ledger.release_journal();
-        seen
+        };
+        let records = self.observations(now).into_iter().map(observed).collect();
+        self.draining = true;
+        self.journal.release();
+        records
     }
 
-    /// Attempts whose first byte may have gone out, and that have not ended.
+    /// Attempts whose first byte may have been sent, and that have not ended.
     pub fn calls_in_flight(&self) -> usize {
-        let sent = |h: &&super::pending::Held| h.out.as_ref().is_some_and(|o| o.stage == Stage::Sent);
-        self.held.values().filter(sent).count()
+        let attempts = self.pending.iter().filter_map(|(_, message)| message.in_flight());
+        attempts.filter(|attempt| attempt.stage == Stage::Sent).count()
     }
 
-    /// What came of a call after the journal was let go; nothing where the call never went out.
+    /// The record of an outcome that came after the journal was released; none where the attempt was never sent.
     pub fn late_outcome(
         &mut self, id: MessageId, attempt: u32, outcome: Outcome, over: bool,
     ) -> Option<Record> {
-        let out = self.held.get(&id)?.out.as_ref().filter(|o| o.attempt == attempt)?;
-        let (sent, at) = (out.stage == Stage::Sent, out.started.0);
-        self.take_out(id);
+        let in_flight = self.pending.get(id)?.in_flight().filter(|a| a.attempt == attempt)?;
+        let sent = in_flight.stage == Stage::Sent;
+        let at = in_flight.started.0;
+        self.pending.take_in_flight(id);
         let how = match outcome {
             Outcome::Ok => LateOutcome::Delivered,
             _ if over => LateOutcome::Over,
@@ -98,152 +130,194 @@
         sent.then_some(Record::LateOutcome { id: id.0, at, how })
     }
 
-    /// A wait that was told after the journal was let go.
+    /// The record of a `Retry-After` that came after the journal was released; none for an unknown endpoint.
     pub fn late_retry_after(&self, now: Nanos, host: EndpointId, wait: Nanos) -> Option<Record> {
-        let (kind, values) = written(Finding::RetryAfter { left: wait }, now);
-        let uid = self.hosts.get(&host)?.uid.clone();
+        let (kind, values) = encode_finding(Finding::RetryAfter { left: wait }, now);
+        let uid = self.endpoints.get(host)?.uid.clone();
         Some(Record::Observed { uid, at: now.0, kind, values })
     }
+}
 
-    // ---- The one that takes it up.
-
-    /// The elder may still have these attempts out.
-    pub(super) fn leave_to_elder(&mut self, ids: &[MessageId]) {
-        self.elders.out.extend(ids);
+/// The process that takes the journal over.
+impl Core {
+    /// The predecessor may still have calls in flight for these messages.
+    pub(super) fn leave_to_predecessor(&mut self, ids: &[MessageId]) {
+        self.predecessor_calls.in_flight.extend(ids);
         for id in ids {
-            if let Some(key) = self.held.get(id).and_then(|h| h.context.ordering_key) {
-                self.elders.behind.entry(key).or_default();
-                self.elders.keys.insert(*id, key);
+            if let Some(key) = self.pending.get(*id).and_then(|m| m.context.ordering_key) {
+                self.predecessor_calls.waiting.entry(key).or_default();
+                self.predecessor_calls.keys.insert(*id, key);
             }
         }
-        log::info!(messages = ids.len(); "calls of the process before are still out");
+        log::info!(messages = ids.len(); "predecessor still has calls in flight");
     }
 
-    /// Whether the module hears of this message only later, since one of its key is still out at the elder.
-    pub(super) fn stands_behind(&mut self, id: MessageId) -> bool {
-        let key = self.held.get(&id).and_then(|h| h.context.ordering_key);
-        let Some(line) = key.and_then(|k| self.elders.behind.get_mut(&k)) else { return false };
-        line.push(id);
+    /// Whether the message waits for a predecessor's call by its ordering key; the module then gets it later.
+    pub(super) fn wait_for_predecessor(&mut self, id: MessageId) -> bool {
+        let key = self.pending.get(id).and_then(|m| m.context.ordering_key);
+        let waiting = key.and_then(|key| self.predecessor_calls.waiting.get_mut(&key));
+        let Some(waiting) = waiting else { return false };
+        waiting.push(id);
         true
     }
 
-    /// What the elder said.
-    pub(super) fn elder_said(&mut self, records: Vec<Record>) {
+    /// Takes in what the predecessor reports.
+    pub(super) fn predecessor_records(&mut self, records: Vec<Record>) {
         for record in records {
             match record {
-                Record::LateOutcome { id, at, how } => self.elder_ended(MessageId(id), Some(at), how),
-                Record::Observed { uid, at, kind, values } => self.elder_saw(&uid, Nanos(at), kind, values),
-                // Nothing else belongs there.
-                other => log::warn!("passed over what the process before left: {other:?}"),
+                Record::LateOutcome { id, at, how } => {
+                    self.predecessor_call_reported(MessageId(id), Nanos(at), how);
+                }
+                Record::Observed { uid, at, kind, values } => {
+                    self.predecessor_observed(&uid, Nanos(at), kind, values);
+                }
+                // Only these two belong there.
+                other => log::warn!("ignored a record of the predecessor: {other:?}"),
             }
         }
     }
 
-    /// Nothing more comes from the elder: what it had out may have run.
-    pub(super) fn elder_gone(&mut self) {
-        for id in self.elders.out.clone() {
-            self.elder_ended(id, None, LateOutcome::MayHaveRun);
+    /// The predecessor reports nothing more: what it had in flight may have run.
+    pub(super) fn predecessor_exited(&mut self) {
+        for id in self.predecessor_calls.in_flight.clone() {
+            self.predecessor_call_ended(id, LateOutcome::MayHaveRun);
+        }
+    }
+
+    /// Takes in the outcome of the predecessor's call that started at `at`. Guards "no double effect" against the report of
+    /// an earlier takeover: that is about another attempt.
+    fn predecessor_call_reported(&mut self, id: MessageId, at: Nanos, how: LateOutcome) {
+        let in_flight = self.pending.get(id).and_then(|m| m.in_flight());
+        if in_flight.is_some_and(|attempt| attempt.started == at) {
+            self.predecessor_call_ended(id, how);
         }
     }
 
-    fn elder_ended(&mut self, id: MessageId, at: Option<u64>, how: LateOutcome) {
-        let started = self.held.get(&id).and_then(|h| Some(h.out.as_ref()?.started.0));
-        // Guards "no double effect" against what an earlier hand-over left: it speaks of another try.
-        if !self.elders.out.contains(&id) || at.is_some_and(|at| started != Some(at)) {
+    fn predecessor_call_ended(&mut self, id: MessageId, how: LateOutcome) {
+        if !self.predecessor_calls.in_flight.remove(&id) {
             return;
         }
-        self.elders.out.remove(&id);
-        let Some(h) = self.held.get(&id) else { return self.elders_go_on(id) };
-        let context = h.context.clone();
-        log::debug!(message = context.name, how:?; "heard of a call of the process before");
-        let may_have_run = match how {
-            LateOutcome::Delivered | LateOutcome::Over => {
-                self.ran(id, true);
-                let end = if how == LateOutcome::Delivered {
-                    self.delivered(&context)
-                } else {
-                    Completion::Withdrawn
-                };
-                self.end(id, end);
-                self.drop_if_done(id);
-                return self.elders_go_on(id);
+        let Some(message) = self.pending.get(id) else { return self.resume_waiting(id) };
+        let context = message.context.clone();
+        log::debug!(message = context.name, how:?; "outcome of a predecessor's call");
+        match how {
+            LateOutcome::Delivered => {
+                self.pending.end_attempt(id, true);
+                let completion = self.completion_of_delivery(&context);
+                self.predecessor_call_completed(id, completion);
             }
-            LateOutcome::MayHaveRun => true,
-            LateOutcome::NeverRan => false,
-        };
-        self.ran(id, may_have_run);
-        self.ledger.keep(self.now, Record::AttemptEnded { id: id.0, may_have_run }, None);
-        // Guards "order by key": the key rests after a call that may still run.
-        let rest = if may_have_run { self.settings.ordering_pause } else { Nanos(0) };
-        self.elders.resting.insert(id, self.now + rest);
-        self.wake = Some(self.now);
-    }
-
-    fn elder_saw(&mut self, uid: &str, at: Nanos, kind: u8, values: [u64; 2]) {
-        let Some(host) = self.uids.get(uid).copied() else { return };
-        match read(kind, values, self.now) {
-            // It was told to this forwarder, whichever process heard it.
+            LateOutcome::Over => {
+                self.pending.end_attempt(id, true);
+                self.predecessor_call_completed(id, Completion::Withdrawn);
+            }
+            // Guards "order by key": the key pauses after a call that may still run.
+            LateOutcome::MayHaveRun => self.retry_predecessor_call(id, true, self.settings.ordering_pause),
+            LateOutcome::NeverRan => self.retry_predecessor_call(id, false, Nanos(0)),
+        }
+    }
+
+    fn predecessor_call_completed(&mut self, id: MessageId, completion: Completion) {
+        self.complete(id, completion);
+        self.remove_if_done(id);
+        self.resume_waiting(id);
+    }
+
+    /// The message goes on here, after this pause.
+    fn retry_predecessor_call(&mut self, id: MessageId, may_have_run: bool, pause: Nanos) {
+        self.pending.end_attempt(id, may_have_run);
+        self.journal.append_or_defer(self.now, Record::AttemptEnded { id: id.0, may_have_run }, None);
+        self.predecessor_calls.resume_at.insert(id, self.now + pause);
+        self.wake_at = Some(self.now);
+    }
+
+    fn predecessor_observed(&mut self, uid: &str, at: Nanos, code: u8, values: [u64; 2]) {
+        let Some(host) = self.endpoints.id(uid) else { return };
+        match decode_finding(code, values, self.now) {
+            // The wait was told to this forwarder, whichever of its processes received it.
             Some(Finding::RetryAfter { left }) => {
-                let dest = self.hosts.get(&host).map(|m| m.dest).unwrap_or_default();
-                self.events.push(Event::RetryAfter { host, dest: crate::DestinationId(dest), wait: left });
+                let dest = self.endpoints.get(host).map(|e| e.dest).unwrap_or_default();
+                self.events.push(Event::RetryAfter { host, dest: DestinationId(dest), wait: left });
+            }
+            Some(finding) => {
+                let age = self.now - at;
+                self.events.push(Event::PeerObservation(Observation { host, finding, age }));
             }
-            Some(finding) => self.events.push(Event::PeerObservation(crate::Observation {
-                host,
-                finding,
-                age: self.now - at,
-            })),
-            None => log::warn!("passed over news of the process before: kind {kind}"),
+            None => log::warn!("ignored an observation of the predecessor: kind {code}"),
         }
     }
 
-    /// Lets those go on whose time has come, and ends those of which nothing was heard in their time.
-    pub(super) fn look_after_elders(&mut self) {
-        if self.elders.is_empty() {
+    /// Resumes messages whose pause is over, and completes those whose time is up.
+    pub(super) fn advance_predecessor_calls(&mut self) {
+        if self.predecessor_calls.is_empty() {
             return;
         }
+        self.give_up_unreported_calls();
+        self.resume_after_pause();
+        self.complete_expired_waiting();
+        self.schedule_predecessor_calls();
+    }
+
+    fn give_up_unreported_calls(&mut self) {
         let now = self.now;
-        let late = |id: &MessageId| self.held.get(id).is_some_and(|h| h.context.deadline + ELDER_LATE <= now);
-        let silent: Vec<MessageId> = self.elders.out.iter().copied().filter(late).collect();
-        for id in silent {
-            self.elder_ended(id, None, LateOutcome::MayHaveRun);
+        let is_late = |id: &MessageId| {
+            self.pending.get(*id).is_some_and(|m| m.context.deadline + REPORT_GRACE_S <= now)
+        };
+        let in_flight = self.predecessor_calls.in_flight.iter().copied();
+        let unreported: Vec<MessageId> = in_flight.filter(is_late).collect();
+        for id in unreported {
+            self.predecessor_call_ended(id, LateOutcome::MayHaveRun);
         }
-        let ready: Vec<MessageId> =
-            self.elders.resting.iter().filter(|r| *r.1 <= now).map(|r| *r.0).collect();
+    }
+
+    fn resume_after_pause(&mut self) {
+        let now = self.now;
+        let pauses = self.predecessor_calls.resume_at.iter();
+        let ready: Vec<MessageId> = pauses.filter(|(_, at)| **at <= now).map(|(id, _)| *id).collect();
         for id in ready {
-            self.elders.resting.remove(&id);
-            self.tell_module(id);
-            self.elders_go_on(id);
+            self.predecessor_calls.resume_at.remove(&id);
+            self.resume_message(id);
+            self.resume_waiting(id);
         }
-        // Behind a call that takes longer than they have.
-        let open =
-            |id: &MessageId| self.held.get(id).is_some_and(|h| h.end.is_none() && h.context.deadline <= now);
-        let late: Vec<MessageId> = self.elders.behind.values().flatten().copied().filter(open).collect();
-        for id in late {
-            let first_possible_run = self.held.get(&id).is_some_and(|h| h.first_possible_run.is_some());
-            self.end(
-                id,
-                if first_possible_run { Completion::Undeliverable } else { Completion::Deferred(None) },
-            );
+    }
+
+    /// Completes messages that wait for a call which takes longer than they have.
+    fn complete_expired_waiting(&mut self) {
+        let now = self.now;
+        let is_expired =
+            |id: &MessageId| self.pending.get_open(*id).is_some_and(|m| m.context.deadline <= now);
+        let expired: Vec<MessageId> = self.predecessor_calls.waiting().filter(is_expired).collect();
+        for id in expired {
+            let may_have_run = self.pending.get(id).is_some_and(|m| m.first_possible_run.is_some());
+            let completion =
+                if may_have_run { Completion::Undeliverable } else { Completion::Deferred(None) };
+            self.complete(id, completion);
         }
-        let due =
-            self.elders.out.iter().filter_map(|id| Some(self.held.get(id)?.context.deadline + ELDER_LATE));
-        let behind = self.elders.behind.values().flatten().filter_map(|id| self.held.get(id));
-        let behind = behind.filter(|h| h.end.is_none()).map(|h| h.context.deadline);
-        let next = due.chain(self.elders.resting.values().copied()).chain(behind).min();
-        self.wake = self.wake.into_iter().chain(next.map(|n| n.max(now + self.settings.tick))).min();
-    }
-
-    /// The key of this message is free of the elder: the module hears of those behind it, in their order.
-    fn elders_go_on(&mut self, id: MessageId) {
-        let Some(key) = self.elders.keys.remove(&id) else { return };
-        for id in self.elders.behind.remove(&key).unwrap_or_default() {
-            self.tell_module(id);
+    }
+
+    /// Sets the wake-up for the next pause or deadline of these messages.
+    fn schedule_predecessor_calls(&mut self) {
+        let calls = &self.predecessor_calls;
+        let in_flight = calls.in_flight.iter().filter_map(|id| self.pending.get(*id));
+        let reports = in_flight.map(|m| m.context.deadline + REPORT_GRACE_S);
+        let pauses = calls.resume_at.values().copied();
+        let waiting = calls.waiting().filter_map(|id| self.pending.get_open(id));
+        let deadlines = waiting.map(|m| m.context.deadline);
+        let Some(next) = reports.chain(pauses).chain(deadlines).min() else { return };
+        self.wake_by(next.max(self.now + self.settings.tick));
+    }
+
+    /// The predecessor has nothing left of this message: the module gets those that waited for it, in their order.
+    fn resume_waiting(&mut self, id: MessageId) {
+        for waiting in self.predecessor_calls.release(id) {
+            self.resume_message(waiting);
         }
     }
 
-    pub(super) fn tell_module(&mut self, id: MessageId) {
-        let Some(h) = self.held.get(&id).filter(|h| h.end.is_none()) else { return };
-        let past = Before { attempts: h.attempts, first_possible_run: h.first_possible_run };
-        self.events.push(Event::Resumed(h.message(id), past));
+    /// Gives the module a message that was accepted before, if it is not complete.
+    pub(super) fn resume_message(&mut self, id: MessageId) {
+        let Some(message) = self.pending.get_open(id) else { return };
+        let prior =
+            PriorAttempts { attempts: message.attempts, first_possible_run: message.first_possible_run };
+        self.events.push(Event::Resumed(message.message(id), prior));
     }
 }
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -1,11 +1,12 @@
 //! The core on a disk that fails at any call, and on one that a kill cuts off: what a partner is sent, what clients
 //! are told, and what the journal holds at that moment. Virtual time, no wire, the same seed the same run.
-use super::pending::Stage;
+use super::in_flight::{InFlight, Stage};
+use super::pending::PendingMessage;
 use super::*;
 use crate::interface::{Class, Effect, EndpointKind, EndpointState, IdempotencyScope, ListedRates, Outcome};
 use crate::journal::{self, Disk, Tail};
 use crate::request::RequestContext;
-use std::collections::HashSet;
+use std::collections::{BTreeMap, HashMap, HashSet};
 use std::io;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -264,7 +265,7 @@
         let group = Input::Endpoints { complete: true, endpoints: members.collect() };
         let orders = core.step(now, vec![group]);
         assert!(orders.iter().all(|o| !matches!(o, Output::Answer(..))));
-        core.orders = orders;
+        core.outputs = orders;
         core
     }
 
@@ -366,28 +367,29 @@
     /// What is counted and found by index is what a look at all that is held gives.
     fn indexes_agree(&self) {
         let (core, seed) = (&self.core, self.seed);
-        let out = |(id, h): (&MessageId, &Held)| {
-            Some((
-                *id,
-                h.context.ordering_key,
-                h.out.as_ref()?.host,
-                h.out.as_ref()?.stage == Stage::HeldBack,
-            ))
-        };
-        let out: Vec<_> = core.held.iter().filter_map(out).collect();
-        assert_eq!(core.busy.all(), out.len(), "seed {seed}: tries that are out");
-        for host in core.hosts.keys() {
+        let attempts: Vec<(MessageId, &PendingMessage, &InFlight)> = core
+            .pending
+            .iter()
+            .filter_map(|(id, message)| Some((id, message, message.in_flight()?)))
+            .collect();
+        assert_eq!(core.attempts_in_flight(), attempts.len(), "seed {seed}: attempts in flight");
+        let open = core.pending.iter().filter(|(_, message)| message.is_open()).count();
+        assert_eq!(core.pending.open(), open, "seed {seed}: open messages");
+        for host in core.endpoints.all() {
             assert_eq!(
-                core.busy.at(*host),
-                out.iter().any(|o| o.2 == *host),
-                "seed {seed}: tries at {host:?}"
+                core.pending.in_flight().has_endpoint(host),
+                attempts.iter().any(|(_, _, attempt)| attempt.host == host),
+                "seed {seed}: attempts at {host:?}"
             );
         }
-        for (id, key, ..) in out.iter().filter(|o| o.3) {
-            let parked = key.and_then(|k| core.parked.get(&k)).is_some_and(|ids| ids.contains(id));
-            assert!(parked, "seed {seed}: {id:?} is held back and nothing will look at it");
+        for (id, message, _) in attempts.iter().filter(|(_, _, attempt)| attempt.stage == Stage::Deferred) {
+            let key = message.context.ordering_key;
+            assert!(
+                key.is_some_and(|k| core.ordering.is_parked(k, *id)),
+                "seed {seed}: {id:?} is deferred and nothing will look at it"
+            );
             assert!(
-                key.is_some_and(|k| core.unheard.contains_key(&k)),
+                key.is_some_and(|k| core.ordering.is_blocked(k)),
                 "seed {seed}: the key of {id:?} is free"
             );
         }
@@ -453,13 +455,18 @@
     /// Until nothing more is owed.
     fn finish(&mut self) {
         for _ in 0..3000 {
-            if self.core.held.is_empty() && self.out.is_empty() && self.connecting.is_empty() {
+            if self.core.pending.is_empty() && self.out.is_empty() && self.connecting.is_empty() {
                 break;
             }
             self.step(Vec::new());
             self.advance();
         }
-        assert!(self.core.held.is_empty(), "seed {}: still owed: {:?}", self.seed, self.core.held.keys());
+        assert!(
+            self.core.pending.is_empty(),
+            "seed {}: still owed: {:?}",
+            self.seed,
+            self.core.pending.iter().map(|(id, _)| id).collect::<Vec<_>>()
+        );
     }
 
     /// The rules on what has been taken on, over all processes.
@@ -549,12 +556,12 @@
             world.taken.len() > before || world.next == MESSAGES,
             "seed {seed}: nothing more is taken on"
         );
-        assert!(!world.core.ledger.stuck(), "seed {seed}: still stuck");
+        assert!(!world.core.journal.is_unavailable(), "seed {seed}: still stuck");
         world.finish();
         world.judge();
         let known = world.disk.model.records();
         world.kill();
-        assert!(world.core.held.is_empty(), "seed {seed}: owed again after a restart: {known:?}");
+        assert!(world.core.pending.is_empty(), "seed {seed}: owed again after a restart: {known:?}");
     }
 }
 
@@ -582,7 +589,7 @@
     world.step(handed);
     world.fail(ALL, 0, u64::MAX, 5);
     world.serve(100);
-    assert!(world.core.held.values().all(|h| h.attempts <= 2), "tries were spent on the disk");
+    assert!(world.core.pending.iter().all(|(_, m)| m.attempts <= 2), "tries were spent on the disk");
 }
 
 /// Handed back at the very moment at which the journal fails: a restart takes the message up again, so its client
--- a/src/deduplication.rs
+++ b/src/deduplication.rs
@@ -1,74 +1,87 @@
-//! The deduplication cache: what is remembered of messages that are over, so that their repeats are answered alike. Found
-//! by name and by idempotency key, and forgotten in time: the cost of a request does not grow with what was.
+//! The deduplication cache: what is remembered of complete messages, so that repeats have the same answer. Found by name
+//! and by idempotency key, and expired in time: the cost of a request does not grow with the past.
+#![warn(missing_docs)]
 use crate::journal::{Journal, Record};
 use crate::Nanos;
 use std::collections::{BTreeMap, HashMap};
 
-/// A message that is over.
-struct EndedMessage {
+/// How a message ended that is asked for again.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PriorResult {
+    /// It was delivered.
+    Delivered,
+    /// It failed for good.
+    Failed,
+}
+
+/// A complete message.
+struct CompleteMessage {
     name: String,
-    repeat_key: String,
+    idempotency_key: String,
     delivered: bool,
 }
 
-/// Until when one is remembered, and a number of its own.
+/// Until when a message is remembered, and a number that no other has: several may expire at one time.
 type Expiry = (Nanos, u64);
 
-/// Messages that are over, until their repeats need not be known any more.
+/// Complete messages, until their repeats need not be known any more.
 #[derive(Default)]
 pub struct DeduplicationCache {
-    by_expiry: BTreeMap<Expiry, EndedMessage>,
+    by_expiry: BTreeMap<Expiry, CompleteMessage>,
     by_name: HashMap<String, Expiry>,
-    /// Those that were delivered, by the key by which endpoints know them.
-    by_key: HashMap<String, Expiry>,
-    next: u64,
-    weight: u64,
+    /// Delivered messages, by their idempotency key.
+    by_idempotency_key: HashMap<String, Expiry>,
+    last_number: u64,
+    journal_bytes: u64,
 }
 
 impl DeduplicationCache {
-    /// Remembers a message until this time.
-    pub fn add(&mut self, name: String, repeat_key: String, until: Nanos, delivered: bool) {
-        self.next += 1;
-        let expiry = (until, self.next);
+    /// Remembers a message until this Unix time. `idempotency_key` is empty where the message has none.
+    pub fn insert(&mut self, name: String, idempotency_key: String, until: Nanos, delivered: bool) {
+        self.last_number += 1;
+        let expiry = (until, self.last_number);
         self.by_name.insert(name.clone(), expiry);
-        if delivered && !repeat_key.is_empty() {
-            self.by_key.insert(repeat_key.clone(), expiry);
+        if delivered && !idempotency_key.is_empty() {
+            self.by_idempotency_key.insert(idempotency_key.clone(), expiry);
         }
-        self.weight += Journal::past_weight(&name, &repeat_key);
-        self.by_expiry.insert(expiry, EndedMessage { name, repeat_key, delivered });
+        self.journal_bytes += Journal::past_weight(&name, &idempotency_key);
+        self.by_expiry.insert(expiry, CompleteMessage { name, idempotency_key, delivered });
     }
 
-    /// Whether the message of this name, or of this key, was delivered; none if it is not known.
-    pub fn delivered(&self, name: &str, repeat_key: &str) -> Option<bool> {
-        let expiry = self.by_name.get(name).or_else(|| self.by_key.get(repeat_key))?;
-        self.by_expiry.get(expiry).map(|g| g.delivered)
+    /// How the message of this name ended, or else the delivered one of this key; none if neither is remembered.
+    pub fn get(&self, name: &str, idempotency_key: &str) -> Option<PriorResult> {
+        let expiry = self.by_name.get(name).or_else(|| self.by_idempotency_key.get(idempotency_key))?;
+        let message = self.by_expiry.get(expiry)?;
+        Some(if message.delivered { PriorResult::Delivered } else { PriorResult::Failed })
     }
 
-    /// Forgets what has had its time.
-    pub fn forget(&mut self, now: Nanos) {
+    /// Forgets the messages that are remembered until `now` or an earlier Unix time.
+    pub fn expire(&mut self, now: Nanos) {
         while let Some(entry) = self.by_expiry.first_entry().filter(|e| e.key().0 <= now) {
-            let (expiry, gone) = entry.remove_entry();
-            self.weight -= Journal::past_weight(&gone.name, &gone.repeat_key);
-            // A later one of the same name or key stands.
-            if self.by_name.get(&gone.name) == Some(&expiry) {
-                self.by_name.remove(&gone.name);
+            let (expiry, message) = entry.remove_entry();
+            self.journal_bytes -= Journal::past_weight(&message.name, &message.idempotency_key);
+            // A later message of the same name or key remains.
+            if self.by_name.get(&message.name) == Some(&expiry) {
+                self.by_name.remove(&message.name);
             }
-            if self.by_key.get(&gone.repeat_key) == Some(&expiry) {
-                self.by_key.remove(&gone.repeat_key);
+            if self.by_idempotency_key.get(&message.idempotency_key) == Some(&expiry) {
+                self.by_idempotency_key.remove(&message.idempotency_key);
             }
         }
     }
 
-    /// Bytes that the journal must keep for it.
-    pub fn weight(&self) -> u64 {
-        self.weight
+    /// Bytes that the journal reserves for the cache.
+    pub fn journal_bytes(&self) -> u64 {
+        self.journal_bytes
     }
 
-    /// What the journal must say of it.
+    /// The records from which a restart fills the cache again, by the time of expiry.
     pub fn records(&self) -> impl Iterator<Item = Record> + '_ {
-        self.by_expiry.iter().map(|(expiry, g)| {
-            let (name, repeat_key) = (g.name.clone(), g.repeat_key.clone());
-            Record::Deduplicated { name, repeat_key, until: expiry.0 .0, delivered: g.delivered }
+        self.by_expiry.iter().map(|((until, _), message)| Record::Deduplicated {
+            name: message.name.clone(),
+            repeat_key: message.idempotency_key.clone(),
+            until: until.0,
+            delivered: message.delivered,
         })
     }
 }
--- a/tests/batch.rs
+++ b/tests/batch.rs
@@ -164,7 +164,7 @@
         _ => say("200 OK", "", &each(parts, |_| "done")),
     });
     s.together(&[("payout", "p"), ("payout", "q")]);
-    s.daemon.wait_log("told to wait");
+    s.daemon.wait_log("Retry-After received");
     let (told, before) = (Instant::now(), s.endpoint.heard().len());
     s.endpoint.wait("more", |all| all.len() > before);
     assert!(told.elapsed() >= Duration::from_millis(1100), "sent after {:?}", told.elapsed());
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -225,7 +225,7 @@
         );
     }
     let taken: Vec<serde_json::Value> = log.lines().filter_map(|l| serde_json::from_str(l).ok()).collect();
-    let taken = taken.iter().find(|l| l["text"] == "taken on").expect("a line on the message");
+    let taken = taken.iter().find(|l| l["text"] == "message accepted").expect("a line on the message");
     assert_eq!((&taken["fields"]["dest"], &taken["fields"]["message"]), (&7.into(), &"j1".into()));
     assert_eq!(taken["level"], "DEBUG");
 }
@@ -244,7 +244,7 @@
     }
     endpoint.wait_id("f199");
     let log = daemon.log();
-    let lines = log.lines().filter(|l| l.contains("taken on")).count();
+    let lines = log.lines().filter(|l| l.contains("message accepted")).count();
     assert!(
         lines <= 4 + begun.elapsed().as_secs() as usize,
         "{lines} lines in {:?}:\n{log}",
--- a/tests/disk.rs
+++ b/tests/disk.rs
@@ -112,7 +112,7 @@
         }
     }
     assert!(taken.len() < 300 && taken.len() > 30, "{} of 300 taken on", taken.len());
-    assert!(daemon.log().matches("journal not written anew").count() == 1, "one line, not one a message");
+    assert!(daemon.log().matches("journal not rewritten").count() == 1, "one line, not one a message");
     daemon.kill();
     fail(&daemon, "");
     daemon.start_again();
--- a/tests/late.rs
+++ b/tests/late.rs
@@ -35,7 +35,7 @@
         assert!(Instant::now() < until, "the other message came");
         std::thread::yield_now();
     }
-    daemon.wait_log("first byte message=b try=0");
+    daemon.wait_log("first byte message=b attempt=0");
     daemon.wait_log("try ended message=b outcome=Ok");
 }
 
@@ -82,7 +82,7 @@
     assert!(is_quiet(&second), "nothing was sent to the endpoint that drains");
     answer(&first, "200 OK", "");
     daemon.wait_log("try ended message=a outcome=Ok");
-    daemon.wait_log("first byte message=b try=0");
+    daemon.wait_log("first byte message=b attempt=0");
 }
 
 /// A payout whose connect hung when the process was killed was never sent: it may go again.
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -48,8 +48,8 @@
     let heard = endpoint.heard().len();
     // More comes than its slots carry: some are delivered, and some end by a notice.
     assert!(heard * 5 >= CLIENTS * (BEFORE + AFTER), "{heard} were sent on");
-    daemon.wait_log("end=Delivered");
-    daemon.wait_log("end=Deferred");
+    daemon.wait_log("completion=Delivered");
+    daemon.wait_log("completion=Deferred");
     let most = CLIENTS * AFTER * EACH;
     println!("{before} bytes before, {after} after");
     assert!(after < before + most, "{before} bytes before, {after} after, {most} more allowed");
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -182,7 +182,7 @@
     let replaced = known.replace("s-0", "s-9");
     let fresh = discovery(replaced.clone());
     let b = Setup { flags: authority.flags("b", place(), &[at_a]), ..setup(&fresh, replaced) }.start();
-    b.wait_log("neighbours saw host=s-1 finding=Outage");
+    b.wait_log("peer observation host=s-1 finding=Outage");
     // Both were in the same snapshot.
     assert!(!b.log().contains("host=s-9 finding"), "{}", b.log());
     assert_eq!(b.hand_in("stats", "b1"), 202);
--- a/tests/stand/mod.rs
+++ b/tests/stand/mod.rs
@@ -582,7 +582,7 @@
     call(&first);
     endpoint.shut();
     assert_eq!(daemon.hand_in("payout", "b"), 202);
-    daemon.wait_log("try starts message=b");
+    daemon.wait_log("attempt starts message=b");
     first
 }
 
@@ -596,7 +596,7 @@
     daemon.wait_log("try ended message=a outcome=Rejected(Some");
     endpoint.open();
     let second = endpoint.accept();
-    daemon.wait_log("decided anew message=b");
+    daemon.wait_log("the decision no longer holds message=b");
     assert!(is_quiet(&second), "kept, and not written to");
     second
 }
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -108,7 +108,7 @@
         .collect();
     let new = s.handed_over();
     s.gate.open();
-    new.wait_log("heard of a call of the process before message=slow-2");
+    new.wait_log("outcome of a predecessor's call message=slow-2");
     done.store(true, Ordering::Relaxed);
     let all: Vec<_> = clients.into_iter().flat_map(|c| c.join().expect("a client")).collect();
     let refused: Vec<_> = all.iter().filter(|(_, s)| *s != Some(202)).collect();
@@ -173,7 +173,7 @@
     let before = new.log().len();
     let told = Instant::now();
     s.gate.open();
-    new.wait_log_from(before, "heard of a call of the process before message=slow-p how=NeverRan");
+    new.wait_log_from(before, "outcome of a predecessor's call message=slow-p how=NeverRan");
     assert_eq!(new.hand_in("stats", "after"), 202);
     s.endpoint.wait_id("after");
     assert!(told.elapsed() >= Duration::from_millis(1400), "sent after {:?}", told.elapsed());
--- a/tests/waits.rs
+++ b/tests/waits.rs
@@ -79,7 +79,7 @@
     assert_eq!(socket.read(&mut [0]).expect("no reset"), 0);
     let told = write(&socket, &format!("{WORD}content-length: 0\r\n\r\n"));
     daemon.wait_log("try ended message=a outcome=Timeout");
-    daemon.wait_log("told to wait");
+    daemon.wait_log("Retry-After received");
     heeded(&endpoint, &daemon, told);
 }
 
