--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -156,7 +156,7 @@
     fn write_accepted(&mut self, id: MessageId) -> bool {
         let Some(message) = self.pending.get(id) else { return false };
         let record = Record::Accepted(message.accepted(id));
-        if self.journal.needs_rewrite(self.now, journal::size(&record)) {
+        if self.journal.needs_rewrite(self.now, journal::encoded_len(&record)) {
             self.rewrite_journal();
         }
         let written = self.journal.append(self.now, &record).is_ok();
--- a/src/core/completions.rs
+++ b/src/core/completions.rs
@@ -32,7 +32,7 @@
         self.abandon_deferred_attempt(id);
         let left_s = (context.deadline - now).secs();
         log::debug!(message = context.name, completion:? = wanted, left_s; "complete");
-        let record = Record::Completed { id: id.0, at: now.0, end: wanted };
+        let record = Record::Completed { id: id.0, at: now.0, completion: wanted };
         let written = self.journal.append(now, &record).is_ok();
         let completion = if written { wanted } else { self.completion_without_journal(&context, wanted) };
         self.set_complete(id, completion);
@@ -74,7 +74,7 @@
     /// Reports a completion that the journal does not hold yet. A delivery is reported only once it is written: after a
     /// kill, the message might complete in another way.
     fn report_before_journal(&mut self, id: MessageId, completion: Completion, callback: Option<Output>) {
-        let record = Record::Completed { id: id.0, at: self.now.0, end: completion };
+        let record = Record::Completed { id: id.0, at: self.now.0, completion };
         if completion == Completion::Delivered {
             self.journal.append_or_defer(self.now, record, callback);
         } else {
--- a/src/core/journal_writer.rs
+++ b/src/core/journal_writer.rs
@@ -13,7 +13,7 @@
 //! The deferred records are bounded: while the journal cannot be written nothing is accepted and no attempt starts, so
 //! each pending message adds its outcome, its completion and its acknowledgement at the most.
 use super::messages::Output;
-use crate::journal::{Fault, Journal, Record};
+use crate::journal::{Journal, JournalError, Record};
 use crate::Nanos;
 use std::collections::VecDeque;
 
@@ -81,7 +81,7 @@
 
     /// Bytes that all that must be kept may take.
     pub(super) fn capacity(&self) -> u64 {
-        self.journal.room()
+        self.journal.pending_capacity()
     }
 
     /// Whether the journal should be rewritten before a record of so many bytes is added.
@@ -89,7 +89,7 @@
         !self.is_unavailable()
             && !self.released
             && self.rewrite_retry_at.is_none_or(|at| now >= at)
-            && self.journal.is_full(more)
+            && self.journal.needs_compaction(more)
     }
 
     /// Writes what must be in the journal before it happens.
@@ -104,7 +104,7 @@
         match self.journal.append(record) {
             Ok(()) => Ok(()),
             // The journal's own limit says nothing of the disk. What has been accepted has its reserve behind it.
-            Err(Fault::Limit) if matches!(record, Record::Accepted(_)) => {
+            Err(JournalError::CapacityExceeded) if matches!(record, Record::Accepted(_)) => {
                 log::warn!("rejected: no capacity left in the journal");
                 Err(NotWritten)
             }
@@ -127,7 +127,7 @@
         None
     }
 
-    fn failed(&mut self, now: Nanos, error: &Fault) {
+    fn failed(&mut self, now: Nanos, error: &JournalError) {
         let is_same_fault = self.recovered_at.is_some_and(|at| (now - at).secs() < SAME_FAULT_S);
         if !is_same_fault {
             self.backoff_s = FIRST_BACKOFF_S;
@@ -166,17 +166,17 @@
 
     fn write_deferred<I: Iterator<Item = Record>>(
         &mut self, all_records: impl FnOnce() -> I, outputs: &mut Vec<Output>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), JournalError> {
         match self.append_deferred(outputs) {
             Ok(()) => Ok(()),
             // Another file helps where this one is at its limit or cannot be repaired; it holds all that was deferred.
-            Err(Fault::Limit) => self.replace(all_records(), outputs),
-            Err(_) if self.journal.is_torn() => self.replace(all_records(), outputs),
+            Err(JournalError::CapacityExceeded) => self.replace(all_records(), outputs),
+            Err(_) if self.journal.has_partial_record() => self.replace(all_records(), outputs),
             Err(error) => Err(error),
         }
     }
 
-    fn append_deferred(&mut self, outputs: &mut Vec<Output>) -> Result<(), Fault> {
+    fn append_deferred(&mut self, outputs: &mut Vec<Output>) -> Result<(), JournalError> {
         // A record without a meaning: whether the disk takes anything is seen before a message depends on it.
         self.journal.append(&Record::CallbackAcknowledged { id: 0 })?;
         while let Some(next) = self.deferred.front() {
@@ -188,8 +188,8 @@
 
     fn replace(
         &mut self, all_records: impl Iterator<Item = Record>, outputs: &mut Vec<Output>,
-    ) -> Result<(), Fault> {
-        self.journal.rewrite(all_records)?;
+    ) -> Result<(), JournalError> {
+        self.journal.compact(all_records)?;
         self.rewrite_retry_at = None;
         outputs.extend(self.deferred.drain(..).filter_map(|written| written.then));
         Ok(())
@@ -197,7 +197,7 @@
 
     /// Rewrites the journal. Where this fails, the old one goes on, and this is not tried again at once.
     pub(super) fn rewrite(&mut self, now: Nanos, all_records: impl Iterator<Item = Record>) {
-        match self.journal.rewrite(all_records) {
+        match self.journal.compact(all_records) {
             Ok(()) => {
                 log::debug!("journal rewritten");
                 self.rewrite_retry_at = None;
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -30,7 +30,7 @@
 use crate::logic::Balancer;
 use crate::metrics::Metrics;
 use crate::plugins::Plugins;
-use crate::settings::Site;
+use crate::settings::DeploymentSettings;
 use endpoints::EndpointRegistry;
 use journal_writer::JournalWriter;
 use ordering::OrderingKeys;
@@ -44,7 +44,7 @@
 /// What a core needs to start.
 pub struct CoreOptions {
     /// Settings of the decision module, and the names of classes, tenants, zones and endpoint kinds.
-    pub site: Arc<Site>,
+    pub site: Arc<DeploymentSettings>,
     /// Seed of the decision module's random numbers.
     pub seed: u64,
     /// Endpoints that discovery does not list; they are added to each complete endpoint list.
@@ -73,7 +73,7 @@
 /// Pending messages, their attempts and their completions: drives the decision module and the journal.
 pub struct Core {
     settings: Settings,
-    site: Arc<Site>,
+    site: Arc<DeploymentSettings>,
     balancer: Balancer,
     plugins: Plugins,
     metrics: Arc<Metrics>,
@@ -300,6 +300,6 @@
     now: Nanos,
 ) -> impl Iterator<Item = Record> + 'a {
     let suspended = endpoints.suspended().iter();
-    let suspensions = suspended.map(|uid| Record::Suspended { uid: uid.clone(), out: true });
+    let suspensions = suspended.map(|uid| Record::Suspended { uid: uid.clone(), suspended: true });
     suspensions.chain(deduplication.records()).chain(pending.records(now))
 }
--- a/src/core/pending.rs
+++ b/src/core/pending.rs
@@ -89,7 +89,7 @@
             key: context.ordering_key,
             dest: context.dest,
             deadline: context.deadline.0,
-            repeat_key: context.idempotency_key.clone(),
+            idempotency_key: context.idempotency_key.clone(),
             body: context.body.clone(),
         }
     }
@@ -97,8 +97,8 @@
     /// All that the journal must hold of it, in the fewest records.
     fn records(&self, id: MessageId, now: Nanos) -> Vec<Record> {
         let mut records = vec![Record::Accepted(self.accepted(id))];
-        if let Some(end) = self.completion {
-            records.push(Record::Completed { id: id.0, at: now.0, end });
+        if let Some(completion) = self.completion {
+            records.push(Record::Completed { id: id.0, at: now.0, completion });
             if self.callback_acknowledged {
                 records.push(Record::CallbackAcknowledged { id: id.0 });
             }
@@ -264,7 +264,7 @@
 
 /// Bytes that the journal reserves for a message.
 pub(super) fn journal_bytes(context: &RequestContext) -> u64 {
-    Journal::weight(&context.name, &context.origin, &context.idempotency_key, context.body.len())
+    Journal::reserved_bytes(&context.name, &context.origin, &context.idempotency_key, context.body.len())
 }
 
 /// Whether somebody is to be notified of this completion.
--- a/src/core/restart.rs
+++ b/src/core/restart.rs
@@ -17,13 +17,15 @@
             Record::AttemptEnded { id, may_have_run } => {
                 self.pending.end_attempt(MessageId(id), may_have_run);
             }
-            Record::Completed { id, at, end } => self.replay_completed(MessageId(id), Nanos(at), end),
+            Record::Completed { id, at, completion } => {
+                self.replay_completed(MessageId(id), Nanos(at), completion)
+            }
             Record::CallbackAcknowledged { id } => self.acknowledge_callback(MessageId(id)),
             // These are in the file of a takeover, never in the journal.
             Record::LateOutcome { .. } | Record::Observed { .. } => {}
-            Record::Suspended { uid, out } => self.endpoints.set_suspended(uid, out),
-            Record::Deduplicated { name, repeat_key, until, delivered } => {
-                self.deduplication.insert(name, repeat_key, Nanos(until), delivered);
+            Record::Suspended { uid, suspended } => self.endpoints.set_suspended(uid, suspended),
+            Record::Deduplicated { name, idempotency_key, until, delivered } => {
+                self.deduplication.insert(name, idempotency_key, Nanos(until), delivered);
             }
         }
     }
@@ -39,7 +41,7 @@
             ordering_key: message.key,
             dest: message.dest,
             deadline: Nanos(message.deadline),
-            idempotency_key: message.repeat_key,
+            idempotency_key: message.idempotency_key,
             body: message.body,
             tags: Vec::new(),
         };
--- a/src/core/suspensions.rs
+++ b/src/core/suspensions.rs
@@ -36,7 +36,7 @@
         if suspended && self.endpoints.suspended().len() >= SUSPENDED_MAX {
             return SuspensionResult::LimitReached;
         }
-        let record = Record::Suspended { uid: uid.clone(), out: suspended };
+        let record = Record::Suspended { uid: uid.clone(), suspended };
         if self.journal.append(now, &record).is_err() {
             return SuspensionResult::NotPersisted;
         }
--- a/src/core/takeover.rs
+++ b/src/core/takeover.rs
@@ -123,11 +123,11 @@
         self.pending.take_in_flight(id);
         let how = match outcome {
             Outcome::Ok => LateOutcome::Delivered,
-            _ if over => LateOutcome::Over,
+            _ if over => LateOutcome::Final,
             outcome if outcome.never_ran() => LateOutcome::NeverRan,
             _ => LateOutcome::MayHaveRun,
         };
-        sent.then_some(Record::LateOutcome { id: id.0, at, how })
+        sent.then_some(Record::LateOutcome { id: id.0, at, outcome: how })
     }
 
     /// The record of a `Retry-After` that came after the journal was released; none for an unknown endpoint.
@@ -165,8 +165,8 @@
     pub(super) fn predecessor_records(&mut self, records: Vec<Record>) {
         for record in records {
             match record {
-                Record::LateOutcome { id, at, how } => {
-                    self.predecessor_call_reported(MessageId(id), Nanos(at), how);
+                Record::LateOutcome { id, at, outcome } => {
+                    self.predecessor_call_reported(MessageId(id), Nanos(at), outcome);
                 }
                 Record::Observed { uid, at, kind, values } => {
                     self.predecessor_observed(&uid, Nanos(at), kind, values);
@@ -206,7 +206,7 @@
                 let completion = self.completion_of_delivery(&context);
                 self.predecessor_call_completed(id, completion);
             }
-            LateOutcome::Over => {
+            LateOutcome::Final => {
                 self.pending.end_attempt(id, true);
                 self.predecessor_call_completed(id, Completion::Withdrawn);
             }
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -4,7 +4,7 @@
 use super::pending::PendingMessage;
 use super::*;
 use crate::interface::{Class, Effect, EndpointKind, EndpointState, IdempotencyScope, ListedRates, Outcome};
-use crate::journal::{self, Disk, Tail};
+use crate::journal::{self, Disk, FileWriter};
 use crate::request::RequestContext;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::io;
@@ -41,7 +41,7 @@
     }
     fn records(&self) -> Vec<Record> {
         let held = self.files().held.get("journal").cloned().unwrap_or_default();
-        journal::replay(&held).0
+        journal::replay(&held).records
     }
     fn size(&self) -> usize {
         self.files().held.values().map(|f| f.len().next_multiple_of(512)).sum()
@@ -63,7 +63,7 @@
 }
 
 impl ModelDisk {
-    fn tail(&self, name: &str) -> Box<dyn Tail> {
+    fn tail(&self, name: &str) -> Box<dyn FileWriter> {
         let name = Arc::new(Mutex::new(name.to_string()));
         self.open.lock().expect("lock").push(name.clone());
         Box::new(ModelTail { disk: self.model.clone(), name })
@@ -74,11 +74,11 @@
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>> {
         Ok(self.model.files().held.get(name).cloned())
     }
-    fn open(&self, name: &str) -> io::Result<Box<dyn Tail>> {
+    fn open_append(&self, name: &str) -> io::Result<Box<dyn FileWriter>> {
         self.model.files().held.entry(name.to_string()).or_default();
         Ok(self.tail(name))
     }
-    fn create(&self, name: &str) -> io::Result<Box<dyn Tail>> {
+    fn create(&self, name: &str) -> io::Result<Box<dyn FileWriter>> {
         self.model.call("create")?.held.insert(name.to_string(), Vec::new());
         Ok(self.tail(name))
     }
@@ -102,7 +102,7 @@
     }
 }
 
-impl Tail for ModelTail {
+impl FileWriter for ModelTail {
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         let name = self.name.lock().expect("lock").clone();
         match self.disk.call("append") {
@@ -116,7 +116,7 @@
         }
         Ok(())
     }
-    fn cut(&mut self, size: u64) -> io::Result<()> {
+    fn truncate(&mut self, size: u64) -> io::Result<()> {
         let name = self.name.lock().expect("lock").clone();
         self.disk.call("cut")?.held.entry(name).or_default().truncate(size as usize);
         Ok(())
@@ -130,7 +130,7 @@
 const DISK: u64 = 9_500;
 const MESSAGES: u64 = 90;
 
-fn site() -> Arc<Site> {
+fn site() -> Arc<DeploymentSettings> {
     let class = |name: &str, effect, fifo_by_key| {
         let (aim, deadline) = (Nanos::from_secs(1.0), Nanos::from_secs(8.0));
         (
@@ -170,7 +170,7 @@
         connection_idle_timeout: Nanos::from_secs(15.0),
         ..Settings::default()
     };
-    Arc::new(Site {
+    Arc::new(DeploymentSettings {
         module,
         classes: classes.into_iter().map(|c| c.0).collect(),
         tenants: vec!["t".into()],
@@ -241,7 +241,7 @@
     }
 
     fn start(disk: &ModelDisk, most: u64, seed: u64, now: Nanos) -> Core {
-        let (journal, records) = Journal::on(Box::new(disk.clone()), most).expect("it opens");
+        let (journal, records) = Journal::open_on(Box::new(disk.clone()), most).expect("it opens");
         let mut core = Core::new(CoreOptions {
             site: site(),
             seed,
--- a/src/deduplication.rs
+++ b/src/deduplication.rs
@@ -44,7 +44,7 @@
         if delivered && !idempotency_key.is_empty() {
             self.by_idempotency_key.insert(idempotency_key.clone(), expiry);
         }
-        self.journal_bytes += Journal::past_weight(&name, &idempotency_key);
+        self.journal_bytes += Journal::deduplicated_bytes(&name, &idempotency_key);
         self.by_expiry.insert(expiry, CompleteMessage { name, idempotency_key, delivered });
     }
 
@@ -59,7 +59,7 @@
     pub fn expire(&mut self, now: Nanos) {
         while let Some(entry) = self.by_expiry.first_entry().filter(|e| e.key().0 <= now) {
             let (expiry, message) = entry.remove_entry();
-            self.journal_bytes -= Journal::past_weight(&message.name, &message.idempotency_key);
+            self.journal_bytes -= Journal::deduplicated_bytes(&message.name, &message.idempotency_key);
             // A later message of the same name or key remains.
             if self.by_name.get(&message.name) == Some(&expiry) {
                 self.by_name.remove(&message.name);
@@ -79,7 +79,7 @@
     pub fn records(&self) -> impl Iterator<Item = Record> + '_ {
         self.by_expiry.iter().map(|((until, _), message)| Record::Deduplicated {
             name: message.name.clone(),
-            repeat_key: message.idempotency_key.clone(),
+            idempotency_key: message.idempotency_key.clone(),
             until: until.0,
             delivered: message.delivered,
         })
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,287 +1,64 @@
-//! The daemon: wires its parts together and sees them through start and stop.
+//! The program: reads the command line and runs what it asks for. The daemon itself is `micaladder::daemon`.
 #![forbid(unsafe_code)]
-use micaladder::flags::{self, Command, Run};
-use micaladder::takeover::turn::{Do, Seen, Stage, Turn, LOOK_EACH};
-use micaladder::takeover::{Folder, Hold, Left, Name};
-use micaladder::{
-    acme, as2, backoff, callbacks, check, client, clock, config_error, core, discovery, exchange, journal,
-    logger, mgmt, peers, plugins, reload, settings, upstream,
-};
-use std::error::Error;
+use micaladder::config_error::ConfigError;
+use micaladder::flags::{self, Command, FileFlags, FleetCommand, RunFlags};
+use micaladder::{check, daemon, logger, peers};
 use std::process::ExitCode;
-use std::sync::Arc;
 use std::time::Duration;
-use tokio::net::TcpListener;
-use tokio::signal::unix::{signal, Signal, SignalKind};
-
-/// A planned restart kills the process so long after SIGTERM at the soonest.
-const KILL_AFTER: Duration = Duration::from_millis(3700);
-
-const _: () = assert!(
-    exchange::GONE_BY.as_millis() + client::LAST_ANSWERS.as_millis() + client::FAREWELL.as_millis()
-        < KILL_AFTER.as_millis(),
-    "the process has ended by itself before it is killed"
-);
 
 fn main() -> ExitCode {
-    let command = match flags::read(std::env::args_os()) {
+    let command = match flags::parse(std::env::args_os()) {
         Ok(command) => command,
-        Err(said) => {
-            // Also the texts that were asked for; a pipe that is closed is no reason to fail.
-            let _ = said.print();
-            return ExitCode::from(said.exit_code() as u8);
+        Err(message) => {
+            // Also the texts of --help and --version; a closed pipe is no reason to fail.
+            let _ = message.print();
+            return ExitCode::from(message.exit_code() as u8);
         }
     };
     match command {
-        Command::Run(run) => start(&run),
-        Command::Check(files) => said(&check::all(&files), &files),
-        Command::Fleet(what) => {
-            let (look, every) = match &what {
-                flags::Fleet::Show(look) => (look, None),
-                flags::Fleet::Watch { look, every } => (look, Some(Duration::from_secs_f64(*every))),
-            };
-            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-            runtime.map_or(ExitCode::FAILURE, |r| r.block_on(peers::look::run(look, every)))
-        }
+        Command::Run(flags) => run_daemon(&flags),
+        Command::Check(files) => report_file_errors(&files),
+        Command::Fleet(command) => show_fleet(&command),
         Command::Completions(shell) => {
-            flags::complete(shell);
+            flags::write_completions(shell);
             ExitCode::SUCCESS
         }
     }
 }
 
-/// Says what is wrong, a line a fault.
-fn said(faults: &[config_error::ConfigError], files: &flags::Files) -> ExitCode {
-    faults.iter().for_each(|f| eprintln!("{f}"));
-    if faults.is_empty() {
-        println!("{}: good", files.config.display());
-        return ExitCode::SUCCESS;
-    }
-    ExitCode::FAILURE
-}
-
-fn start(settings: &Run) -> ExitCode {
-    let log = &settings.log;
-    logger::install(&log.filter, log.format, log.burst);
-    let mut process = Process::default();
-    loop {
-        // One for each time that the journal is this process's: what is left of it when it changes hands ends with it.
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-        match runtime.map_err(Into::into).and_then(|r| r.block_on(run(settings, &mut process))) {
-            Ok(Done::Ended) => return ExitCode::SUCCESS,
-            Ok(Done::HandedOver) => process.has_left = true,
-            Err(fault) => {
-                log::error!("cannot go on: {fault}");
-                return ExitCode::FAILURE;
-            }
+fn run_daemon(flags: &RunFlags) -> ExitCode {
+    let log_flags = &flags.log;
+    logger::install(&log_flags.filter, log_flags.format, log_flags.burst);
+    match daemon::run(flags) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            log::error!("cannot go on: {error}");
+            ExitCode::FAILURE
         }
     }
 }
 
-/// What outlives a change of the journal's owner.
-#[derive(Default)]
-struct Process {
-    mgmt: Option<mgmt::Mgmt>,
-    /// It has handed the journal on: it takes it again only if nobody has it, and asks for it no more.
-    has_left: bool,
-}
-
-/// How a time as the journal's owner, or a wait for that, ended.
-enum Done {
-    Ended,
-    HandedOver,
-}
-
-/// Waits for the journal. A process that operators look after (`mgmt`) asks for it and stands ready at the clients' address.
-async fn own(
-    config: &settings::Config, folder: &Folder, turn: &mut Turn, asks: bool, terminate: &mut Signal,
-) -> Result<Option<(Hold, Option<TcpListener>)>, Box<dyn Error>> {
-    let (mut next, mut listener, mut told) = (None, None, false);
-    loop {
-        let owner = folder.hold(Name::Owner)?;
-        if turn.look(clock::now(), Seen { owns: owner.is_some(), ..Seen::default() }) == Some(Do::Serve) {
-            return Ok(owner.map(|o| (o, listener)));
-        }
-        if !told {
-            log::info!(asks; "another process owns the folder; waiting for it");
-            told = true;
-        }
-        if asks && next.is_none() {
-            // Ready first: from when it asks, some clients come here.
-            listener = listener.or(Some(client::listen(config.listen, true)?));
-            next = folder.hold(Name::Next)?;
-        }
-        tokio::select! {
-            _ = terminate.recv() => return Ok(None),
-            () = tokio::time::sleep(LOOK_EACH) => {}
-        }
+/// Prints what is wrong, one line for each error.
+fn report_file_errors(files: &FileFlags) -> ExitCode {
+    let errors: Vec<ConfigError> = check::check_files(files);
+    if errors.is_empty() {
+        println!("{}: good", files.config.display());
+        return ExitCode::SUCCESS;
     }
-}
-
-/// Hears what the process before says of its calls, until nothing more comes from it.
-async fn hear_elder(mut left: Left, exchange: exchange::Exchange) {
-    loop {
-        let (records, over) = left.read();
-        exchange.predecessor_records(records, over);
-        if over {
-            // Guards what it says against a kill before it is in the journal.
-            while exchange.is_release_blocked() {
-                tokio::time::sleep(LOOK_EACH).await;
-            }
-            return left.remove();
-        }
-        tokio::time::sleep(LOOK_EACH).await;
+    for error in &errors {
+        eprintln!("{error}");
     }
+    ExitCode::FAILURE
 }
 
-async fn run(said: &Run, process: &mut Process) -> Result<Done, Box<dyn Error>> {
-    let config = settings::Config::read(said)?;
-    if let (Some(at), None) = (config.mgmt, &process.mgmt) {
-        // Before all that may take time: until this process serves, the answer is no.
-        process.mgmt = Some(mgmt::Mgmt::start(at, &config.site.classes)?);
-    }
-    let mut terminate = signal(SignalKind::terminate())?;
-    // Before anything is ready: without a handler, a SIGHUP ends the process.
-    let hangup = signal(SignalKind::hangup())?;
-    let (folder, mut turn) = (Folder::open(&config.state)?, Turn::new());
-    let asks = process.mgmt.is_some() && !process.has_left;
-    let owned = own(&config, &folder, &mut turn, asks, &mut terminate).await?;
-    let Some((owner, listener)) = owned else { return Ok(Done::Ended) };
-    let left = folder.left();
-    let journal = journal::Journal::open(&config.state, config.disk)?;
-    let book = as2::book(&said.files.as2)?.map(Arc::new);
-    let standing = book.as_ref().map(|b| b.members()).unwrap_or_default();
-    let plugins = plugins::Plugins::load(&said.files.plugins);
-    let (journal, records) = journal;
-    let predecessor = match left {
-        Some(_) => core::Predecessor::MayHaveCalls,
-        None => core::Predecessor::None,
+/// Prints a running member's view of the fleet, once or each time that it changes.
+fn show_fleet(command: &FleetCommand) -> ExitCode {
+    let (query, interval) = match command {
+        FleetCommand::Show(query) => (query, None),
+        FleetCommand::Watch { query, every } => (query, Some(Duration::from_secs_f64(*every))),
     };
-    let core = core::Core::new(core::CoreOptions {
-        site: config.site.clone(),
-        seed: config.seed,
-        static_endpoints: standing,
-        plugins,
-        journal,
-        records,
-        predecessor,
-        now: clock::now(),
-    });
-    let (exchange, exchange::Outputs { calls, notices, words }) = exchange::Exchange::new(core);
-    exchange.update_endpoints(true, discovery::members(&config.site, &config.known));
-    if let Some(left) = left {
-        tokio::spawn(hear_elder(left, exchange.clone()));
-    }
-    tokio::spawn(upstream::run(config.site.clone(), book.clone(), exchange.clone(), calls));
-    let (moves, discovery) = tokio::sync::watch::channel(config.discovery.clone());
-    let (told, list) = tokio::sync::watch::channel(config.known.rev);
-    let changes = peers::Changes { list, discovery: discovery.clone() };
-    let fleet = peers::start(&said.files.neighbours, &config, &exchange, changes);
-    tokio::spawn(reload::run(config.clone(), hangup, moves));
-    tokio::spawn(callbacks::run(discovery.clone(), exchange.clone(), notices));
-    let longest = discovery::timing::longest_pause(config.site.askers() > 1);
-    let again = backoff::Backoff::new(config.site.askers(), longest, config.seed);
-    let held = discovery::Held { rev: config.known.rev, serves: !config.known.targets.is_empty(), told };
-    tokio::spawn(discovery::run(config.site.clone(), held, discovery, exchange.clone(), again));
-    let limiter = client::ConnectionLimiter::new(config.sockets / 3);
-    if let Some(book) = book {
-        let listener = TcpListener::bind(&book.listen).await?;
-        log::info!("AS2 front listens on {}", book.listen);
-        tokio::spawn(client::as2::words(book.clone(), exchange.clone(), words));
-        let authority = book.acme.clone();
-        let (site, exchange) = (config.site.clone(), exchange.clone());
-        let routes = client::as2::routes(client::as2::Front { site, book, exchange: exchange.clone() });
-        let keeper = Arc::new(acme::Keeper::default());
-        let tls = authority.as_ref().map(|_| client::tls(keeper.clone())).transpose()?;
-        if let Some(authority) = authority {
-            tokio::spawn(acme::run(authority, config.state.clone(), keeper));
-        }
-        let front = client::Front { listener, routes, limits: client::as2::LIMITS, tls };
-        tokio::spawn(client::serve(front, limiter.clone(), exchange.closing()));
-    }
-    let shared = process.mgmt.is_some();
-    let open = |listener: TcpListener| {
-        let routes = client::platform::routes(config.site.clone(), exchange.clone());
-        let front = client::Front { listener, routes, limits: client::platform::LIMITS, tls: None };
-        tokio::spawn(client::serve(front, limiter.clone(), exchange.closing()))
+    let Ok(runtime) = tokio::runtime::Builder::new_current_thread().enable_all().build() else {
+        return ExitCode::FAILURE;
     };
-    let mut serving = open(match listener {
-        Some(listener) => listener,
-        None => client::listen(config.listen, shared)?,
-    });
-    process.mgmt.iter().for_each(|m| m.serves(Some(exchange.clone())));
-    log::info!("ready: {} listens on {}", config.name, config.listen);
-    loop {
-        // Nobody asks where no operator starts a second process; and then nothing is looked at.
-        tokio::select! {
-            _ = terminate.recv() => break,
-            () = tokio::time::sleep(turn.pause()), if shared => {}
-        }
-        let clients = !serving.is_finished();
-        let (asked, bound) = (folder.is_held(Name::Next), exchange.is_release_blocked());
-        match turn.look(clock::now(), Seen { asked, clients, bound, ..Seen::default() }) {
-            None => {}
-            Some(Do::Close) => {
-                log::info!("another process asks for the folder: handing over");
-                exchange.keep_connections(false);
-            }
-            Some(Do::Open) => {
-                log::warn!(
-                    "the process that asked is gone, or the journal cannot be handed on: serving again"
-                );
-                serving.abort();
-                exchange.keep_connections(true);
-                serving = open(client::listen(config.listen, shared)?);
-            }
-            Some(Do::LetGo) => {
-                // Held before the journal is let go, or the next one would take these calls for lost.
-                let late = match folder.late() {
-                    Ok(late) => late,
-                    Err(fault) => {
-                        log::error!("not handed over: {fault}");
-                        turn.stage = Stage::Closing { since: clock::now() };
-                        continue;
-                    }
-                };
-                process.mgmt.iter().for_each(|m| m.serves(None));
-                exchange.release_journal(late).await;
-                drop(owner);
-                log::info!(calls = exchange.calls_in_flight(); "handed over; ending the calls that are out");
-                return Ok(end_calls(&exchange, &mut turn, &mut terminate).await);
-            }
-            Some(Do::Serve | Do::Forget) => {}
-        }
-    }
-    log::info!("told to end: finishing calls");
-    if let Some(fleet) = &fleet {
-        fleet.drain().await;
-    }
-    exchange.shut_down().await;
-    let _ = tokio::time::timeout(client::LAST_ANSWERS, serving).await;
-    tokio::time::sleep(client::FAREWELL).await;
-    if let Some(fleet) = &fleet {
-        fleet.leave().await;
-    }
-    log::info!("ended");
-    Ok(Done::Ended)
-}
-
-/// After a hand-over: until the calls that are out have ended, or the process is told to end and has no time left.
-async fn end_calls(exchange: &exchange::Exchange, turn: &mut Turn, terminate: &mut Signal) -> Done {
-    let mut gone_by = None;
-    loop {
-        let seen = Seen { calls: exchange.calls_in_flight() > 0, ..Seen::default() };
-        let forgets = turn.look(clock::now(), seen) == Some(Do::Forget);
-        if forgets || gone_by.is_some_and(|at| tokio::time::Instant::now() >= at) {
-            log::info!("calls ended, or given up for lack of time");
-            return if gone_by.is_some() { Done::Ended } else { Done::HandedOver };
-        }
-        tokio::select! {
-            _ = terminate.recv(), if gone_by.is_none() => {
-                log::info!("told to end: finishing calls");
-                gone_by = Some(tokio::time::Instant::now() + exchange::GONE_BY);
-            }
-            () = tokio::time::sleep(LOOK_EACH) => {}
-        }
-    }
+    runtime.block_on(peers::inspect::run(query, interval))
 }
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -1,274 +1,192 @@
-//! Learning from running neighbours: who is there (`fleet`), whom to believe (`trust`), what is told (`tell`, `frame`)
-//! and what counts of it (`weigh`). Here are the sockets and the tasks. Nothing of the forwarder waits for any of it:
-//! what is learned comes as an input of a moment like all else. Off unless it is given an address to listen on.
-//! `docs/design/neighbours.md` says why it is as it is, `docs/operate/neighbours.md` how to run it.
-pub mod dial;
+//! Exchange of endpoint observations with running peers, so that a restarted forwarder knows of outages, waits and
+//! limits without meeting them itself.
+//!
+//! `fleet` says which members are present. `credentials` and `authentication` say which of them to trust. `session` and
+//! `frame` are the protocol: a subscriber connects to a few `sources` and receives what they `publish`. `aggregation`
+//! decides what counts of it, and hands it to the exchange as an input like any other; nothing in the forwarder waits
+//! for a peer. `inspect` is the client behind `micaladder fleet`.
+//!
+//! Off unless a listen address is configured. `docs/design/peers.md` has the reasons, `docs/operate/peers.md`
+//! the operation.
+#![warn(missing_docs)]
+mod acceptor;
+pub mod aggregation;
+mod attributes;
+pub mod authentication;
+pub mod connect;
+pub mod credentials;
+pub mod error;
 pub mod frame;
-pub mod link;
-pub mod look;
-pub mod meet;
-pub mod own;
-pub mod teachers;
-pub mod tell;
-pub mod trust;
-pub mod turns;
-pub mod weigh;
+pub mod inspect;
+pub mod local_observations;
+pub mod publish;
+pub mod rotation;
+pub mod session;
+pub mod sources;
+mod subscriptions;
+pub mod topic;
+
+pub use error::PeersError;
 
 use crate::clock;
 use crate::exchange::Exchange;
 use crate::flags;
-use crate::fleet::gossip::{self, Fleet};
-use crate::fleet::members::{Member, NAME_MOST};
-use crate::fleet::memory::Memory;
-use crate::fleet::node::{Node, Setup};
-use crate::fleet::wire::{Facts, TEXT_MOST};
-use crate::interface::Nanos;
+use crate::fleet::gossip::{self, DriverChannels, FleetHandle};
+use crate::fleet::member::{Member, MAX_NAME_BYTES};
+use crate::fleet::node::{Node, NodeConfig};
+use crate::fleet::snapshot::SnapshotStore;
+use crate::fleet::wire::Attributes;
 use crate::journal;
 use crate::settings::Config;
-use dial::Dial;
-use frame::Item;
-use link::{End, Me};
-use own::Own;
-use std::collections::BTreeMap;
+use connect::Connector;
+use credentials::{CredentialFiles, Credentials};
+use local_observations::LocalObservations;
+use session::LocalIdentity;
+use sources::Sources;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
-use teachers::Teachers;
 use tokio::net::{TcpListener, UdpSocket};
-use tokio::sync::{mpsc, watch, Semaphore};
-use tokio::time::{interval, sleep, timeout, Instant};
-use tokio_rustls::TlsAcceptor;
-use trust::Trust;
-use weigh::Weigh;
+use tokio::sync::{mpsc, watch};
+use tokio::time::Instant;
 
-/// How soon news goes out, and how soon what counts is looked at anew.
-const LOOK: Duration = Duration::from_millis(100);
-/// Neighbours that are taught at once; more are turned away, and find others.
-const LEARNERS: usize = 64;
-/// Messages of neighbours that wait to be weighed; a reader waits while there are more.
-const WAITING: usize = 256;
+/// Interval at which local observations are collected for subscribers, and at which those of peers are aggregated.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(100);
+/// Batches that wait to be aggregated. When it is full, further ones are dropped: what counts is published again.
+const MAX_QUEUED_BATCHES: usize = 256;
+/// Nanoseconds in the units of the fleet's clock fields.
+const NANOS_PER_MILLI: u64 = 1_000_000;
+const NANOS_PER_SEC: u64 = 1_000_000_000;
 
-/// What changes while the process runs and is told to the fleet.
-pub struct Changes {
-    /// Version of discovery's list.
-    pub list: watch::Receiver<u64>,
-    /// Where discovery is: what a reload can change.
-    pub discovery: watch::Receiver<String>,
+/// Values that change while the process runs and that the fleet shows of this member.
+pub struct LocalChanges {
+    /// Version of discovery's endpoint list.
+    pub list_version: watch::Receiver<u64>,
+    /// Address of discovery: the one setting that a reload can change.
+    pub discovery_address: watch::Receiver<String>,
 }
 
-/// Starts all of it; returns at once, with the way to the fleet. What cannot be started is logged, and the forwarder
-/// goes on without.
+/// Starts membership and the exchange with peers; returns at once, with a handle to the fleet. None if it is not
+/// configured, or cannot start: that is logged, and the forwarder serves without.
 pub fn start(
-    flags: &flags::Neighbours, config: &Config, exchange: &Exchange, changes: Changes,
-) -> Option<Fleet> {
+    flags: &flags::PeerFlags, config: &Config, exchange: &Exchange, changes: LocalChanges,
+) -> Option<FleetHandle> {
     let listen = flags.listen?;
-    let off = |why: &dyn std::fmt::Display| log::error!("neighbours are off: {why}");
-    let Some(files) = trust::Files::of(&flags.papers) else {
-        off(&"they need a certificate, a key and an authority");
-        return None;
-    };
-    let trust = Arc::new(Trust::new(files).inspect_err(|e| off(e)).ok()?);
-    let disk = journal::on(&config.state).inspect_err(|e| off(e)).ok()?;
-    let (name, seed) = (config.name.clone(), config.seed);
-    if name.len() > NAME_MOST {
-        off(&format_args!("a name of {} bytes, of {NAME_MOST} at the most", name.len()));
-        return None;
-    }
-    // What stands on disk is raised; the clock is asked only where there is nothing, and above all that was there.
-    let mut memory = Memory::open(disk, config.disk);
-    let started = clock::now();
-    let incarnation = memory.begin(started.0 / 1_000_000);
-    let (fleet, wishes) = Fleet::new();
-    let me = Me { name: name.clone(), group: flags.papers.group.clone(), fleet: Some(fleet.clone()) };
-    let address = flags.advertise.unwrap_or(listen);
-    let mut facts = Facts {
-        zone: config.site.zones.get(config.site.module.zone).cloned().unwrap_or_default(),
-        version: env!("CARGO_PKG_VERSION").into(),
-        config: config.digest() ^ discovery_at(&config.discovery),
-        epoch: 1,
-        list: *changes.list.borrow(),
-        started: started.0 / 1_000_000_000,
-        ..Facts::default()
-    };
-    let cut = (0..=TEXT_MOST.min(facts.zone.len())).rfind(|n| facts.zone.is_char_boundary(*n));
-    facts.zone.truncate(cut.unwrap_or(0));
-    let setup = Setup {
-        me: Member { address, name, incarnation },
-        group: flags.papers.group.clone(),
-        size: flags.size,
-        seed,
-        seeds: flags.seeds.clone(),
-        remembered: memory.seen().iter().map(|s| s.address).collect(),
-        agreed: memory.agreed().clone(),
-        facts: facts.clone(),
-    };
-    let (seeds, exchange, known, way) =
-        (flags.seeds.clone(), exchange.clone(), fleet.known.clone(), fleet.clone());
-    tokio::spawn(async move {
-        let sockets = async { Ok((UdpSocket::bind(listen).await?, TcpListener::bind(listen).await?)) };
-        let (datagrams, listener): (UdpSocket, TcpListener) = match sockets.await {
-            Ok(sockets) => sockets,
-            Err(e) => {
-                let e: std::io::Error = e;
-                return log::error!("neighbours are off: {listen}: {e}");
-            }
-        };
-        log::info!("neighbours: listening on {listen}");
-        let (own_in, own) = watch::channel(Own::default());
-        let (learned_in, learned) = mpsc::channel(WAITING);
-        tokio::spawn(look(exchange.clone(), own_in));
-        tokio::spawn(weigh_all(exchange, learned));
-        tokio::spawn(teach_all(listener, trust.clone(), me.clone(), own));
-        let began = Instant::now();
-        tokio::spawn(gossip::run(datagrams, Node::new(setup, Duration::ZERO), began, memory, wishes));
-        tokio::spawn(write_all(way, facts, changes));
-        let dial = Dial { from: listen.ip(), trust, me };
-        tokio::spawn(meet::all(dial.clone(), known, seed));
-        learn_all(Teachers::new(address, seeds, seed), dial, learned_in).await;
-    });
-    Some(fleet)
-}
-
-fn discovery_at(address: &str) -> u64 {
-    u64::from(crc32fast::hash(address.as_bytes()))
-}
-
-/// Tells the fleet what changes here.
-async fn write_all(fleet: Fleet, mut facts: Facts, mut changes: Changes) {
-    let settings = facts.config ^ discovery_at(&changes.discovery.borrow_and_update());
-    loop {
-        facts.list = *changes.list.borrow_and_update();
-        fleet.write(facts.clone()).await;
-        tokio::select! {
-            Ok(()) = changes.list.changed() => {}
-            Ok(()) = changes.discovery.changed() => {
-                // All else of the settings stands until a restart.
-                facts.config = settings ^ discovery_at(&changes.discovery.borrow_and_update());
-                facts.epoch += 1;
-            }
-            else => return,
+    match PeerExchange::prepare(listen, flags, config, changes) {
+        Ok(prepared) => {
+            let fleet = prepared.fleet.clone();
+            tokio::spawn(prepared.run(exchange.clone()));
+            Some(fleet)
+        }
+        Err(error) => {
+            log_disabled(&error);
+            None
         }
     }
 }
 
-/// Keeps what this forwarder has seen itself at hand, while somebody wants to know.
-async fn look(exchange: Exchange, own: watch::Sender<Own>) {
-    let mut ticks = interval(LOOK);
-    loop {
-        ticks.tick().await;
-        // One receiver is the listener's own.
-        if own.receiver_count() > 1 {
-            let items = Arc::new(exchange.observations().await);
-            own.send_replace(Own { items, at: clock::now() });
-        }
-    }
+fn log_disabled(error: &PeersError) {
+    log::error!("peer exchange is off: {error}");
 }
 
-/// What came from one neighbour.
-struct Learned {
-    from: weigh::Neighbour,
-    way: Nanos,
-    items: Vec<Item>,
+/// All that has been read and checked before the sockets are bound.
+struct PeerExchange {
+    listen: SocketAddr,
+    advertised: SocketAddr,
+    seeds: Vec<SocketAddr>,
+    random_seed: u64,
+    connector: Connector,
+    fleet: FleetHandle,
+    channels: DriverChannels,
+    node_config: NodeConfig,
+    snapshots: SnapshotStore,
+    attributes: Attributes,
+    changes: LocalChanges,
 }
 
-async fn weigh_all(exchange: Exchange, mut learned: mpsc::Receiver<Learned>) {
-    let mut weigh = Weigh::default();
-    let mut ticks = interval(LOOK);
-    loop {
-        tokio::select! {
-            some = learned.recv() => match some {
-                Some(Learned { from, way, items }) => weigh.take(clock::now(), from, way, items),
-                None => return,
-            },
-            _ = ticks.tick() => {}
-        }
-        while let Ok(Learned { from, way, items }) = learned.try_recv() {
-            weigh.take(clock::now(), from, way, items);
-        }
-        let counts = weigh.counts(clock::now());
-        if !counts.is_empty() {
-            exchange.peer_observations(counts);
+impl PeerExchange {
+    fn prepare(
+        listen: SocketAddr, flags: &flags::PeerFlags, config: &Config, changes: LocalChanges,
+    ) -> Result<PeerExchange, PeersError> {
+        let files = CredentialFiles::from_flags(&flags.identity).ok_or(PeersError::MissingCredentials)?;
+        let credentials = Arc::new(Credentials::new(files).map_err(PeersError::Credentials)?);
+        let disk = journal::open_disk(&config.state_dir).map_err(PeersError::StateFolder)?;
+        if config.name.len() > MAX_NAME_BYTES {
+            return Err(PeersError::NameTooLong { length: config.name.len(), max: MAX_NAME_BYTES });
         }
+        let mut snapshots = SnapshotStore::open(disk, config.disk_limit);
+        let started = clock::now();
+        // The incarnation on disk is raised. The clock is read only where there is none, and stays above it.
+        let incarnation = snapshots.begin_incarnation(started.0 / NANOS_PER_MILLI);
+        let advertised = flags.advertise.unwrap_or(listen);
+        let local = Member { address: advertised, name: config.name.clone(), incarnation };
+        let list_version = *changes.list_version.borrow();
+        let attributes = attributes::at_start(config, list_version, started.0 / NANOS_PER_SEC);
+        let node_config = node_config(flags, config, local, &snapshots, &attributes);
+        let (fleet, channels) = FleetHandle::new();
+        let identity = LocalIdentity {
+            name: config.name.clone(),
+            group: flags.identity.group.clone(),
+            fleet: Some(fleet.clone()),
+        };
+        Ok(PeerExchange {
+            listen,
+            advertised,
+            seeds: flags.seeds.clone(),
+            random_seed: config.seed,
+            connector: Connector { source: listen.ip(), credentials, identity },
+            fleet,
+            channels,
+            node_config,
+            snapshots,
+            attributes,
+            changes,
+        })
     }
-}
 
-async fn teach_all(listener: TcpListener, trust: Arc<Trust>, me: Me, own: watch::Receiver<Own>) {
-    let seats = Arc::new(Semaphore::new(LEARNERS));
-    loop {
-        let (socket, from) = match listener.accept().await {
-            Ok(come) => come,
-            Err(e) => {
-                log::warn!("neighbours: connection not taken in: {e}");
-                sleep(LOOK).await;
-                continue;
-            }
+    /// Binds the sockets and runs all tasks, for as long as the process runs.
+    async fn run(self, exchange: Exchange) {
+        let (datagrams, listener) = match bind(self.listen).await {
+            Ok(sockets) => sockets,
+            Err(error) => return log_disabled(&error),
         };
-        // With no seat left the connection closes at once: whoever came finds another teacher.
-        let Ok(seat) = seats.clone().try_acquire_owned() else { continue };
-        let (server, me, own) = (trust.sides().server, me.clone(), own.clone());
-        tokio::spawn(async move {
-            let _seat = seat;
-            let _ = socket.set_nodelay(true);
-            match timeout(link::HELLO_BY, TlsAcceptor::from(server).accept(socket)).await {
-                Ok(Ok(stream)) => match link::teach(stream, &me, own).await {
-                    End::Over(why) => log::debug!("neighbours: {from} learns no more: {why}"),
-                    End::Shun(why) => log::warn!("neighbours: {from} is not taught: {why}"),
-                },
-                Ok(Err(e)) => log::warn!("neighbours: {from} is not taught: {e}"),
-                Err(_) => log::debug!("neighbours: {from}: a handshake without end"),
-            }
-        });
+        log::info!("peer exchange: listening on {}", self.listen);
+        let (collected_tx, collected) = watch::channel(LocalObservations::default());
+        let (batches_tx, batches) = mpsc::channel(MAX_QUEUED_BATCHES);
+        tokio::spawn(local_observations::collect(exchange.clone(), collected_tx));
+        tokio::spawn(subscriptions::aggregate(exchange, batches));
+        let Connector { credentials, identity, .. } = self.connector.clone();
+        tokio::spawn(acceptor::run(listener, credentials, identity, collected));
+        let node = Node::new(self.node_config, Duration::ZERO);
+        tokio::spawn(gossip::run(datagrams, node, Instant::now(), self.snapshots, self.channels));
+        let known = self.fleet.known_members.clone();
+        tokio::spawn(attributes::publish_changes(self.fleet, self.attributes, self.changes));
+        tokio::spawn(authentication::run(self.connector.clone(), known.clone(), self.random_seed));
+        let sources = Sources::new(self.advertised, self.seeds, self.random_seed);
+        subscriptions::run(sources, known, self.connector, batches_tx).await;
     }
 }
 
-/// Learns from some of those that are there, for as long as the process runs.
-async fn learn_all(mut teachers: Teachers, dial: Dial, learned: mpsc::Sender<Learned>) {
-    let began = Instant::now();
-    let (ended_in, mut ended) = mpsc::unbounded_channel();
-    // One line for each that is shunned, not one for each attempt.
-    let mut shunned: BTreeMap<SocketAddr, String> = BTreeMap::new();
-    let mut next = 0;
-    let mut ticks = interval(LOOK);
-    loop {
-        let now = || began.elapsed().as_secs_f64();
-        tokio::select! {
-            _ = ticks.tick() => {}
-            some = ended.recv() => if let Some((who, end)) = some {
-                let pause = match end {
-                    End::Over(why) => {
-                        log::debug!("neighbours: learning from {who} is over: {why}");
-                        turns::AGAIN
-                    }
-                    End::Shun(why) => {
-                        if shunned.get(&who) != Some(&why) {
-                            log::warn!("neighbours: nothing is learned from {who}: {why}");
-                            shunned.insert(who, why);
-                        }
-                        turns::SHUNNED
-                    }
-                };
-                teachers.ended(now(), who, pause);
-            },
-        }
-        let there = dial.me.fleet.as_ref().map(|f| f.known.borrow().clone()).unwrap_or_default();
-        let chosen = teachers.choose(now(), &there.there);
-        for who in chosen {
-            next += 1;
-            let (dial, learned, ended) = (dial.clone(), learned.clone(), ended_in.clone());
-            let from = next;
-            tokio::spawn(async move {
-                let end = match dial.to(who).await {
-                    Ok(stream) => {
-                        link::learn(stream, &dial.me, |way, told| {
-                            // Where weighing is behind, news is dropped; what counts is told again.
-                            let _ = learned.try_send(Learned { from, way, items: told.items });
-                        })
-                        .await
-                    }
-                    Err(end) => end,
-                };
-                let _ = ended.send((who, end));
-            });
-        }
+fn node_config(
+    flags: &flags::PeerFlags, config: &Config, local: Member, snapshots: &SnapshotStore,
+    attributes: &Attributes,
+) -> NodeConfig {
+    NodeConfig {
+        local,
+        group: flags.identity.group.clone(),
+        expected_members: flags.size,
+        random_seed: config.seed,
+        seed_addresses: flags.seeds.clone(),
+        remembered_addresses: snapshots.known_members().iter().map(|member| member.address).collect(),
+        agreed_fleet: snapshots.agreed_fleet().clone(),
+        attributes: attributes.clone(),
     }
 }
+
+/// Binds the listen address for datagrams (membership) and connections (observations).
+async fn bind(address: SocketAddr) -> Result<(UdpSocket, TcpListener), PeersError> {
+    let error = |source| PeersError::Bind { address, source };
+    let datagrams = UdpSocket::bind(address).await.map_err(error)?;
+    let listener = TcpListener::bind(address).await.map_err(error)?;
+    Ok((datagrams, listener))
+}
