--- a/src/fleet/membership.rs
+++ b/src/fleet/membership.rs
@@ -30,7 +30,7 @@
 /// them never does has the probability n e^(-0.85 MAX_TRANSMISSIONS) at a datagram loss of 15%: under one in a million at
 /// 1,000 members. With foca's default (4 at 8 members) one of eight missed a goodbye in one run of six, and noticed it 4 s
 /// later by its own suspicion.
-const MAX_TRANSMISSIONS: NonZeroU8 = NonZeroU8::new(26).unwrap();
+const MAX_TRANSMISSIONS: NonZeroU8 = NonZeroU8::new(26).expect("26 is not zero");
 
 impl Identity for Member {
     type Addr = SocketAddr;
