--- a/src/peers/acceptor.rs
+++ b/src/peers/acceptor.rs
@@ -11,10 +11,10 @@
 use tokio::time::{sleep, timeout};
 use tokio_rustls::TlsAcceptor;
 
-/// Sessions at a time. Further connections are closed at once, and the subscribers find other sources.
+/// Maximum number of concurrent sessions. Further connections are closed at once; their subscribers select other sources.
 const MAX_SUBSCRIBERS: usize = 64;
 
-/// Accepts connections for as long as the process runs.
+/// Accepts connections until the process exits.
 pub async fn run(
     listener: TcpListener, credentials: Arc<Credentials>, identity: LocalIdentity,
     observations: watch::Receiver<LocalObservations>,
@@ -24,8 +24,8 @@
         let (socket, address) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
-                log::warn!("peer exchange: accepting a connection failed: {error}");
-                // The cause, such as a lack of descriptors, does not pass at once: do not spin.
+                log::warn!("peer exchange: cannot accept a connection: {error}");
+                // Avoids a busy loop: a cause such as exhausted file descriptors persists for a while.
                 sleep(REFRESH_INTERVAL).await;
                 continue;
             }
@@ -45,7 +45,7 @@
     socket: TcpStream, address: SocketAddr, acceptor: TlsAcceptor, identity: &LocalIdentity,
     observations: watch::Receiver<LocalObservations>,
 ) {
-    // Without it small frames wait for acknowledgements; the connection works either way.
+    // Disables Nagle's algorithm, which delays small frames. The connection works without this too.
     let _ = socket.set_nodelay(true);
     let stream = match timeout(HELLO_TIMEOUT, acceptor.accept(socket)).await {
         Ok(Ok(stream)) => stream,
--- a/src/peers/aggregation.rs
+++ b/src/peers/aggregation.rs
@@ -1,56 +1,59 @@
-//! Aggregates the observations of several peers, without I/O: dates them by this forwarder's own clock, decides which of
-//! several that disagree counts, and for how long. What this forwarder observed itself is compared with the result by
-//! the decision module, where a local observation wins unless it is older.
+//! Aggregates the observations of several peers, without I/O. Converts them to this forwarder's clock, expires them, and
+//! selects the effective observation where peers disagree: at most one for each endpoint and topic. The decision module
+//! compares the result with local observations, which take precedence unless they are older.
 //!
-//! | observation | counts for | where peers disagree |
+//! | observation | valid for | effective observation where peers disagree |
 //! | --- | --- | --- |
-//! | outage | as long as the outage had lasted when it was observed, from 2 s to a minute | the latest observation; of two within a second of each other, the worse state |
-//! | recovery | half a minute: it is a reason to send less, not more | the same; of two recoveries, the later start |
-//! | health | a second | the same |
-//! | retry-after | to the end that the partner asked for | the latest end |
-//! | rate limit, connection capacity | ten seconds | the latest observation |
+//! | outage | the duration of the outage when it was observed, between 2 s and 60 s | the latest; of two within a second of each other, the worse state |
+//! | recovery | 30 s, because it only reduces the sending rate | as for an outage; of two recoveries, the later start |
+//! | health | 1 s | as for an outage |
+//! | Retry-After | until the time that the partner requested | the latest end |
+//! | rate limit, connection capacity | 10 s | the latest |
 use super::frame::EndpointObservation;
 use super::topic::Topic;
 use crate::interface::{Finding, Nanos};
 use std::collections::BTreeMap;
 
-/// Bounds of the time for which an outage counts, in seconds: long enough to spare the first calls, short enough that a
-/// partner is tried again a minute after the last peer was heard of.
+/// Shortest validity of an outage, in seconds: long enough to prevent the first calls after a restart.
 const MIN_OUTAGE_VALIDITY_SECS: f64 = 2.0;
+/// Longest validity of an outage, in seconds: the partner is tried again at most a minute after the last observation.
 const MAX_OUTAGE_VALIDITY_SECS: f64 = 60.0;
-/// After so long a recovered endpoint has warmed up, in seconds.
+/// Validity of a recovery, in seconds. A recovered endpoint has warmed up after this time.
 const RECOVERY_VALIDITY_SECS: f64 = 30.0;
-/// Good news expires fast, in seconds: the endpoint may have failed since.
+/// Validity of a healthy state, in seconds: short, because the endpoint may have failed since.
 const HEALTH_VALIDITY_SECS: f64 = 1.0;
-/// A limit changes with the partner's load, in seconds.
+/// Validity of a rate limit or connection capacity, in seconds: both change with the partner's load.
 const LIMIT_VALIDITY_SECS: f64 = 10.0;
-/// The order of two observations this close is not known, in seconds: transit and build times differ by more.
+/// Two observations this close together, in seconds, have no known order: their transit and encoding times can differ by
+/// more.
 const ORDER_UNCERTAINTY_SECS: f64 = 1.0;
-/// What counts is handed over again after so many seconds, for endpoints that discovery has listed only since.
-const REPEAT_SECS: f64 = 1.0;
-/// A longer wait is ignored, in seconds: no partner asks for one, and a faulty peer must not hold messages for longer.
+/// Interval at which unchanged effective observations are returned again, in seconds, for endpoints that discovery listed
+/// in the meantime.
+const REPEAT_INTERVAL_SECS: f64 = 1.0;
+/// Longest accepted Retry-After wait, in seconds. No partner requests a longer one, so a longer one is ignored: a faulty
+/// peer must not delay messages further.
 const MAX_RETRY_AFTER_SECS: f64 = 600.0;
 
-/// Endpoints in the table. Further ones are ignored until entries expire.
+/// Maximum number of endpoints in the table. New endpoints are ignored while the table is full.
 const MAX_ENDPOINTS: usize = 20_000;
-/// Peers in the table for each endpoint and topic; a further one replaces the oldest observation.
+/// Maximum number of peers for each endpoint and topic. An observation of a further peer replaces the oldest one.
 const MAX_PEERS: usize = 8;
 
-/// A peer, by the number of its session: a restart under the same name is another one.
+/// Identifies a peer by its session number, so a peer that restarts under the same name has a new ID.
 pub type PeerId = u64;
 
-/// A finding with its times on this forwarder's clock.
+/// A finding whose times are on this forwarder's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum DatedFinding {
-    Outage { began: Nanos, risky: bool },
-    Recovering { began: Nanos },
+    Outage { started_at: Nanos, risky: bool },
+    Recovering { started_at: Nanos },
     Healthy { mean: f64, dev: f64 },
     RetryAfter { until: Nanos },
     RateLimit { rate: f64 },
     ConnectionCapacity { calls: f64 },
 }
 
-/// Severity of an endpoint's state: of two states at the same time the worse one counts.
+/// Severity of an endpoint's state. Of two concurrent states the more severe one is effective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Severity {
     Normal,
@@ -58,20 +61,22 @@
     Outage,
 }
 
-/// One peer's observation of an endpoint on one topic.
+/// One peer's observation of an endpoint on one topic, on this forwarder's clock.
 #[derive(Clone, Copy, Debug)]
-struct Evidence {
+struct DatedObservation {
     observed_at: Nanos,
     finding: DatedFinding,
 }
 
-impl Evidence {
-    /// Dates an observation that arrived now. `transit` is the longest time for which it can have been in transit:
-    /// everything is that much older, so a wait never ends later than the partner asked for.
-    fn dated(now: Nanos, transit: Nanos, age: Nanos, finding: Finding) -> Evidence {
+impl DatedObservation {
+    /// Converts an observation that arrived at `now` to this forwarder's clock. `transit` is the upper bound of its
+    /// transit time; all times are moved back by it, so a wait never ends later than the partner requested.
+    fn from_received(now: Nanos, transit: Nanos, age: Nanos, finding: Finding) -> DatedObservation {
         let finding = match finding {
-            Finding::Outage { since, risky } => DatedFinding::Outage { began: now - transit - since, risky },
-            Finding::Recovering { since } => DatedFinding::Recovering { began: now - transit - since },
+            Finding::Outage { since, risky } => {
+                DatedFinding::Outage { started_at: now - transit - since, risky }
+            }
+            Finding::Recovering { since } => DatedFinding::Recovering { started_at: now - transit - since },
             Finding::Healthy { mean, dev } => DatedFinding::Healthy { mean, dev },
             Finding::RetryAfter { left } => {
                 let left = left - transit;
@@ -81,14 +86,14 @@
             Finding::RateLimit { rate } => DatedFinding::RateLimit { rate },
             Finding::ConnectionCapacity { calls } => DatedFinding::ConnectionCapacity { calls },
         };
-        Evidence { observed_at: now - age - transit, finding }
+        DatedObservation { observed_at: now - age - transit, finding }
     }
 
-    /// When it stops counting.
+    /// Returns the time at which the observation expires.
     fn expires_at(&self) -> Nanos {
         match self.finding {
-            DatedFinding::Outage { began, .. } => {
-                let lasted = (self.observed_at - began).secs();
+            DatedFinding::Outage { started_at, .. } => {
+                let lasted = (self.observed_at - started_at).secs();
                 self.observed_at + lasted.clamp(MIN_OUTAGE_VALIDITY_SECS, MAX_OUTAGE_VALIDITY_SECS)
             }
             DatedFinding::Recovering { .. } => self.observed_at + RECOVERY_VALIDITY_SECS,
@@ -111,24 +116,28 @@
         }
     }
 
-    /// Takes over what another peer knows of the same state: the risk of an outage, the later start of a recovery.
-    fn merge(&mut self, other: &Evidence) {
+    /// Merges another peer's observation of the same state: an outage is risky if either peer says so, a recovery has the
+    /// later start.
+    fn merge(&mut self, other: &DatedObservation) {
         match (&mut self.finding, other.finding) {
             (DatedFinding::Outage { risky, .. }, DatedFinding::Outage { risky: other_risky, .. }) => {
                 *risky |= other_risky;
             }
-            (DatedFinding::Recovering { began }, DatedFinding::Recovering { began: other_began }) => {
-                *began = other_began.max(*began);
+            (
+                DatedFinding::Recovering { started_at },
+                DatedFinding::Recovering { started_at: other_started_at },
+            ) => {
+                *started_at = other_started_at.max(*started_at);
             }
             (_, _) => {}
         }
     }
 
-    /// The finding as of now.
-    fn at(&self, now: Nanos) -> Finding {
+    /// Returns the finding with its spans relative to `now`.
+    fn finding_at(&self, now: Nanos) -> Finding {
         match self.finding {
-            DatedFinding::Outage { began, risky } => Finding::Outage { since: now - began, risky },
-            DatedFinding::Recovering { began } => Finding::Recovering { since: now - began },
+            DatedFinding::Outage { started_at, risky } => Finding::Outage { since: now - started_at, risky },
+            DatedFinding::Recovering { started_at } => Finding::Recovering { since: now - started_at },
             DatedFinding::Healthy { mean, dev } => Finding::Healthy { mean, dev },
             DatedFinding::RetryAfter { until } => Finding::RetryAfter { left: until - now },
             DatedFinding::RateLimit { rate } => Finding::RateLimit { rate },
@@ -137,59 +146,67 @@
     }
 }
 
-/// What peers observed of one endpoint.
+/// The observations of one endpoint by all peers.
 #[derive(Default)]
-struct EndpointEvidence {
-    by_peer: BTreeMap<(Topic, PeerId), Evidence>,
-    handed_over_at: Nanos,
+struct EndpointEntry {
+    by_peer: BTreeMap<(Topic, PeerId), DatedObservation>,
+    last_returned_at: Nanos,
     has_changed: bool,
 }
 
-impl EndpointEvidence {
-    /// Records a peer's observation unless it already has a later one of that peer.
-    fn record(&mut self, topic: Topic, peer: PeerId, evidence: Evidence) {
+impl EndpointEntry {
+    /// Records a peer's observation unless a later one of that peer is already recorded.
+    fn record(&mut self, topic: Topic, peer: PeerId, observation: DatedObservation) {
         let key = (topic, peer);
-        // A frame that was longer in transit may arrive after a later one.
-        if self.by_peer.get(&key).is_some_and(|known| known.observed_at > evidence.observed_at) {
+        // A frame with a longer transit time can carry an older observation than a frame that arrived before it.
+        if self.by_peer.get(&key).is_some_and(|known| known.observed_at > observation.observed_at) {
             return;
         }
-        let is_full = self.on(topic).count() >= MAX_PEERS;
+        let is_full = self.observations_on(topic).count() >= MAX_PEERS;
         if is_full && !self.by_peer.contains_key(&key) {
             self.remove_oldest(topic);
         }
-        self.by_peer.insert(key, evidence);
+        self.by_peer.insert(key, observation);
         self.has_changed = true;
     }
 
     fn remove_oldest(&mut self, topic: Topic) {
-        let of_topic = self.by_peer.iter().filter(|((of, _), _)| *of == topic);
-        let oldest = of_topic.min_by_key(|(_, evidence)| evidence.observed_at).map(|(key, _)| *key);
+        let of_topic = self.by_peer.iter().filter(|((entry_topic, _), _)| *entry_topic == topic);
+        let oldest = of_topic.min_by_key(|(_, observation)| observation.observed_at).map(|(key, _)| *key);
         if let Some(key) = oldest {
             self.by_peer.remove(&key);
         }
     }
 
-    fn on(&self, topic: Topic) -> impl Iterator<Item = &Evidence> {
-        self.by_peer.iter().filter(move |((of, _), _)| *of == topic).map(|(_, evidence)| evidence)
+    fn observations_on(&self, topic: Topic) -> impl Iterator<Item = &DatedObservation> {
+        self.by_peer
+            .iter()
+            .filter(move |((entry_topic, _), _)| *entry_topic == topic)
+            .map(|(_, observation)| observation)
     }
 
-    /// What counts, one for each topic at the most.
-    fn aggregate(&self) -> impl Iterator<Item = Evidence> {
-        let latest = |topic| self.on(topic).max_by_key(|evidence| evidence.observed_at).copied();
-        let longest_wait = self.on(Topic::RetryAfter).max_by_key(|evidence| evidence.expires_at()).copied();
-        let counting =
+    /// Returns the effective observations, at most one for each topic.
+    fn effective(&self) -> impl Iterator<Item = DatedObservation> {
+        let latest =
+            |topic| self.observations_on(topic).max_by_key(|observation| observation.observed_at).copied();
+        let longest_wait = self
+            .observations_on(Topic::RetryAfter)
+            .max_by_key(|observation| observation.expires_at())
+            .copied();
+        let effective =
             [self.state(), longest_wait, latest(Topic::RateLimit), latest(Topic::ConnectionCapacity)];
-        counting.into_iter().flatten()
+        effective.into_iter().flatten()
     }
 
-    /// The endpoint's state: of the latest observations whose order is not known, the worst.
-    fn state(&self) -> Option<Evidence> {
-        let latest_at = self.on(Topic::State).map(|evidence| evidence.observed_at).max()?;
-        let is_recent = |e: &&Evidence| (latest_at - e.observed_at).secs() <= ORDER_UNCERTAINTY_SECS;
-        let recent: Vec<&Evidence> = self.on(Topic::State).filter(is_recent).collect();
-        let worst = recent.iter().map(|evidence| evidence.severity()).max()?;
-        let agreeing: Vec<&Evidence> = recent.into_iter().filter(|e| e.severity() == worst).collect();
-        let mut state = **agreeing.iter().max_by_key(|evidence| evidence.observed_at)?;
+    /// Returns the effective state: the most severe of the latest observations, whose order is not known.
+    fn state(&self) -> Option<DatedObservation> {
+        let latest_at =
+            self.observations_on(Topic::State).map(|observation| observation.observed_at).max()?;
+        let is_recent = |e: &&DatedObservation| (latest_at - e.observed_at).secs() <= ORDER_UNCERTAINTY_SECS;
+        let recent: Vec<&DatedObservation> = self.observations_on(Topic::State).filter(is_recent).collect();
+        let worst = recent.iter().map(|observation| observation.severity()).max()?;
+        let agreeing: Vec<&DatedObservation> = recent.into_iter().filter(|e| e.severity() == worst).collect();
+        let mut state = **agreeing.iter().max_by_key(|observation| observation.observed_at)?;
         for other in agreeing {
             state.merge(other);
         }
@@ -197,29 +214,28 @@
     }
 }
 
-/// All that peers observed and that may still count.
+/// Table of the observations of all peers that have not expired.
 #[derive(Default)]
 pub struct Aggregator {
-    endpoints: BTreeMap<String, EndpointEvidence>,
+    endpoints: BTreeMap<String, EndpointEntry>,
 }
 
 impl Aggregator {
-    /// Records the observations of one frame, which arrived now. `transit` is the longest time for which it can have
-    /// been in transit.
+    /// Records the observations of one frame that arrived at `now`. `transit` is the upper bound of its transit time.
     pub fn record(
         &mut self, now: Nanos, peer: PeerId, transit: Nanos, observations: Vec<EndpointObservation>,
     ) {
         for EndpointObservation { uid, finding, age } in observations {
-            let evidence = Evidence::dated(now, transit, age, finding);
-            if evidence.expires_at() <= now || !self.has_capacity_for(now, &uid) {
+            let observation = DatedObservation::from_received(now, transit, age, finding);
+            if observation.expires_at() <= now || !self.has_capacity_for(now, &uid) {
                 continue;
             }
-            self.endpoints.entry(uid).or_default().record(Topic::of(&finding), peer, evidence);
+            self.endpoints.entry(uid).or_default().record(Topic::of(&finding), peer, observation);
         }
     }
 
-    /// Whether the endpoint is in the table or can be added. A full table drops expired endpoints first; if there are
-    /// none, the new one is ignored, so that one peer cannot displace what others observed.
+    /// Returns whether the endpoint is in the table or can be added. A full table removes expired endpoints to make room,
+    /// but never current ones, so that one peer cannot displace the observations of others.
     fn has_capacity_for(&mut self, now: Nanos, uid: &str) -> bool {
         if self.endpoints.contains_key(uid) {
             return true;
@@ -230,18 +246,19 @@
         self.endpoints.len() < MAX_ENDPOINTS
     }
 
-    /// What counts now and has changed, or was last handed over a while ago.
+    /// Returns the effective observations of endpoints that have changed since the last call or whose repeat interval has
+    /// passed.
     pub fn due(&mut self, now: Nanos) -> Vec<EndpointObservation> {
         let mut due = Vec::new();
         self.endpoints.retain(|uid, endpoint| {
-            endpoint.by_peer.retain(|_, evidence| evidence.expires_at() > now);
-            if endpoint.has_changed || (now - endpoint.handed_over_at).secs() >= REPEAT_SECS {
-                endpoint.handed_over_at = now;
+            endpoint.by_peer.retain(|_, observation| observation.expires_at() > now);
+            if endpoint.has_changed || (now - endpoint.last_returned_at).secs() >= REPEAT_INTERVAL_SECS {
+                endpoint.last_returned_at = now;
                 endpoint.has_changed = false;
-                due.extend(endpoint.aggregate().map(|evidence| EndpointObservation {
+                due.extend(endpoint.effective().map(|observation| EndpointObservation {
                     uid: uid.clone(),
-                    finding: evidence.at(now),
-                    age: now - evidence.observed_at,
+                    finding: observation.finding_at(now),
+                    age: now - observation.observed_at,
                 }));
             }
             !endpoint.by_peer.is_empty()
@@ -249,12 +266,12 @@
         due
     }
 
-    /// Number of endpoints in the table.
+    /// Returns the number of endpoints in the table.
     pub fn len(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Whether the table is empty.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.endpoints.is_empty()
     }
--- a/src/peers/aggregation/tests.rs
+++ b/src/peers/aggregation/tests.rs
@@ -29,37 +29,41 @@
 
 const HEALTHY: Finding = Finding::Healthy { mean: 0.1, dev: 0.05 };
 
-/// The observations of two peers, each with its age in seconds, and the severity of what counts.
+/// Each case has the observations of two peers with their ages in seconds, and the severity of the effective one.
 #[rstest]
 #[case::outage_after_health((HEALTHY, 5.0), (outage(1.0), 0.5), Some(2))]
-#[case::health_expires_soon((HEALTHY, 1.5), (HEALTHY, 1.2), None)]
-#[case::the_latest_observation_wins((outage(10.0), 4.0), (recovering(2.0), 0.1), Some(1))]
-#[case::the_latest_wins_for_an_outage_too((recovering(9.0), 4.0), (outage(1.0), 0.1), Some(2))]
-#[case::within_a_second_the_worse_state((outage(10.0), 0.9), (HEALTHY, 0.0), Some(2))]
-#[case::a_long_outage_counts_for_longer((outage(50.0), 20.0), (HEALTHY, 1.5), Some(2))]
+#[case::health_expires_after_a_second((HEALTHY, 1.5), (HEALTHY, 1.2), None)]
+#[case::a_later_recovery_wins_over_an_outage((outage(10.0), 4.0), (recovering(2.0), 0.1), Some(1))]
+#[case::a_later_outage_wins_over_a_recovery((recovering(9.0), 4.0), (outage(1.0), 0.1), Some(2))]
+#[case::the_worse_state_wins_within_a_second((outage(10.0), 0.9), (HEALTHY, 0.0), Some(2))]
+#[case::a_long_outage_is_valid_for_longer((outage(50.0), 20.0), (HEALTHY, 1.5), Some(2))]
 #[case::a_short_outage_expires((outage(3.0), 2.5), (HEALTHY, 1.5), None)]
-fn peers_that_disagree(#[case] a: (Finding, f64), #[case] b: (Finding, f64), #[case] wanted: Option<u8>) {
+fn resolves_disagreement_between_two_peers(
+    #[case] a: (Finding, f64), #[case] b: (Finding, f64), #[case] expected: Option<u8>,
+) {
     for (first, second) in [(a, b), (b, a)] {
         let mut aggregator = Aggregator::default();
         aggregator.record(at(0.0), A, NO_TRANSIT, observation(first.0, first.1));
         aggregator.record(at(0.0), B, NO_TRANSIT, observation(second.0, second.1));
         let due = aggregator.due(at(0.0));
-        let severity = due.first().map(|i| match i.finding {
+        let severity = due.first().map(|first| match first.finding {
             Finding::Outage { .. } => 2,
             Finding::Recovering { .. } => 1,
             _ => 0,
         });
-        assert_eq!(severity, wanted, "{due:?}");
+        assert_eq!(severity, expected, "{due:?}");
         assert!(due.len() <= 1);
     }
 }
 
 #[test]
-fn a_retry_after_from_a_peer_never_ends_later_than_the_partner_asked() {
+fn a_retry_after_from_a_peer_never_ends_later_than_the_partner_requested() {
     let mut aggregator = Aggregator::default();
-    // Received by the peer at 0 with 5 s; the frame was built at 1, and may have been in transit since 0.7.
+    // The peer received a Retry-After of 5 s at 0 and built the frame at 1, with 4 s left. The frame arrives at 1.2 and may
+    // have been in transit since 0.7, so the wait ends at 4.7 at the latest.
     aggregator.record(at(1.2), A, span(0.5), observation(Finding::RetryAfter { left: span(4.0) }, 1.0));
-    let left = |aggregator: &mut Aggregator, now| match aggregator.due(now).first().map(|i| i.finding) {
+    let left = |aggregator: &mut Aggregator, now| match aggregator.due(now).first().map(|first| first.finding)
+    {
         Some(Finding::RetryAfter { left }) => left,
         other => panic!("{other:?}"),
     };
@@ -67,17 +71,17 @@
     assert_eq!(
         at(3.0) + left(&mut aggregator, at(3.0)),
         at(4.7),
-        "handed over again later, it ends at the same time"
+        "the repeated observation has the same end"
     );
     aggregator.record(at(3.0), B, NO_TRANSIT, observation(Finding::RetryAfter { left: span(0.5) }, 0.0));
-    assert_eq!(at(3.0) + left(&mut aggregator, at(3.0)), at(4.7), "the latest end counts");
+    assert_eq!(at(3.0) + left(&mut aggregator, at(3.0)), at(4.7), "the latest end is effective");
     assert!(aggregator.due(at(4.7)).is_empty());
     aggregator.record(at(5.0), A, NO_TRANSIT, observation(Finding::RetryAfter { left: span(1e6) }, 0.0));
-    assert!(aggregator.due(at(5.0)).is_empty(), "no partner asks for so long a wait");
+    assert!(aggregator.due(at(5.0)).is_empty(), "a wait over the maximum is ignored");
 }
 
 #[test]
-fn an_earlier_observation_that_arrives_later_changes_nothing() {
+fn ignores_an_older_observation_that_arrives_late() {
     let mut aggregator = Aggregator::default();
     aggregator.record(at(10.0), A, NO_TRANSIT, observation(recovering(1.0), 0.2));
     aggregator.record(at(10.1), A, span(3.0), observation(outage(5.0), 0.1));
@@ -85,7 +89,7 @@
 }
 
 #[test]
-fn of_two_recoveries_the_later_start_counts() {
+fn the_later_start_of_two_recoveries_is_effective() {
     let mut aggregator = Aggregator::default();
     aggregator.record(at(0.0), A, NO_TRANSIT, observation(recovering(3.0), 0.0));
     aggregator.record(at(0.0), B, NO_TRANSIT, observation(recovering(1.0), 0.4));
@@ -93,42 +97,42 @@
 }
 
 #[test]
-fn a_flood_of_endpoints_is_bounded_and_displaces_none() {
+fn the_table_is_bounded_and_new_endpoints_displace_none() {
     let mut aggregator = Aggregator::default();
     aggregator.record(at(0.0), A, NO_TRANSIT, observation(outage(60.0), 0.0));
     for n in 0..MAX_ENDPOINTS as u64 + 500 {
-        let one = EndpointObservation { uid: format!("x-{n}"), finding: outage(60.0), age: NO_TRANSIT };
-        aggregator.record(at(0.0), B, NO_TRANSIT, vec![one]);
+        let new = EndpointObservation { uid: format!("x-{n}"), finding: outage(60.0), age: NO_TRANSIT };
+        aggregator.record(at(0.0), B, NO_TRANSIT, vec![new]);
     }
     assert_eq!(aggregator.len(), MAX_ENDPOINTS);
-    assert!(aggregator.due(at(0.1)).iter().any(|i| i.uid == "s-1"));
+    assert!(aggregator.due(at(0.1)).iter().any(|observation| observation.uid == "s-1"));
     for n in 0..50 {
         aggregator.record(at(0.2), n, NO_TRANSIT, observation(outage(60.0), 0.0));
     }
     assert!(aggregator.endpoints["s-1"].by_peer.len() <= MAX_PEERS);
-    assert!(aggregator.due(at(200.0)).is_empty() && aggregator.is_empty(), "everything expires");
+    assert!(aggregator.due(at(200.0)).is_empty() && aggregator.is_empty(), "all observations expire");
 }
 
 proptest! {
-    /// Whatever arrives in whatever order, what counts was observed by some peer, is dated no later than that, and
-    /// no outage counts for longer than its validity.
+    /// For any order of arrivals, each effective observation has the kind and the time of a peer's observation, and is not
+    /// older than the longest validity.
     #[test]
-    fn only_what_some_peer_observed_counts(
+    fn each_effective_observation_was_made_by_a_peer(
         arrivals in prop::collection::vec((0..4u64, 0..3u8, 0.0..5.0f64, 0.0..20.0f64, 0.0..2.0f64), 1..30),
     ) {
         let mut aggregator = Aggregator::default();
         let mut now = at(0.0);
         let mut observed = Vec::new();
-        for (from, kind, after, age, transit) in arrivals {
-            now = now + after;
+        for (peer, kind, delay, age, transit) in arrivals {
+            now = now + delay;
             let finding = [outage(age + 3.0), recovering(age), HEALTHY][kind as usize];
-            aggregator.record(now, from, span(transit), observation(finding, age));
+            aggregator.record(now, peer, span(transit), observation(finding, age));
             observed.push((kind, now - span(age) - span(transit)));
-            for one in aggregator.due(now) {
-                let kind = match one.finding { Finding::Outage { .. } => 0, Finding::Recovering { .. } => 1, _ => 2 };
-                let observed_at = now - one.age;
-                prop_assert!(observed.contains(&(kind, observed_at)), "{one:?} at {now:?} of {observed:?}");
-                prop_assert!(one.age.secs() <= MAX_OUTAGE_VALIDITY_SECS);
+            for effective in aggregator.due(now) {
+                let kind = match effective.finding { Finding::Outage { .. } => 0, Finding::Recovering { .. } => 1, _ => 2 };
+                let observed_at = now - effective.age;
+                prop_assert!(observed.contains(&(kind, observed_at)), "{effective:?} at {now:?} of {observed:?}");
+                prop_assert!(effective.age.secs() <= MAX_OUTAGE_VALIDITY_SECS);
             }
         }
     }
--- a/src/peers/connect.rs
+++ b/src/peers/connect.rs
@@ -1,4 +1,4 @@
-//! Outgoing connections to other forwarders: mutual TLS, each phase bounded in time.
+//! Opens connections to other forwarders with mutual TLS. Each phase has a timeout.
 use super::credentials::{self, Credentials};
 use super::error::{CloseReason, RejectReason, SessionEnd};
 use super::session::{LocalIdentity, HELLO_TIMEOUT};
@@ -11,27 +11,27 @@
 use tokio_rustls::client::TlsStream;
 use tokio_rustls::TlsConnector;
 
-/// Time for a TCP connection to come up. Peers are in one network, so a second already covers a lost SYN.
+/// Timeout of the TCP connection. Peers are in one network, so a second is enough even if a SYN is lost.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Opens connections with this forwarder's certificate.
 #[derive(Clone)]
 pub struct Connector {
-    /// Source address of connections: the listen address, so that filters by address see the same one as for the
-    /// datagrams.
+    /// Source address of connections: the listen address, so that address filters see the same one as for datagrams.
     pub source: IpAddr,
-    /// Certificates and trusted authorities.
+    /// Certificate, private key and trusted authorities.
     pub credentials: Arc<Credentials>,
-    /// What the hello of each session says.
+    /// Content of this forwarder's hello in each session.
     pub identity: LocalIdentity,
 }
 
 impl Connector {
-    /// Connects and completes the TLS handshake, in which both sides verify the other's certificate.
+    /// Connects and completes the TLS handshake, in which each side verifies the other's certificate.
     ///
     /// # Errors
     ///
-    /// Why there is no connection; `SessionEnd::Rejected` if the peer's certificate was not accepted.
+    /// Returns `SessionEnd::Rejected` if the peer's certificate is not accepted or its handshake is malformed, and
+    /// `SessionEnd::Closed` for any other failure.
     pub async fn connect(&self, peer: SocketAddr) -> Result<TlsStream<TcpStream>, SessionEnd> {
         let socket = match timeout(CONNECT_TIMEOUT, self.connect_tcp(peer)).await {
             Ok(connected) => connected?,
@@ -40,7 +40,7 @@
         let tls = TlsConnector::from(self.credentials.current().client);
         match timeout(HELLO_TIMEOUT, tls.connect(credentials::server_name(), socket)).await {
             Ok(Ok(stream)) => Ok(stream),
-            // rustls reports what is wrong with the peer's side of the handshake as invalid data.
+            // rustls reports errors of the peer's side of the handshake as `InvalidData`.
             Ok(Err(error)) if error.kind() == io::ErrorKind::InvalidData => {
                 Err(RejectReason::Handshake(error).into())
             }
@@ -55,7 +55,7 @@
             socket.bind((self.source, 0).into())?;
         }
         let stream = socket.connect(peer).await?;
-        // Without it small frames wait for acknowledgements; the connection works either way.
+        // Disables Nagle's algorithm, which delays small frames. The connection works without this too.
         let _ = stream.set_nodelay(true);
         Ok(stream)
     }
--- a/src/peers/credentials.rs
+++ b/src/peers/credentials.rs
@@ -1,6 +1,7 @@
-//! Mutual TLS between forwarders. Each has a certificate that is signed by the authority which a file names and that
-//! carries the one DNS name which all forwarders share; rustls' standard verifiers check both sides. The files are read
-//! again when they change, so a certificate is renewed without a restart; new files that cannot be used change nothing.
+//! Certificates and TLS configurations for mutual TLS between forwarders. Each forwarder has a certificate that the
+//! configured authority signed and that contains the DNS name shared by all forwarders. The standard verifiers of rustls
+//! check both sides. Changed files are reloaded, so a certificate is renewed without a restart; if the new files are
+//! invalid, the loaded configurations stay in use.
 use crate::config_error::ConfigError;
 use crate::flags;
 use std::fmt::Display;
@@ -15,39 +16,39 @@
 use tokio_rustls::rustls::version::TLS13;
 use tokio_rustls::rustls::{ClientConfig, RootCertStore, ServerConfig};
 
-/// The DNS name in each forwarder's certificate. One name is enough: the authority signs for forwarders alone, and it
-/// makes no difference which of them is at the other end.
+/// DNS name in each forwarder's certificate. All forwarders share one name, because the authority signs only for
+/// forwarders and a session does not depend on which of them the peer is.
 pub const CERTIFICATE_NAME: &str = "micaladder-neighbour";
 
 /// Paths of the PEM files.
 #[derive(Clone, Debug)]
 pub struct CredentialFiles {
-    /// This forwarder's certificate, followed by the intermediate ones.
+    /// This forwarder's certificate, followed by the intermediate certificates.
     pub certificate: PathBuf,
-    /// Its private key.
+    /// Private key of this forwarder's certificate.
     pub key: PathBuf,
-    /// The authority's certificate, or several.
+    /// One or more certificates of trusted authorities.
     pub authority: PathBuf,
 }
 
-/// TLS configurations for both directions.
+/// TLS configurations for accepted and outgoing connections.
 #[derive(Clone)]
 pub struct TlsConfigs {
-    /// For accepted connections.
+    /// Configuration for accepted connections.
     pub server: Arc<ServerConfig>,
-    /// For outgoing connections.
+    /// Configuration for outgoing connections.
     pub client: Arc<ClientConfig>,
 }
 
-/// Modification time and length of each file; none for a file that cannot be read.
-type FileStamps = [Option<(SystemTime, u64)>; 3];
+/// Modification time and length of each file, by which a change is detected; `None` for a file that cannot be read.
+type FileVersions = [Option<(SystemTime, u64)>; 3];
 
 struct LoadedConfigs {
-    stamps: FileStamps,
+    versions: FileVersions,
     configs: TlsConfigs,
 }
 
-/// The TLS configurations in use, and the files that they come from.
+/// The TLS configurations in use and the files from which they were loaded.
 pub struct Credentials {
     files: CredentialFiles,
     loaded: Mutex<LoadedConfigs>,
@@ -58,19 +59,19 @@
     ///
     /// # Errors
     ///
-    /// A file that cannot be read or used, named.
+    /// Returns an error that names the first file that cannot be read or is invalid.
     pub fn new(files: CredentialFiles) -> Result<Credentials, ConfigError> {
-        let loaded = LoadedConfigs { stamps: files.stamps(), configs: files.load()? };
+        let loaded = LoadedConfigs { versions: files.versions(), configs: files.load()? };
         Ok(Credentials { files, loaded: Mutex::new(loaded) })
     }
 
-    /// The configurations for a new connection. Checks whether the files have changed, and reloads them if so.
+    /// Returns the configurations for a new connection. Reloads the files first if they have changed.
     pub fn current(&self) -> TlsConfigs {
         let mut loaded = self.loaded.lock().unwrap_or_else(PoisonError::into_inner);
-        let stamps = self.files.stamps();
-        if stamps != loaded.stamps {
-            // Also where loading fails: a file that is half written is read again once it has changed once more.
-            loaded.stamps = stamps;
+        let versions = self.files.versions();
+        if versions != loaded.versions {
+            // Stored even if the reload fails: a partially written file is loaded after its next change.
+            loaded.versions = versions;
             self.reload(&mut loaded.configs);
         }
         loaded.configs.clone()
@@ -83,19 +84,21 @@
                 *configs = new;
             }
             Err(error) => {
-                log::error!("peer exchange: certificates not reloaded, the old ones stay: {error}");
+                log::error!(
+                    "peer exchange: cannot reload the certificates, the previous ones stay in use: {error}"
+                );
             }
         }
     }
 }
 
-/// The name that a peer's certificate has to carry.
+/// Returns the DNS name that a peer's certificate must contain.
 pub fn server_name() -> ServerName<'static> {
-    ServerName::try_from(CERTIFICATE_NAME).expect("a constant that a test holds to be a DNS name")
+    ServerName::try_from(CERTIFICATE_NAME).expect("CERTIFICATE_NAME is a valid DNS name")
 }
 
 impl CredentialFiles {
-    /// The files that the command line names; none unless it names all of them.
+    /// Returns the files of the command line or the environment; `None` unless all three are set.
     pub fn from_flags(flags: &flags::PeerIdentityFlags) -> Option<CredentialFiles> {
         Some(CredentialFiles {
             certificate: flags.certificate.clone()?,
@@ -104,15 +107,15 @@
         })
     }
 
-    fn stamps(&self) -> FileStamps {
-        [&self.certificate, &self.key, &self.authority].map(|path| stamp(path))
+    fn versions(&self) -> FileVersions {
+        [&self.certificate, &self.key, &self.authority].map(|path| file_version(path))
     }
 
     /// Reads the files and builds the TLS configurations.
     ///
     /// # Errors
     ///
-    /// A file that cannot be read or used, named.
+    /// Returns an error that names the first file that cannot be read or is invalid.
     pub fn load(&self) -> Result<TlsConfigs, ConfigError> {
         let chain = self.read_chain()?;
         let key = PrivateKeyDer::from_pem_file(&self.key).map_err(|e| file_error(&self.key, &e))?;
@@ -136,7 +139,7 @@
             roots.add(certificate).map_err(|e| error(&e))?;
         }
         if roots.is_empty() {
-            return Err(error(&"holds no certificate"));
+            return Err(error(&"file contains no certificate"));
         }
         Ok(roots)
     }
@@ -170,13 +173,13 @@
     }
 }
 
-fn stamp(path: &Path) -> Option<(SystemTime, u64)> {
+fn file_version(path: &Path) -> Option<(SystemTime, u64)> {
     let metadata = std::fs::metadata(path).ok()?;
     Some((metadata.modified().ok()?, metadata.len()))
 }
 
-fn file_error(path: &Path, what: &dyn Display) -> ConfigError {
-    ConfigError { file: path.into(), key: String::new(), message: what.to_string() }
+fn file_error(path: &Path, reason: &dyn Display) -> ConfigError {
+    ConfigError { file: path.into(), key: String::new(), message: reason.to_string() }
 }
 
 #[cfg(test)]
--- a/src/peers/frame.rs
+++ b/src/peers/frame.rs
@@ -1,34 +1,34 @@
 //! The wire format of a session between two forwarders, without I/O.
 //!
-//! A frame is the length of what follows (4 bytes, big-endian), a version (1), a CRC-32 of the payload (4), and the
-//! payload: a message type, and the message as `postcard` (<https://postcard.jamesmunns.com/wire-format>). For forward
-//! compatibility a receiver skips frames of a later version, unknown message types, observations of an unknown type,
-//! and fields after those that it knows. All times are spans in nanoseconds, so the clocks of two machines are never
-//! compared.
+//! A frame consists of the length of the rest of the frame (4 bytes, big-endian), a version (1 byte), a CRC-32 of the
+//! payload (4 bytes) and the payload: a message type (1 byte) and the message as `postcard`
+//! (<https://postcard.jamesmunns.com/wire-format>). For forward compatibility a receiver skips frames of other versions,
+//! messages and observations of unknown types, and fields after the known ones. All times are spans in nanoseconds, so the
+//! clocks of two machines are never compared.
 use crate::interface::{Finding, Nanos};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
 pub use crate::core::EndpointObservation;
 
-/// The version that this program sends.
+/// Protocol version of sent frames.
 const VERSION: u8 = 1;
 /// Length of the length field, in bytes.
 const LENGTH_BYTES: usize = 4;
-/// Length of what stands before the payload: length, version and checksum, in bytes.
+/// Length of the header before the payload (length, version and checksum), in bytes.
 const HEADER_BYTES: usize = 9;
-/// What the length field counts besides the payload: version and checksum, in bytes.
+/// Length of the header fields that the length field includes (version and checksum), in bytes.
 const COUNTED_HEADER_BYTES: usize = HEADER_BYTES - LENGTH_BYTES;
-/// Longest frame that is accepted, in bytes without its length field. It bounds what a peer can make this one buffer.
+/// Longest accepted frame, in bytes without its length field. Limits the memory that a peer can make the receiver use.
 pub const MAX_FRAME_BYTES: usize = 64 * 1024;
-/// Content of one frame, in bytes; the rest goes into the next one. Leaves a quarter of the frame for the encoding.
+/// Maximum content of one frame, in bytes. Longer content is split; a quarter of the frame is left for the encoding.
 const MAX_CONTENT_BYTES: usize = 48 * 1024;
-/// Upper estimate of an encoded observation without its uid, in bytes.
-const OBSERVATION_BYTES: usize = 48;
-/// Longest name, group or uid that is accepted, in bytes.
+/// Upper estimate of the length of an encoded observation without its uid, in bytes.
+const OBSERVATION_OVERHEAD_BYTES: usize = 48;
+/// Longest accepted name, group or uid, in bytes.
 const MAX_NAME_BYTES: usize = 256;
-/// Largest rate, latency or capacity that is accepted: above any real one, and safe in the decision module's sums.
-const MAX_FIGURE: f64 = 1e9;
+/// Largest accepted rate, latency or capacity: above any real value and safe in the decision module's sums.
+const MAX_VALUE: f64 = 1e9;
 
 /// One message of a session.
 #[derive(Clone, Debug, PartialEq)]
@@ -39,57 +39,57 @@
         name: String,
         /// The sender's group; sessions between different groups are rejected.
         group: String,
-        /// The sender's place in the fleet; none from a client that is not a member.
+        /// The sender's identity in the fleet; `None` for a client, which is not a member.
         member: Option<MemberIdentity>,
     },
-    /// A client asks for the view of the fleet.
+    /// Request of a client for the view of the fleet.
     ViewRequest,
     /// A part of the view, as JSON.
     ViewPart {
-        /// Bytes of the JSON text; a part may end inside a character.
+        /// Bytes of the JSON text; a part may end within a character.
         bytes: Vec<u8>,
         /// Whether this part completes the view.
         is_last: bool,
     },
-    /// The subscriber's ping, with its number: bounds the transit time of the frames that follow it.
+    /// Numbered ping of the subscriber, which bounds the transit time of the frames that the publisher sends after it.
     Ping(u64),
-    /// Observations of the publisher.
+    /// Observations by the publisher.
     Observations(ObservationBatch),
 }
 
-/// A member of the fleet as its hello states it.
+/// Identity of a member of the fleet in its hello.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberIdentity {
-    /// The address by which the fleet knows the member.
+    /// The member's address in the fleet.
     pub address: SocketAddr,
-    /// The member's incarnation, which rises with each start.
+    /// The member's incarnation, which increases with each start.
     pub incarnation: u64,
 }
 
-/// Observations that the publisher made itself. An empty batch is a sign of life.
+/// Observations that the publisher made itself. An empty batch is a heartbeat.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ObservationBatch {
-    /// The last ping that had arrived when the batch was built; 0 before the first.
+    /// Number of the last ping received before the batch was built; 0 before the first ping.
     pub ping: u64,
-    /// How long before the batch was built that ping had arrived.
+    /// Time between the arrival of that ping and the building of the batch.
     pub ping_age: Nanos,
-    /// Whether this batch completes the snapshot with which a session begins.
+    /// Whether this batch is the last one of the snapshot at the start of a session.
     pub completes_snapshot: bool,
-    /// The observations; their ages hold for the moment at which the batch was built.
+    /// The observations, with their ages at the time when the batch was built.
     pub observations: Vec<EndpointObservation>,
 }
 
-/// Why a peer's stream cannot be decoded any further.
+/// Errors after which a peer's stream cannot be decoded further.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum FrameError {
     /// The length field, in bytes, is above `MAX_FRAME_BYTES`.
-    #[error("a frame of {0} bytes")]
+    #[error("frame of {0} bytes exceeds the maximum of {MAX_FRAME_BYTES}")]
     TooLong(usize),
     /// The payload does not match its checksum.
-    #[error("a frame with a wrong checksum")]
+    #[error("frame has a wrong checksum")]
     Checksum,
-    /// The payload is not a valid message.
-    #[error("a frame that cannot be read")]
+    /// The frame is too short, or its payload is not a valid message.
+    #[error("frame is malformed")]
     Malformed,
 }
 
@@ -99,7 +99,7 @@
     group: String,
 }
 
-/// Follows the fields of a hello; programs from before the fleet's view do not send it.
+/// Last field of a hello. Versions without the view of the fleet do not send it.
 type WireMember = Option<MemberIdentity>;
 
 #[derive(Serialize, Deserialize)]
@@ -113,11 +113,11 @@
     ping: u64,
     ping_age: u64,
     completes_snapshot: bool,
-    /// Type and encoded content of each observation, so that unknown types can be skipped.
+    /// Type and encoded content of each observation. The content is opaque bytes so that unknown types can be skipped.
     observations: Vec<(u8, Vec<u8>)>,
 }
 
-/// Precedes the type's own fields in an encoded observation.
+/// Fields of every observation, encoded before the fields of its type.
 #[derive(Serialize, Deserialize)]
 struct WireObservation {
     uid: String,
@@ -133,7 +133,7 @@
     pub const VIEW_PART: u8 = 5;
 }
 
-/// Types of observations on the wire.
+/// Observation types on the wire.
 mod observation_type {
     pub const OUTAGE: u8 = 1;
     pub const RECOVERING: u8 = 2;
@@ -145,7 +145,7 @@
 
 /// Encodes a message as one frame.
 pub fn encode(message: &Message) -> Vec<u8> {
-    encode_frame(VERSION, &encode_payload(message))
+    encode_frame(VERSION, &encode_message(message))
 }
 
 fn encode_frame(version: u8, payload: &[u8]) -> Vec<u8> {
@@ -157,7 +157,7 @@
     frame
 }
 
-fn encode_payload(message: &Message) -> Vec<u8> {
+fn encode_message(message: &Message) -> Vec<u8> {
     match message {
         Message::Hello { name, group, member } => {
             let hello = WireHello { name: name.clone(), group: group.clone() };
@@ -187,7 +187,7 @@
 }
 
 fn serialize<T: Serialize>(value: &T) -> Vec<u8> {
-    // Serializing to memory fails for no value of these types.
+    // Serializing these types to memory cannot fail.
     postcard::to_stdvec(value).unwrap_or_default()
 }
 
@@ -205,13 +205,13 @@
     (observation_type, bytes)
 }
 
-/// Decodes an observation; none if its type is unknown.
+/// Decodes an observation; returns `None` if its type is unknown.
 fn decode_observation(observation_type: u8, bytes: &[u8]) -> Result<Option<EndpointObservation>, FrameError> {
     use observation_type::*;
     if !(OUTAGE..=CONNECTION_CAPACITY).contains(&observation_type) {
         return Ok(None);
     }
-    let (head, fields) = take::<WireObservation>(bytes)?;
+    let (common, fields) = decode_prefix::<WireObservation>(bytes)?;
     let finding = match observation_type {
         OUTAGE => {
             let (since, risky) = decode(fields)?;
@@ -226,15 +226,16 @@
         RATE_LIMIT => Finding::RateLimit { rate: decode(fields)? },
         _ => Finding::ConnectionCapacity { calls: decode(fields)? },
     };
-    if head.uid.len() > MAX_NAME_BYTES || !has_valid_figures(&finding) {
+    if common.uid.len() > MAX_NAME_BYTES || !has_valid_values(&finding) {
         return Err(FrameError::Malformed);
     }
-    Ok(Some(EndpointObservation { uid: head.uid, finding, age: Nanos(head.age) }))
+    Ok(Some(EndpointObservation { uid: common.uid, finding, age: Nanos(common.age) }))
 }
 
-/// Guards the decision module's arithmetic against NaN, infinities, negative and absurd figures of a peer.
-fn has_valid_figures(finding: &Finding) -> bool {
-    let is_valid = |figure: f64| (0.0..=MAX_FIGURE).contains(&figure);
+/// Returns whether all numbers of a finding are valid. Protects the decision module's arithmetic from NaN, infinite,
+/// negative and excessive values.
+fn has_valid_values(finding: &Finding) -> bool {
+    let is_valid = |value: f64| (0.0..=MAX_VALUE).contains(&value);
     match *finding {
         Finding::Healthy { mean, dev } => is_valid(mean) && is_valid(dev),
         Finding::RateLimit { rate } => is_valid(rate),
@@ -243,13 +244,13 @@
     }
 }
 
-/// Splits observations into parts that fit into one frame each; one empty part if there are none.
+/// Splits observations into parts that each fit into one frame. Returns one empty part if there are no observations.
 pub fn split_observations(observations: Vec<EndpointObservation>) -> Vec<Vec<EndpointObservation>> {
     let mut parts = Vec::new();
     let mut part = Vec::new();
     let mut part_bytes = 0;
     for observation in observations {
-        let bytes = observation.uid.len() + OBSERVATION_BYTES;
+        let bytes = observation.uid.len() + OBSERVATION_OVERHEAD_BYTES;
         if part_bytes + bytes > MAX_CONTENT_BYTES {
             parts.push(std::mem::take(&mut part));
             part_bytes = 0;
@@ -261,7 +262,7 @@
     parts
 }
 
-/// Splits the JSON text of a view into messages that fit into one frame each.
+/// Splits the JSON text of a view into messages that each fit into one frame.
 pub fn split_view(text: &str) -> Vec<Message> {
     let parts: Vec<&[u8]> = text.as_bytes().chunks(MAX_CONTENT_BYTES).collect();
     let count = parts.len();
@@ -272,7 +273,7 @@
     parts.into_iter().enumerate().map(message).collect()
 }
 
-/// Decodes messages from a byte stream that may be split anywhere. Buffers one frame and whatever was read after it.
+/// Decodes messages from the chunks of a byte stream. Buffers an incomplete frame and the bytes read after a complete one.
 #[derive(Default)]
 pub struct FrameReader {
     bytes: Vec<u8>,
@@ -284,15 +285,16 @@
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The next message, once its frame is complete.
+    /// Returns the next message, or `None` until its frame is complete.
     ///
     /// # Errors
     ///
-    /// A frame that cannot be decoded. The stream is of no use after that: frame boundaries are lost.
-    pub fn message(&mut self) -> Result<Option<Message>, FrameError> {
+    /// Returns an error if a frame cannot be decoded. The rest of the stream is then unusable, because the frame boundaries
+    /// are unknown.
+    pub fn next_message(&mut self) -> Result<Option<Message>, FrameError> {
         loop {
-            let Some(frame) = self.take_frame()? else { return Ok(None) };
-            // A later version may have another checksum and another payload: only its length is known.
+            let Some(frame) = self.next_frame()? else { return Ok(None) };
+            // Only the length field is common to all versions: another version may differ in checksum and payload.
             if frame[LENGTH_BYTES] != VERSION {
                 continue;
             }
@@ -300,17 +302,17 @@
             if frame[LENGTH_BYTES + 1..HEADER_BYTES] != crc32fast::hash(payload).to_be_bytes() {
                 return Err(FrameError::Checksum);
             }
-            if let Some(message) = decode_payload(payload)? {
+            if let Some(message) = decode_message(payload)? {
                 return Ok(Some(message));
             }
         }
     }
 
-    /// Removes the next frame, with its length field, once it is complete.
-    fn take_frame(&mut self) -> Result<Option<Vec<u8>>, FrameError> {
+    /// Removes the next frame, including its length field, from the buffer; returns `None` until it is complete.
+    fn next_frame(&mut self) -> Result<Option<Vec<u8>>, FrameError> {
         let Some(length_field) = self.bytes.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
         let length = u32::from_be_bytes(*length_field) as usize;
-        // Checked before the rest arrives: a peer that announces gigabytes is not buffered.
+        // Checked before the rest arrives, so that an oversized frame is never buffered.
         if length > MAX_FRAME_BYTES {
             return Err(FrameError::TooLong(length));
         }
@@ -324,18 +326,18 @@
     }
 }
 
-/// Decodes a value and gives it with the bytes after it.
-fn take<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<(T, &'a [u8]), FrameError> {
+/// Decodes a value and returns it with the remaining bytes.
+fn decode_prefix<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<(T, &'a [u8]), FrameError> {
     postcard::take_from_bytes(bytes).map_err(|_| FrameError::Malformed)
 }
 
-/// Decodes a value; bytes after it are fields of a later program.
+/// Decodes a value. Ignores the remaining bytes, which are fields of a later version.
 fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, FrameError> {
-    take(bytes).map(|(value, _)| value)
+    decode_prefix(bytes).map(|(value, _)| value)
 }
 
-/// Decodes a message; none if its type is unknown.
-fn decode_payload(payload: &[u8]) -> Result<Option<Message>, FrameError> {
+/// Decodes a message; returns `None` if its type is unknown.
+fn decode_message(payload: &[u8]) -> Result<Option<Message>, FrameError> {
     let (message_type, bytes) = payload.split_first().ok_or(FrameError::Malformed)?;
     let message = match *message_type {
         message_type::HELLO => decode_hello(bytes)?,
@@ -352,7 +354,7 @@
 }
 
 fn decode_hello(bytes: &[u8]) -> Result<Message, FrameError> {
-    let (WireHello { name, group }, rest) = take(bytes)?;
+    let (WireHello { name, group }, rest) = decode_prefix(bytes)?;
     let member: WireMember = if rest.is_empty() { None } else { decode(rest)? };
     if name.len() > MAX_NAME_BYTES || group.len() > MAX_NAME_BYTES {
         return Err(FrameError::Malformed);
--- a/src/peers/inspect.rs
+++ b/src/peers/inspect.rs
@@ -1,5 +1,5 @@
-//! `micaladder fleet show` and `micaladder fleet watch`: asks a member for its view of the fleet, over the same protocol
-//! as members use and with a certificate of the same kind.
+//! Client of `micaladder fleet show` and `micaladder fleet watch`. Requests a member's view of the fleet over the protocol
+//! between members, with a certificate of the same authority.
 use super::connect::Connector;
 use super::credentials::{CredentialFiles, Credentials};
 use super::error::SessionEnd;
@@ -13,12 +13,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Exit code for flags or credential files that cannot be used. 0 and 1 say whether the view was agreed.
+/// Exit code for invalid flags or credential files. Exit codes 0 and 1 mean that the view is agreed or not agreed.
 const EXIT_INVALID_FLAGS: u8 = 2;
-/// Exit code for no answer from any of the members.
-const EXIT_NO_ANSWER: u8 = 3;
+/// Exit code if no member responded.
+const EXIT_NO_RESPONSE: u8 = 3;
 
-/// Prints the fleet's view once, or each time that it has changed, with `watch` as the pause between two requests.
+/// Prints the fleet's view. With `watch`, requests the view again after this pause and prints each change.
 pub async fn run(flags: &flags::FleetQueryFlags, watch: Option<Duration>) -> ExitCode {
     let credentials = match CredentialFiles::from_flags(&flags.identity).map(Credentials::new) {
         Some(Ok(credentials)) => Arc::new(credentials),
@@ -32,28 +32,28 @@
     let connector = Connector { source: IpAddr::V4(Ipv4Addr::UNSPECIFIED), credentials, identity };
     let mut printer = ViewPrinter { json: flags.json, watch, last: None, output: Output::Open };
     loop {
-        let failures = ask_first_reachable(&connector, &flags.ask, &mut printer).await;
-        let answer = printer.last.as_ref().map(|summary| summary.agreed);
-        // Who did not answer matters where nobody did, and to a watcher.
-        if watch.is_some() || answer.is_none() {
+        let failures = query_first_reachable(&connector, &flags.ask, &mut printer).await;
+        let agreed = printer.last.as_ref().map(|summary| summary.agreed);
+        // A single request reports failures only if no member responded; a watch reports all of them.
+        if watch.is_some() || agreed.is_none() {
             failures.iter().for_each(|failure| eprintln!("{failure}"));
         }
-        match (watch, answer) {
+        match (watch, agreed) {
             (Some(pause), Some(_)) if printer.output == Output::Open => tokio::time::sleep(pause).await,
             (_, Some(true)) => return ExitCode::SUCCESS,
             (_, Some(false)) => return ExitCode::FAILURE,
-            (_, None) => return ExitCode::from(EXIT_NO_ANSWER),
+            (_, None) => return ExitCode::from(EXIT_NO_RESPONSE),
         }
     }
 }
 
-/// Asks the members in their order until one session ends well, and says why those before it failed.
-async fn ask_first_reachable(
+/// Queries the members in order until one session succeeds. Returns an error text for each failed session.
+async fn query_first_reachable(
     connector: &Connector, members: &[SocketAddr], printer: &mut ViewPrinter,
 ) -> Vec<String> {
     let mut failures = Vec::new();
     for member in members {
-        match ask(connector, *member, printer).await {
+        match query(connector, *member, printer).await {
             Ok(()) => break,
             Err(end) => failures.push(format!("{member}: {end}")),
         }
@@ -61,21 +61,23 @@
     failures
 }
 
-async fn ask(connector: &Connector, member: SocketAddr, printer: &mut ViewPrinter) -> Result<(), SessionEnd> {
+async fn query(
+    connector: &Connector, member: SocketAddr, printer: &mut ViewPrinter,
+) -> Result<(), SessionEnd> {
     let stream = connector.connect(member).await?;
     let pause = printer.watch.unwrap_or_default();
     session::watch_view(stream, &connector.identity, |view| printer.print_if_changed(&view), pause).await
 }
 
-/// Whether standard output still takes text.
+/// State of standard output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Output {
     Open,
-    /// A closed pipe ends a watch.
+    /// A write failed, as to a closed pipe, which ends a watch.
     Closed,
 }
 
-/// Prints the views that differ from the one before.
+/// Prints each view that differs from the previous one.
 struct ViewPrinter {
     json: bool,
     watch: Option<Duration>,
@@ -99,14 +101,14 @@
 
     fn format(&self, view: &FleetView) -> String {
         match self.json {
-            // Serializing to memory fails for no view.
+            // Serializing a view to memory cannot fail.
             true => serde_json::to_string(view).unwrap_or_default() + "\n",
             false => view.table(),
         }
     }
 }
 
-/// What of a view counts as a change: not its ages, which differ in each answer.
+/// Fields of a view that are compared to detect a change. Ages are left out, because they differ in each response.
 #[derive(PartialEq)]
 struct ViewSummary {
     observer: String,
--- a/src/peers/local_observations.rs
+++ b/src/peers/local_observations.rs
@@ -1,4 +1,4 @@
-//! The observations that this forwarder made itself, as it publishes them to peers.
+//! Collects the observations that this forwarder made itself, for publication to peers.
 use super::frame::EndpointObservation;
 use super::REFRESH_INTERVAL;
 use crate::clock;
@@ -8,24 +8,24 @@
 use tokio::sync::watch;
 use tokio::time::interval;
 
-/// Local observations and the time at which they were collected.
+/// Local observations and the time of their collection.
 #[derive(Clone, Default)]
 pub struct LocalObservations {
-    /// Observations; their ages hold for `collected_at`.
+    /// Observations with their ages at `collected_at`.
     pub observations: Arc<Vec<EndpointObservation>>,
-    /// When they were collected.
+    /// Time of the collection.
     pub collected_at: Nanos,
 }
 
 impl LocalObservations {
-    /// The observations as of a later time: everything has aged, and a wait that has ended since is left out.
-    pub fn at(&self, now: Nanos) -> Vec<EndpointObservation> {
+    /// Returns the observations as of `now`: advances all ages and spans, and omits waits that have ended.
+    pub fn as_of(&self, now: Nanos) -> Vec<EndpointObservation> {
         let elapsed = now - self.collected_at;
-        self.observations.iter().filter_map(|observation| aged(observation, elapsed)).collect()
+        self.observations.iter().filter_map(|observation| advance(observation, elapsed)).collect()
     }
 }
 
-fn aged(observation: &EndpointObservation, elapsed: Nanos) -> Option<EndpointObservation> {
+fn advance(observation: &EndpointObservation, elapsed: Nanos) -> Option<EndpointObservation> {
     let finding = match observation.finding {
         Finding::Outage { since, risky } => Finding::Outage { since: since + elapsed, risky },
         Finding::Recovering { since } => Finding::Recovering { since: since + elapsed },
@@ -38,12 +38,12 @@
     Some(EndpointObservation { uid: observation.uid.clone(), finding, age: observation.age + elapsed })
 }
 
-/// Collects local observations over and over, while there is a subscriber.
+/// Collects local observations at each `REFRESH_INTERVAL` while there is a subscriber.
 pub async fn collect(exchange: Exchange, collected: watch::Sender<LocalObservations>) {
     let mut ticks = interval(REFRESH_INTERVAL);
     loop {
         ticks.tick().await;
-        // The acceptor holds one receiver; each further one belongs to a session.
+        // The acceptor has one receiver; each session has a further one.
         if collected.receiver_count() > 1 {
             let observations = Arc::new(exchange.observations().await);
             collected.send_replace(LocalObservations { observations, collected_at: clock::now() });
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -1,13 +1,13 @@
-//! Exchange of endpoint observations with running peers, so that a restarted forwarder knows of outages, waits and
-//! limits without meeting them itself.
+//! Exchanges endpoint observations with running peers, so that a restarted forwarder knows about outages, Retry-After
+//! waits and limits without making calls of its own to find them.
 //!
-//! `fleet` says which members are present. `credentials` and `authentication` say which of them to trust. `session` and
-//! `frame` are the protocol: a subscriber connects to a few `sources` and receives what they `publish`. `aggregation`
-//! decides what counts of it, and hands it to the exchange as an input like any other; nothing in the forwarder waits
-//! for a peer. `inspect` is the client behind `micaladder fleet`.
+//! `fleet` provides the members that are present; `credentials` and `authentication` establish which of them are trusted.
+//! `session` and `frame` implement the protocol: a subscriber connects to a few `sources` and receives the observations
+//! that they `publish`. `aggregation` selects the effective observations, which `subscriptions` passes to the exchange as
+//! ordinary input. The forwarder never waits for a peer. `inspect` is the client behind `micaladder fleet`.
 //!
-//! Off unless a listen address is configured. `docs/design/peers.md` has the reasons, `docs/operate/peers.md`
-//! the operation.
+//! The exchange is disabled unless a listen address is configured. `docs/design/peers.md` describes the design,
+//! `docs/operate/peers.md` the operation.
 #![warn(missing_docs)]
 mod acceptor;
 pub mod aggregation;
@@ -50,24 +50,28 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// Interval at which local observations are collected for subscribers, and at which those of peers are aggregated.
+/// Interval at which local observations are collected for subscribers and peer observations are aggregated.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(100);
-/// Batches that wait to be aggregated. When it is full, further ones are dropped: what counts is published again.
+/// Capacity of the queue between the sessions and the aggregation. Batches are dropped when the queue is full, because
+/// publishers repeat current observations.
 const MAX_QUEUED_BATCHES: usize = 256;
-/// Nanoseconds in the units of the fleet's clock fields.
+/// Converts the clock to milliseconds, the unit of the first incarnation.
 const NANOS_PER_MILLI: u64 = 1_000_000;
+/// Converts the clock to seconds, the unit of a member's start time.
 const NANOS_PER_SEC: u64 = 1_000_000_000;
 
-/// Values that change while the process runs and that the fleet shows of this member.
+/// Values that change at run time and are part of this member's attributes in the fleet.
 pub struct LocalChanges {
     /// Version of discovery's endpoint list.
     pub list_version: watch::Receiver<u64>,
-    /// Address of discovery: the one setting that a reload can change.
+    /// Address of the discovery service, the only setting that a reload can change.
     pub discovery_address: watch::Receiver<String>,
 }
 
-/// Starts membership and the exchange with peers; returns at once, with a handle to the fleet. None if it is not
-/// configured, or cannot start: that is logged, and the forwarder serves without.
+/// Starts fleet membership and the exchange with peers in the background, and returns a handle to the fleet.
+///
+/// Returns `None` if no listen address is configured. Also returns `None` if the exchange cannot start: the error is
+/// logged and the forwarder serves without peers.
 pub fn start(
     flags: &flags::PeerFlags, config: &Config, exchange: &Exchange, changes: LocalChanges,
 ) -> Option<FleetHandle> {
@@ -89,7 +93,7 @@
     log::error!("peer exchange is off: {error}");
 }
 
-/// All that has been read and checked before the sockets are bound.
+/// The validated configuration and opened files, before the sockets are bound.
 struct PeerExchange {
     listen: SocketAddr,
     advertised: SocketAddr,
@@ -116,12 +120,13 @@
         }
         let mut snapshots = SnapshotStore::open(disk, config.disk_limit);
         let started = clock::now();
-        // The incarnation on disk is raised. The clock is read only where there is none, and stays above it.
+        // Increments the stored incarnation. Only without a stored one does the incarnation start from the clock, which is
+        // above the incarnation of an earlier process whose state folder was lost.
         let incarnation = snapshots.begin_incarnation(started.0 / NANOS_PER_MILLI);
         let advertised = flags.advertise.unwrap_or(listen);
         let local = Member { address: advertised, name: config.name.clone(), incarnation };
         let list_version = *changes.list_version.borrow();
-        let attributes = attributes::at_start(config, list_version, started.0 / NANOS_PER_SEC);
+        let attributes = attributes::initial(config, list_version, started.0 / NANOS_PER_SEC);
         let node_config = node_config(flags, config, local, &snapshots, &attributes);
         let (fleet, channels) = FleetHandle::new();
         let identity = LocalIdentity {
@@ -144,7 +149,7 @@
         })
     }
 
-    /// Binds the sockets and runs all tasks, for as long as the process runs.
+    /// Binds the sockets and runs all tasks until the process exits.
     async fn run(self, exchange: Exchange) {
         let (datagrams, listener) = match bind(self.listen).await {
             Ok(sockets) => sockets,
@@ -183,7 +188,7 @@
     }
 }
 
-/// Binds the listen address for datagrams (membership) and connections (observations).
+/// Binds the listen address for UDP (membership) and TCP (observations).
 async fn bind(address: SocketAddr) -> Result<(UdpSocket, TcpListener), PeersError> {
     let error = |source| PeersError::Bind { address, source };
     let datagrams = UdpSocket::bind(address).await.map_err(error)?;
--- a/src/peers/publish.rs
+++ b/src/peers/publish.rs
@@ -1,42 +1,42 @@
-//! Decides which local observations are due to one subscriber, without I/O: all of them at first, then what changed.
+//! Selects the local observations to publish to one subscriber, without I/O: first all of them, then the changed ones.
 use super::frame::EndpointObservation;
 use super::topic::Topic;
 use crate::interface::{Finding, Nanos};
 use std::collections::{HashMap, HashSet};
 
-/// An unchanged finding that was observed again is published again after so many seconds: an observation of a second
-/// ago counts for more than one of a minute ago, and a shorter interval is more bytes for little.
+/// Minimum time before an unchanged finding that was observed again is published again, in seconds. Subscribers prefer
+/// recent observations; a shorter interval costs bandwidth for little benefit.
 const REFRESH_SECS: f64 = 1.0;
-/// The same for a healthy endpoint, which is worth less to a subscriber.
+/// Minimum time before a healthy endpoint is published again, in seconds: it is of less use to a subscriber.
 const HEALTHY_REFRESH_SECS: f64 = 5.0;
-/// Rates, latencies and capacities that differ by less, relative to the published value, count as unchanged.
+/// Rates, latencies and capacities that differ by at most this fraction of the published value are unchanged.
 const RELATIVE_TOLERANCE: f64 = 0.2;
-/// Keeps the tolerance above zero for published values near zero.
-const SMALLEST_REFERENCE: f64 = 1e-6;
-/// Two ends of a wait, or two starts of an outage, that are closer count as the same, in seconds: spans are sampled at
-/// slightly different times.
-const SAME_TIME_SECS: f64 = 0.05;
-/// Published entries that are kept beyond twice those that are known, before the rest is dropped.
-const SPARE_ENTRIES: usize = 64;
+/// Lower bound of the value to which the tolerance applies, so that the tolerance is above zero for values near zero.
+const MIN_REFERENCE_VALUE: f64 = 1e-6;
+/// Starts of an outage or recovery, and ends of a wait, that differ by at most this many seconds are the same: spans are
+/// sampled at slightly different times.
+const TIME_TOLERANCE_SECS: f64 = 0.05;
+/// Number of published entries above twice the number of local observations at which stale entries are removed.
+const MAX_EXCESS_ENTRIES: usize = 64;
 
-/// A finding as it was published, in this forwarder's own time.
+/// A published finding, with times on this forwarder's clock.
 struct Published {
     finding: Finding,
     observed_at: Nanos,
     published_at: Nanos,
 }
 
-/// What has been published to one subscriber.
+/// The latest publication to one subscriber for each endpoint and topic.
 #[derive(Default)]
 pub struct PublicationState {
     published: HashMap<(String, Topic), Published>,
 }
 
 impl PublicationState {
-    /// Selects what is due now among all known observations, and records it as published.
-    pub fn due(&mut self, now: Nanos, known: &[EndpointObservation]) -> Vec<EndpointObservation> {
+    /// Selects the local observations to publish now, and records them as published.
+    pub fn select_due(&mut self, now: Nanos, local: &[EndpointObservation]) -> Vec<EndpointObservation> {
         let mut due = Vec::new();
-        for observation in known {
+        for observation in local {
             let observed_at = now - observation.age;
             let finding = observation.finding;
             let previous = self.published.get(&key(observation));
@@ -47,14 +47,14 @@
             self.published.insert(key(observation), published);
             due.push(observation.clone());
         }
-        self.drop_unknown(known);
+        self.remove_stale_entries(local);
         due
     }
 
-    /// Bounds the table by what is known: entries of endpoints that are known no more are dropped.
-    fn drop_unknown(&mut self, known: &[EndpointObservation]) {
-        if self.published.len() > 2 * known.len() + SPARE_ENTRIES {
-            let keys: HashSet<_> = known.iter().map(key).collect();
+    /// Bounds the table by removing the entries that have no local observation any more.
+    fn remove_stale_entries(&mut self, local: &[EndpointObservation]) {
+        if self.published.len() > 2 * local.len() + MAX_EXCESS_ENTRIES {
+            let keys: HashSet<_> = local.iter().map(key).collect();
             self.published.retain(|key, _| keys.contains(key));
         }
     }
@@ -65,7 +65,7 @@
 }
 
 impl Published {
-    /// Whether the subscriber needs the finding of now instead of the published one.
+    /// Returns whether the published finding must be replaced by the current one.
     fn is_outdated(&self, now: Nanos, observed_at: Nanos, current: &Finding) -> bool {
         let since_published = (now - self.published_at).secs();
         let was_observed_again = observed_at > self.observed_at;
@@ -91,26 +91,27 @@
             (Finding::ConnectionCapacity { calls: old }, Finding::ConnectionCapacity { calls: new }) => {
                 differs(old, new) || needs_refresh
             }
-            // Another state of the endpoint.
+            // The state of the endpoint has changed.
             (_, _) => true,
         }
     }
 
-    /// Whether a span that began before it was published has another start now.
+    /// Returns whether the start of a span differs from the published one.
     fn starts_differ(&self, old_elapsed: Nanos, now: Nanos, new_elapsed: Nanos) -> bool {
         let old_start = self.published_at.secs() - old_elapsed.secs();
         let new_start = now.secs() - new_elapsed.secs();
-        (old_start - new_start).abs() > SAME_TIME_SECS
+        (old_start - new_start).abs() > TIME_TOLERANCE_SECS
     }
 
-    /// Whether a wait has another end now.
+    /// Returns whether the end of a wait differs from the published one.
     fn ends_differ(&self, old_left: Nanos, now: Nanos, new_left: Nanos) -> bool {
-        (self.published_at.secs() + old_left.secs() - now.secs() - new_left.secs()).abs() > SAME_TIME_SECS
+        (self.published_at.secs() + old_left.secs() - now.secs() - new_left.secs()).abs()
+            > TIME_TOLERANCE_SECS
     }
 }
 
 fn differs(published: f64, current: f64) -> bool {
-    (current - published).abs() > RELATIVE_TOLERANCE * published.abs().max(SMALLEST_REFERENCE)
+    (current - published).abs() > RELATIVE_TOLERANCE * published.abs().max(MIN_REFERENCE_VALUE)
 }
 
 #[cfg(test)]
--- a/src/peers/rotation.rs
+++ b/src/peers/rotation.rs
@@ -1,5 +1,5 @@
-//! Selects which peers to connect to: a bounded number at a time, at random, and none again before its backoff has
-//! passed. Without I/O.
+//! Selects the peers to connect to, without I/O: a random choice, a bounded number at a time, and no peer again before
+//! its backoff has passed.
 use crate::fleet::member::MAX_MEMBERS;
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
@@ -7,13 +7,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Backoff for a peer that violates the protocol or is not trusted, in seconds: an operator has to act first, and each
-/// attempt costs both sides a handshake.
+/// Backoff for a peer that violates the protocol or is not trusted, in seconds. It is long because an operator has to act
+/// first and each connection costs both sides a handshake.
 pub const REJECTED_BACKOFF_SECS: f64 = 60.0;
-/// Backoff for a peer that could not be reached or whose connection closed, in seconds.
+/// Backoff for a peer that was unreachable or whose connection was closed, in seconds.
 pub const RECONNECT_BACKOFF_SECS: f64 = 1.0;
 
-/// Peers with a connection, and peers in backoff. Times are in seconds of any monotonic clock.
+/// Tracks connected peers and peers in backoff. Times are in seconds of any monotonic clock.
 pub struct Rotation {
     max_connections: usize,
     connected: BTreeSet<SocketAddr>,
@@ -22,7 +22,7 @@
 }
 
 impl Rotation {
-    /// No connections yet, and room for `max_connections`.
+    /// Creates a rotation without connections that allows `max_connections` at a time.
     pub fn new(max_connections: usize, random_seed: u64) -> Rotation {
         Rotation {
             max_connections,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Selects the peers to connect to now, and counts them as connected.
+    /// Selects the peers to connect to now and records them as connected.
     pub fn select(&mut self, now: f64, candidates: impl Iterator<Item = SocketAddr>) -> Vec<SocketAddr> {
         self.backoff_until.retain(|_, until| *until > now);
         let is_eligible =
@@ -45,10 +45,10 @@
         selected
     }
 
-    /// The connection to `peer` has ended; the next one is made `backoff` seconds later at the earliest.
+    /// Records that the connection to `peer` ended. The peer can be selected again `backoff` seconds later.
     pub fn release(&mut self, now: f64, peer: SocketAddr, backoff: f64) {
         self.connected.remove(&peer);
-        // Bounded: beyond that a peer is merely contacted again sooner.
+        // Bounds the table. A peer without an entry is only contacted again sooner.
         if self.backoff_until.len() < MAX_MEMBERS {
             self.backoff_until.insert(peer, now + backoff);
         }
--- a/src/peers/session.rs
+++ b/src/peers/session.rs
@@ -1,7 +1,7 @@
-//! One connection between two forwarders. A subscriber connects to a publisher and receives its observations; a client
-//! authenticates itself or reads the view of the fleet. This module and its parts hold the I/O only: `publish` decides
-//! what is sent, `frame` encodes it, `aggregation` decides what counts of it. Each side ends a session with a silent,
-//! slow or misbehaving peer; nothing in the forwarder waits for a session.
+//! Sessions between two forwarders over one connection. A subscriber connects to a publisher and receives its
+//! observations; a client authenticates itself or reads the view of the fleet. This module and its submodules contain only
+//! the I/O: `publish` selects the observations to send, `frame` encodes them, and `aggregation` evaluates the received ones.
+//! Each side closes a session with a silent, slow or misbehaving peer; the forwarder never waits for a session.
 mod client;
 mod publisher;
 mod subscriber;
@@ -18,28 +18,29 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::time::{timeout, Instant};
 
-/// A peer that sends nothing for so long is considered dead: six heartbeats, so a few may be late.
+/// Time without a message after which a peer is considered dead: six heartbeat intervals, so that a few heartbeats may be
+/// late.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time for the TLS handshake, and again for the peer's hello: a connection that does not speak holds a permit for no
-/// longer.
+/// Timeout of the TLS handshake, and separately of the peer's hello. Limits how long a silent connection occupies one of
+/// the concurrent sessions.
 pub const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time for a peer to accept the bytes of one message; a peer that does not read must not hold a task.
+/// Timeout for writing one message, so that a peer that does not read cannot block a task.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Bytes that a peer may send in a burst. A snapshot of a thousand endpoints in a bad minute is a tenth of it.
+/// Maximum burst that a peer may send, in bytes. The snapshot of a thousand endpoints during an outage is a tenth of it.
 const RECEIVE_BURST_BYTES: f64 = 2e6;
-/// Bytes per second that a peer may send in the long run.
+/// Average rate at which a peer may send, in bytes per second.
 const RECEIVE_BYTES_PER_SECOND: f64 = 256e3;
-/// Bytes read from the socket at once.
+/// Size of the read buffer, in bytes.
 const READ_BUFFER_BYTES: usize = 8 * 1024;
 
-/// What this forwarder states about itself in its hello.
+/// Identity that this forwarder sends in its hello.
 #[derive(Clone)]
 pub struct LocalIdentity {
     /// This forwarder's name.
     pub name: String,
-    /// Its group; sessions with peers of another group are rejected.
+    /// This forwarder's group; sessions with peers of another group are rejected.
     pub group: String,
-    /// Its membership of the fleet; none for a client that only inspects.
+    /// Handle to the fleet; `None` for a client, which is not a member.
     pub fleet: Option<FleetHandle>,
 }
 
@@ -50,7 +51,7 @@
         Message::Hello { name: self.name.clone(), group: self.group.clone(), member }
     }
 
-    /// Tells the fleet that this peer has proved its identity with a certificate: only such members count.
+    /// Marks the peer as authenticated in the fleet. Only authenticated members are counted.
     async fn mark_authenticated(&self, peer: &RemoteIdentity) {
         if let (Some(fleet), Some(MemberIdentity { address, incarnation })) = (&self.fleet, peer.member) {
             fleet.mark_authenticated(Member { address, name: peer.name.clone(), incarnation }).await;
@@ -58,21 +59,21 @@
     }
 }
 
-/// What the peer states about itself in its hello.
+/// Identity that the peer sent in its hello.
 #[derive(Debug, PartialEq)]
 struct RemoteIdentity {
     name: String,
     member: Option<MemberIdentity>,
 }
 
-/// Reads messages with a bound on the peer's sending rate (a token bucket over bytes).
+/// Reads messages and limits the peer's sending rate with a token bucket (one token for each byte).
 struct MessageReader<R> {
     stream: R,
     frames: FrameReader,
     buffer: Box<[u8]>,
-    /// Bytes that the peer may still send, as of `allowance_at`.
-    allowance: f64,
-    allowance_at: Instant,
+    /// Number of bytes that the peer may send, as of `refilled_at`.
+    tokens: f64,
+    refilled_at: Instant,
 }
 
 impl<R: AsyncRead + Unpin> MessageReader<R> {
@@ -81,39 +82,40 @@
             stream,
             frames: FrameReader::default(),
             buffer: vec![0; READ_BUFFER_BYTES].into_boxed_slice(),
-            allowance: RECEIVE_BURST_BYTES,
-            allowance_at: Instant::now(),
+            tokens: RECEIVE_BURST_BYTES,
+            refilled_at: Instant::now(),
         }
     }
 
-    /// The next message. Cancel safe: a partial frame stays buffered.
+    /// Returns the next message. Cancel safe: a partial frame stays buffered.
     async fn next(&mut self) -> Result<Message, SessionEnd> {
         loop {
-            if let Some(message) = self.frames.message().map_err(RejectReason::Frame)? {
+            if let Some(message) = self.frames.next_message().map_err(RejectReason::Frame)? {
                 return Ok(message);
             }
             let read = self.stream.read(&mut self.buffer).await?;
             if read == 0 {
                 return Err(CloseReason::ClosedByPeer.into());
             }
-            self.spend_allowance(read)?;
+            self.consume_tokens(read)?;
             self.frames.push(&self.buffer[..read]);
         }
     }
 
-    fn spend_allowance(&mut self, bytes: usize) -> Result<(), RejectReason> {
+    /// Consumes a token for each received byte; rejects the peer if there are not enough.
+    fn consume_tokens(&mut self, bytes: usize) -> Result<(), RejectReason> {
         let now = Instant::now();
-        self.allowance += (now - self.allowance_at).as_secs_f64() * RECEIVE_BYTES_PER_SECOND - bytes as f64;
-        self.allowance = self.allowance.min(RECEIVE_BURST_BYTES);
-        self.allowance_at = now;
-        if self.allowance < 0.0 {
+        self.tokens += (now - self.refilled_at).as_secs_f64() * RECEIVE_BYTES_PER_SECOND - bytes as f64;
+        self.tokens = self.tokens.min(RECEIVE_BURST_BYTES);
+        self.refilled_at = now;
+        if self.tokens < 0.0 {
             return Err(RejectReason::ReceiveRateExceeded);
         }
         Ok(())
     }
 
-    /// The peer's hello, which has to be its first message and of the same group.
-    async fn hello(&mut self, local: &LocalIdentity) -> Result<RemoteIdentity, SessionEnd> {
+    /// Reads the peer's hello, which must be its first message and of the same group.
+    async fn read_hello(&mut self, local: &LocalIdentity) -> Result<RemoteIdentity, SessionEnd> {
         let Ok(message) = timeout(HELLO_TIMEOUT, self.next()).await else {
             return Err(CloseReason::HelloTimeout.into());
         };
--- a/src/peers/session/publisher.rs
+++ b/src/peers/session/publisher.rs
@@ -1,4 +1,4 @@
-//! The publisher's side of a session: sends all local observations, then what changes, and answers view requests.
+//! Publisher side of a session: sends all local observations, then the changed ones, and responds to view requests.
 use super::{write_message, LocalIdentity, MessageReader, SILENCE_TIMEOUT};
 use crate::clock;
 use crate::interface::Nanos;
@@ -12,10 +12,10 @@
 use tokio::sync::watch;
 use tokio::time::{interval, Instant, Interval, MissedTickBehavior};
 
-/// A publisher without news sends an empty batch this often, so that the subscriber knows that it is alive.
+/// Interval of empty batches while no observation is due. They show the subscriber that the publisher is alive.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// A session is closed after so long, and the subscriber reconnects: a certificate that has expired since does not live
-/// on in an old connection.
+/// Maximum lifetime of a session, after which the subscriber has to reconnect. Limits how long a connection outlives an
+/// expired certificate.
 const MAX_SESSION_LIFETIME: Duration = Duration::from_secs(600);
 
 /// Publishes local observations to a subscriber until the session ends.
@@ -29,7 +29,7 @@
         local,
         observations,
         state: PublicationState::default(),
-        last_ping: ReceivedPing { number: 0, at: clock::now() },
+        last_ping: ReceivedPing { number: 0, received_at: clock::now() },
         last_message_at: Instant::now(),
         snapshot_is_pending: true,
     };
@@ -39,10 +39,10 @@
     }
 }
 
-/// The subscriber's last ping, by its number; number 0 stands for the start of the session.
+/// Number and time of arrival of the subscriber's last ping. Number 0 is the start of the session.
 struct ReceivedPing {
     number: u64,
-    at: Nanos,
+    received_at: Nanos,
 }
 
 struct Publisher<'a, R, W> {
@@ -53,7 +53,7 @@
     state: PublicationState,
     last_ping: ReceivedPing,
     last_message_at: Instant,
-    /// The first batches are the snapshot; its last one says so.
+    /// Whether the snapshot is not sent yet. It consists of the first batches and is marked complete in the last one.
     snapshot_is_pending: bool,
 }
 
@@ -67,7 +67,7 @@
             self.send_due_observations().await?;
             self.serve_until_next_batch(&mut heartbeat).await?;
             if self.last_message_at.elapsed() > SILENCE_TIMEOUT {
-                return Err(CloseReason::Silent.into());
+                return Err(CloseReason::SilenceTimeout.into());
             }
             if Instant::now() > lifetime_end {
                 return Err(CloseReason::LifetimeReached.into());
@@ -76,20 +76,20 @@
     }
 
     async fn exchange_hellos(&mut self) -> Result<(), SessionEnd> {
-        let peer = self.reader.hello(self.local).await?;
+        let peer = self.reader.read_hello(self.local).await?;
         write_message(&mut self.writer, &self.local.hello()).await?;
         self.local.mark_authenticated(&peer).await;
         log::debug!(peer = peer.name; "publishing observations to a peer");
-        self.last_ping = ReceivedPing { number: 0, at: clock::now() };
+        self.last_ping = ReceivedPing { number: 0, received_at: clock::now() };
         self.last_message_at = Instant::now();
         Ok(())
     }
 
     async fn send_due_observations(&mut self) -> Result<(), SessionEnd> {
         let now = clock::now();
-        let known = self.observations.borrow_and_update().at(now);
-        let mut parts = frame::split_observations(self.state.due(now, &known));
-        // There is always a last part; an empty one is the heartbeat.
+        let local = self.observations.borrow_and_update().as_of(now);
+        let mut parts = frame::split_observations(self.state.select_due(now, &local));
+        // `split_observations` returns at least one part, which is the heartbeat if it is empty.
         let last = parts.pop().unwrap_or_default();
         for part in parts {
             self.send_batch(part, false).await?;
@@ -104,14 +104,14 @@
     ) -> Result<(), SessionEnd> {
         let batch = ObservationBatch {
             ping: self.last_ping.number,
-            ping_age: clock::now() - self.last_ping.at,
+            ping_age: clock::now() - self.last_ping.received_at,
             completes_snapshot,
             observations,
         };
         write_message(&mut self.writer, &Message::Observations(batch)).await
     }
 
-    /// Handles the subscriber's messages until observations changed or a heartbeat is due.
+    /// Handles the subscriber's messages until the local observations change or a heartbeat is due.
     async fn serve_until_next_batch(&mut self, heartbeat: &mut Interval) -> Result<(), SessionEnd> {
         loop {
             tokio::select! {
@@ -127,7 +127,7 @@
     async fn handle_message(&mut self, message: Message) -> Result<(), SessionEnd> {
         match message {
             Message::Ping(number) => {
-                self.last_ping = ReceivedPing { number, at: clock::now() };
+                self.last_ping = ReceivedPing { number, received_at: clock::now() };
                 self.last_message_at = Instant::now();
                 Ok(())
             }
@@ -137,7 +137,7 @@
                 Ok(())
             }
             Message::Hello { .. } | Message::Observations(_) | Message::ViewPart { .. } => {
-                Err(RejectReason::OutOfTurn.into())
+                Err(RejectReason::UnexpectedMessage.into())
             }
         }
     }
--- a/src/peers/session/subscriber.rs
+++ b/src/peers/session/subscriber.rs
@@ -1,4 +1,4 @@
-//! The subscriber's side of a session: receives a publisher's observations and bounds how old they are.
+//! Subscriber side of a session: receives a publisher's observations and bounds their transit time.
 use super::{write_message, LocalIdentity, MessageReader, SILENCE_TIMEOUT};
 use crate::interface::Nanos;
 use crate::peers::error::{CloseReason, RejectReason, SessionEnd};
@@ -9,11 +9,11 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::time::{interval, Instant, MissedTickBehavior};
 
-/// Interval of the pings that bound a frame's transit time: observations are dated at most this much too early.
+/// Interval of the pings that bound a frame's transit time. This interval is the largest error of the bound.
 pub(super) const PING_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Receives observations until the session ends. `on_batch` gets each batch and the longest time for which its frame
-/// can have been in transit.
+/// Receives observations until the session ends. Calls `on_batch` with each batch and the upper bound of its frame's
+/// transit time.
 pub async fn subscribe<S: AsyncRead + AsyncWrite>(
     stream: S, local: &LocalIdentity, on_batch: impl FnMut(Nanos, ObservationBatch),
 ) -> SessionEnd {
@@ -30,7 +30,7 @@
     let mut reader = MessageReader::new(read_half);
     let mut pings = SentPings::new(Instant::now());
     write_message(&mut writer, &local.hello()).await?;
-    let peer = reader.hello(local).await?;
+    let peer = reader.read_hello(local).await?;
     local.mark_authenticated(&peer).await;
     log::info!(peer = peer.name; "receiving observations from a peer");
     let mut ping_ticks = interval(PING_INTERVAL);
@@ -45,7 +45,7 @@
             }
             _ = ping_ticks.tick() => {
                 if last_message_at.elapsed() > SILENCE_TIMEOUT {
-                    return Err(CloseReason::Silent.into());
+                    return Err(CloseReason::SilenceTimeout.into());
                 }
                 let number = pings.record(Instant::now());
                 write_message(&mut writer, &Message::Ping(number)).await?;
@@ -54,46 +54,46 @@
     }
 }
 
-/// A publisher sends nothing but observations after its hello.
+/// Rejects all messages except observations, the only messages of a publisher after its hello.
 fn expect_observations(message: Message) -> Result<ObservationBatch, RejectReason> {
     match message {
         Message::Observations(batch) => Ok(batch),
         Message::Hello { .. } | Message::Ping(_) | Message::ViewRequest | Message::ViewPart { .. } => {
-            Err(RejectReason::OutOfTurn)
+            Err(RejectReason::UnexpectedMessage)
         }
     }
 }
 
 struct SentPing {
     number: u64,
-    at: Instant,
+    sent_at: Instant,
 }
 
-/// Pings that a batch may still refer to.
+/// The sent pings to which a batch may still refer.
 struct SentPings {
     session_start: Instant,
     sent: VecDeque<SentPing>,
 }
 
 impl SentPings {
-    /// The start of the session counts as ping 0.
+    /// Records the start of the session as ping 0.
     fn new(session_start: Instant) -> SentPings {
-        let sent = VecDeque::from([SentPing { number: 0, at: session_start }]);
+        let sent = VecDeque::from([SentPing { number: 0, sent_at: session_start }]);
         SentPings { session_start, sent }
     }
 
-    /// Records a ping that is sent now, and gives its number.
-    fn record(&mut self, at: Instant) -> u64 {
+    /// Records a ping that is sent at `sent_at` and returns its number.
+    fn record(&mut self, sent_at: Instant) -> u64 {
         let number = self.sent.back().map_or(1, |ping| ping.number + 1);
-        self.sent.push_back(SentPing { number, at });
+        self.sent.push_back(SentPing { number, sent_at });
         number
     }
 
-    /// The longest time for which a batch can have been in transit: it was built `ping_age` after its ping had arrived,
-    /// so it left no earlier than `ping_age` after that ping was sent. Forgets earlier pings.
+    /// Returns the upper bound of a batch's transit time. The batch was built `ping_age` after its ping arrived, and so
+    /// no earlier than `ping_age` after that ping was sent. Removes earlier pings.
     fn transit_bound(&mut self, batch: &ObservationBatch) -> Nanos {
-        let answered = self.sent.iter().find(|ping| ping.number == batch.ping);
-        let sent_at = answered.map_or(self.session_start, |ping| ping.at);
+        let last_received = self.sent.iter().find(|ping| ping.number == batch.ping);
+        let sent_at = last_received.map_or(self.session_start, |ping| ping.sent_at);
         self.sent.retain(|ping| ping.number >= batch.ping);
         Nanos(sent_at.elapsed().as_nanos() as u64) - batch.ping_age
     }
--- a/src/peers/session/tests.rs
+++ b/src/peers/session/tests.rs
@@ -36,14 +36,14 @@
     frame::encode(&Message::Hello { name: "n1".into(), group: group.into(), member: None })
 }
 
-/// What a scripted publisher does after its bytes.
+/// Behaviour of a scripted publisher after it has sent its bytes.
 #[derive(Clone, Copy, PartialEq)]
 enum AfterScript {
     Close,
     StaySilent,
 }
 
-/// Subscribes to a publisher that sends these bytes. Gives how the session ended and what was received.
+/// Subscribes to a publisher that sends these bytes. Returns the end of the session and the received observations.
 async fn subscribe_to_script(bytes: Vec<u8>, after: AfterScript) -> (SessionEnd, Vec<EndpointObservation>) {
     let (near, far) = duplex(1 << 16);
     let publisher = async move {
@@ -68,7 +68,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_publisher_that_dies_during_a_snapshot_has_published_its_complete_frames() {
+async fn keeps_the_complete_frames_of_a_snapshot_that_is_cut_off() {
     let mut bytes = [hello("g"), batch(vec![outage("s-1")])].concat();
     let second = batch(vec![outage("s-2")]);
     bytes.extend(&second[..second.len() / 2]);
@@ -79,36 +79,36 @@
 
 #[rstest]
 #[case::malformed_frame([hello("g"), batch(vec![outage("s-1")]), vec![0, 0, 0, 9, 1, 1, 1, 1, 1, 9, 9, 9, 9]].concat(), "checksum")]
-#[case::oversized_frame([hello("g"), vec![0x7f, 0xff, 0xff, 0xff]].concat(), "a frame of 2147483647 bytes")]
+#[case::oversized_frame([hello("g"), vec![0x7f, 0xff, 0xff, 0xff]].concat(), "frame of 2147483647 bytes exceeds the maximum")]
 #[case::another_group([hello("other"), batch(vec![outage("s-1")])].concat(), "another group")]
-#[case::no_hello(batch(vec![outage("s-1")]), "no hello")]
-#[case::out_of_turn([hello("g"), hello("g")].concat(), "out of turn")]
-#[case::http(b"HTTP/1.1 200 OK\r\n\r\n".to_vec(), "a frame of")]
+#[case::no_hello(batch(vec![outage("s-1")]), "first message is not a hello")]
+#[case::unexpected_message([hello("g"), hello("g")].concat(), "unexpected message")]
+#[case::http(b"HTTP/1.1 200 OK\r\n\r\n".to_vec(), "frame of 1213486160 bytes exceeds the maximum")]
 #[tokio::test(start_paused = true)]
-async fn a_publisher_that_violates_the_protocol_is_rejected(#[case] bytes: Vec<u8>, #[case] wanted: &str) {
+async fn rejects_a_publisher_that_violates_the_protocol(#[case] bytes: Vec<u8>, #[case] expected: &str) {
     let (end, _) = subscribe_to_script(bytes, AfterScript::StaySilent).await;
-    assert!(matches!(&end, SessionEnd::Rejected(why) if why.to_string().contains(wanted)), "{end:?}");
+    assert!(matches!(&end, SessionEnd::Rejected(reason) if reason.to_string().contains(expected)), "{end:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_publisher_that_exceeds_the_receive_rate_is_rejected() {
+async fn rejects_a_publisher_that_exceeds_the_receive_rate() {
     let frame = batch((0..700).map(|n| outage(&format!("s-{n:0>40}"))).collect());
-    let flood: Vec<u8> =
+    let bytes: Vec<u8> =
         hello("g").into_iter().chain(frame.iter().copied().cycle().take(4_000_000)).collect();
-    let (end, _) = subscribe_to_script(flood, AfterScript::StaySilent).await;
+    let (end, _) = subscribe_to_script(bytes, AfterScript::StaySilent).await;
     assert!(matches!(end, SessionEnd::Rejected(RejectReason::ReceiveRateExceeded)), "{end:?}");
-    assert_eq!(end.to_string(), "a flood");
+    assert_eq!(end.to_string(), "peer exceeded the receive rate limit");
 }
 
 #[rstest]
 #[case::before_its_hello(Vec::new())]
-#[case::half_open_after_its_hello(hello("g"))]
+#[case::after_its_hello(hello("g"))]
 #[tokio::test(start_paused = true)]
-async fn a_session_with_a_silent_publisher_is_closed(#[case] bytes: Vec<u8>) {
-    let begun = Instant::now();
+async fn closes_a_session_with_a_silent_publisher(#[case] bytes: Vec<u8>) {
+    let start = Instant::now();
     let (end, _) = subscribe_to_script(bytes, AfterScript::StaySilent).await;
     assert!(matches!(end, SessionEnd::Closed(_)), "{end:?}");
-    assert!(begun.elapsed() <= HELLO_TIMEOUT + SILENCE_TIMEOUT + PING_INTERVAL);
+    assert!(start.elapsed() <= HELLO_TIMEOUT + SILENCE_TIMEOUT + PING_INTERVAL);
 }
 
 fn connected_pair() -> (DuplexStream, DuplexStream) {
@@ -116,7 +116,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_snapshot_comes_first_and_then_what_changes() {
+async fn publishes_a_snapshot_and_then_the_changed_observations() {
     let (near, far) = connected_pair();
     let capacity = observation("s-2", Finding::ConnectionCapacity { calls: 2.0 });
     let (collected, observations) = watch::channel(local(vec![outage("s-1"), capacity.clone()]));
@@ -131,22 +131,22 @@
     let recovering = observation("s-1", Finding::Recovering { since: Nanos(0) });
     collected.send_replace(local(vec![recovering, capacity]));
     let change = loop {
-        let batch = received.recv().await.expect("the session stands");
+        let batch = received.recv().await.expect("the session is open");
         if !batch.observations.is_empty() {
             break batch;
         }
     };
     assert!(!change.completes_snapshot, "{change:?}");
     assert!(change.observations.len() == 1 && change.observations[0].uid == "s-1", "{change:?}");
-    // A forwarder that shuts down closes its sessions, which the subscriber sees at once.
+    // The publisher closes its sessions when its forwarder shuts down, and the subscriber receives the close.
     drop(collected);
     assert!(matches!(publisher.await, Ok(SessionEnd::Closed(_))));
     assert!(matches!(subscriber.await, Ok(SessionEnd::Closed(_))));
 }
 
-/// A frame's transit time is never underestimated.
+/// The bound must never be below the transit time; otherwise a Retry-After could end later than the partner requested.
 #[tokio::test(start_paused = true)]
-async fn the_transit_bound_is_measured_from_the_ping_that_the_frame_answers() {
+async fn the_transit_bound_starts_at_the_last_ping_before_the_frame() {
     let (near, far) = connected_pair();
     let (received_tx, mut received) = mpsc::unbounded_channel();
     tokio::spawn(async move {
@@ -154,7 +154,7 @@
     });
     let (mut read, mut write) = tokio::io::split(far);
     let mut reader = MessageReader::new(&mut read);
-    let subscriber = reader.hello(&local_identity()).await.expect("its hello");
+    let subscriber = reader.read_hello(&local_identity()).await.expect("the subscriber's hello");
     assert_eq!(subscriber, RemoteIdentity { name: "n0".into(), member: None });
     write.write_all(&hello("g")).await.expect("written");
     let ping = loop {
@@ -162,7 +162,7 @@
             break number;
         }
     };
-    // The ping had arrived a tenth of a second before the frame was built, which is then in transit for seven tenths.
+    // The frame was built 0.1 s after the ping arrived, and is in transit for the remaining 0.7 s.
     let batch = ObservationBatch {
         ping,
         ping_age: Nanos::from_secs(0.1),
--- a/src/peers/sources.rs
+++ b/src/peers/sources.rs
@@ -4,10 +4,10 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Sources at a time: three independent views are enough to start from, and each costs its publisher little.
+/// Number of concurrent sources. Three independent sources are enough after a start, and each costs its publisher little.
 pub const MAX_SOURCES: usize = 3;
 
-/// The current sources and the candidates for the next ones. Times are in seconds of any monotonic clock.
+/// Selects sources among the seeds and the members. Times are in seconds of any monotonic clock.
 pub struct Sources {
     seeds: Vec<SocketAddr>,
     local_address: SocketAddr,
@@ -15,8 +15,8 @@
 }
 
 impl Sources {
-    /// Seeds are candidates from the start: a forwarder that waited for membership to settle would by then have met
-    /// every outage with calls of its own.
+    /// Creates a selection without sources. Seeds are candidates from the start: until membership is established, a
+    /// forwarder without sources would find every outage with its own calls.
     pub fn new(local_address: SocketAddr, seeds: Vec<SocketAddr>, random_seed: u64) -> Sources {
         Sources { seeds, local_address, rotation: Rotation::new(MAX_SOURCES, random_seed) }
     }
@@ -29,7 +29,7 @@
         self.rotation.select(now, candidates.into_iter())
     }
 
-    /// The session with `peer` has ended; the next one begins `backoff` seconds later at the earliest.
+    /// Records that the session with `peer` ended. The peer can be selected again `backoff` seconds later.
     pub fn release(&mut self, now: f64, peer: SocketAddr, backoff: f64) {
         self.rotation.release(now, peer, backoff);
     }
--- a/src/peers/sources/tests.rs
+++ b/src/peers/sources/tests.rs
@@ -4,7 +4,7 @@
 use crate::peers::rotation::REJECTED_BACKOFF_SECS;
 
 #[test]
-fn three_sources_at_a_time_and_none_in_backoff() {
+fn selects_three_sources_at_a_time_and_none_in_backoff() {
     let mut sources = Sources::new(address(0), vec![address(1), address(0)], 7);
     assert_eq!(sources.select(0.0, &[]), [address(1)], "seeds are candidates from the start");
     let members: Vec<Member> = (0..9).map(|n| member(n, 1)).collect();
--- a/src/peers/subscriptions.rs
+++ b/src/peers/subscriptions.rs
@@ -1,4 +1,4 @@
-//! Keeps sessions with a few sources, and aggregates what they publish.
+//! Maintains sessions with a few sources and aggregates the observations that they publish.
 use super::aggregation::{Aggregator, PeerId};
 use super::connect::Connector;
 use super::error::{RejectReason, SessionEnd};
@@ -17,15 +17,15 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{interval, Instant};
 
-/// Observations of one frame.
+/// Observations received in one frame.
 pub struct ReceivedBatch {
     peer: PeerId,
-    /// The longest time for which the frame can have been in transit.
+    /// Upper bound of the frame's transit time.
     transit: Nanos,
     observations: Vec<EndpointObservation>,
 }
 
-/// Aggregates what arrives, and hands to the exchange what counts.
+/// Aggregates received batches and passes the effective observations to the exchange.
 pub async fn aggregate(exchange: Exchange, mut batches: mpsc::Receiver<ReceivedBatch>) {
     let mut aggregator = Aggregator::default();
     let mut ticks = interval(REFRESH_INTERVAL);
@@ -51,13 +51,13 @@
     aggregator.record(clock::now(), batch.peer, batch.transit, batch.observations);
 }
 
-/// A session that has ended.
+/// An ended session with a source.
 struct EndedSession {
     address: SocketAddr,
     end: SessionEnd,
 }
 
-/// Keeps sessions with sources for as long as the process runs.
+/// Maintains sessions with sources until the process exits.
 pub async fn run(
     mut sources: Sources, known: watch::Receiver<Arc<KnownMembers>>, connector: Connector,
     batches: mpsc::Sender<ReceivedBatch>,
@@ -65,7 +65,7 @@
     let start = Instant::now();
     let (ended_tx, mut ended_rx) = mpsc::unbounded_channel();
     let mut rejections = RejectionLog::default();
-    let mut last_peer: PeerId = 0;
+    let mut last_peer_id: PeerId = 0;
     let mut ticks = interval(REFRESH_INTERVAL);
     loop {
         tokio::select! {
@@ -77,11 +77,11 @@
         }
         let members = known.borrow().available.clone();
         for address in sources.select(start.elapsed().as_secs_f64(), &members) {
-            last_peer += 1;
+            last_peer_id += 1;
             let (connector, batches, ended) = (connector.clone(), batches.clone(), ended_tx.clone());
             tokio::spawn(async move {
-                let end = subscribe(&connector, address, last_peer, batches).await;
-                // Nobody receives it once the process shuts down.
+                let end = subscribe(&connector, address, last_peer_id, batches).await;
+                // The receiver is closed only when the process shuts down.
                 let _ = ended.send(EndedSession { address, end });
             });
         }
@@ -96,13 +96,13 @@
         Err(end) => return end,
     };
     session::subscribe(stream, &connector.identity, |transit, batch| {
-        // Dropped where aggregation is behind: what counts is published again.
+        // Dropped if the queue to the aggregation is full: publishers repeat current observations.
         let _ = batches.try_send(ReceivedBatch { peer, transit, observations: batch.observations });
     })
     .await
 }
 
-/// Logs why a session has ended, and gives the backoff in seconds before the next one.
+/// Logs the end of a session and returns the backoff before the next one, in seconds.
 fn backoff_after(address: SocketAddr, end: SessionEnd, rejections: &mut RejectionLog) -> f64 {
     match end {
         SessionEnd::Closed(reason) => {
@@ -116,7 +116,7 @@
     }
 }
 
-/// Logs a rejected source once for each reason, not at each attempt.
+/// Logs the rejection of a source only if the reason differs from the previous one.
 #[derive(Default)]
 struct RejectionLog {
     last_reasons: BTreeMap<SocketAddr, String>,
--- a/src/peers/topic.rs
+++ b/src/peers/topic.rs
@@ -1,21 +1,21 @@
-//! What an observation is about. Of each endpoint and topic only the latest observation of a peer counts.
+//! Topics of observations. For each endpoint and topic only the latest observation of a peer is used.
 use crate::interface::Finding;
 
 /// The topic of an observation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Topic {
-    /// Outage, recovery and health are states of one thing: each replaces the others.
+    /// The state of the endpoint (outage, recovery or health). A new state replaces the previous one.
     State,
-    /// The wait that the partner asked for.
+    /// The wait that the partner requested.
     RetryAfter,
-    /// The rate that the partner accepts.
+    /// The rate of calls that the partner accepts.
     RateLimit,
-    /// The connections that the partner accepts.
+    /// The number of concurrent calls that the partner accepts.
     ConnectionCapacity,
 }
 
 impl Topic {
-    /// The topic of a finding.
+    /// Returns the topic of a finding.
     pub fn of(finding: &Finding) -> Topic {
         match finding {
             Finding::Outage { .. } | Finding::Recovering { .. } | Finding::Healthy { .. } => Topic::State,
--- a/tests/peers_benefit.rs
+++ b/tests/peers_benefit.rs
@@ -1,9 +1,10 @@
-//! The benefit of exchanging observations with peers: three real forwarders and six partners, three of which have an
-//! outage. During the outage one forwarder is killed and started again, with and without peers. Long, so not in CI:
+//! Measures the benefit of exchanging observations with peers. Three real forwarders send to six partners, three of which
+//! have an outage. During the outage one forwarder is killed and restarted, with and without peers. The measurement takes
+//! too long for CI:
 //!
 //! `cargo test --release --test peers_benefit -- --ignored --nocapture`
 //!
-//! `SEEDS` sets the number of runs of each kind (20). Four runs at a time, for which four cores suffice.
+//! `SEEDS` sets the number of runs of each kind (default 20). Four runs are executed at a time, which requires four cores.
 mod peers_common;
 mod stand;
 use peers_common::Authority;
@@ -15,27 +16,31 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
+/// Number of concurrent runs.
 const WORKERS: usize = 4;
 const PARTNERS: u64 = 6;
-/// The first partners are those with the outage.
+/// Number of partners with an outage; these are the first ones.
 const FAILING_PARTNERS: u64 = 3;
 const FORWARDERS: [&str; 3] = ["a", "b", "c"];
-/// Index of the forwarder that is killed and started again.
+/// Index of the forwarder that is killed and restarted.
 const RESTARTED: usize = 2;
-/// Messages a second that each forwarder gets, over all partners.
-const RATE: f64 = 30.0;
-/// Calls a second that a partner takes once it has warmed up; the share of them that it takes at its return, and the time
-/// in seconds until it has warmed up, as in the settings of the test site (`coldFrom`, `rampTimeNs`).
+/// Messages per second that are submitted to each forwarder, over all partners.
+const SUBMISSION_RATE: f64 = 30.0;
+/// Calls per second that a warmed-up partner can process.
 const CAPACITY: f64 = 50.0;
+/// Share of its capacity that a partner has at its recovery, as in the settings of the test site (`coldFrom`).
 const COLD_SHARE: f64 = 0.2;
+/// Time from the recovery until a partner has its full capacity, as in the settings of the test site (`rampTimeNs`).
 const WARM_UP_SECS: f64 = 9.0;
-/// Times of a run, in seconds.
+/// Start of the outage, in seconds after the start of the run.
 const OUTAGE_AT: f64 = 2.0;
+/// End of the outage, in seconds after the start of the run.
 const RECOVERY_AT: f64 = 9.0;
+/// End of the run, in seconds after its start.
 const END_AT: f64 = 15.0;
-/// Load is averaged over so many seconds, as in the rule on the recovery ramp (`tipAfterNs`).
+/// Window over which load is averaged, in seconds, as in the settings of the test site (`tipAfterNs`).
 const LOAD_WINDOW_SECS: f64 = 1.5;
-/// The sending rate is back once a second holds this share of what is submitted for the partner.
+/// The sending rate has recovered once the calls of one second reach this share of the submission rate for the partner.
 const RECOVERED_SHARE: f64 = 0.8;
 
 /// Whether the forwarders exchange observations.
@@ -48,36 +53,36 @@
 /// A call that a partner received.
 #[derive(Clone)]
 struct Call {
-    /// Seconds since the start of the run's clock.
+    /// Time of arrival: seconds since `Clock::start`; in `evaluate`, seconds since the start of the run.
     at: f64,
     message: String,
 }
 
 type Calls = Arc<Mutex<Vec<Call>>>;
 
-/// What one run measured, of the restarted forwarder.
+/// Measurements of the restarted forwarder in one run, and of the load on recovering partners.
 #[derive(Default)]
-struct Figures {
+struct Measurements {
     wasted_calls: f64,
     recovery_secs: f64,
     overload: f64,
     delivered: f64,
 }
 
-/// The clock of a run: `zero` seconds after `start` the forwarders are ready and the run begins.
+/// Clock of a run, which starts when the forwarders are ready, `run_start` seconds after `start`.
 #[derive(Clone, Copy)]
 struct Clock {
     start: Instant,
-    zero: f64,
+    run_start: f64,
 }
 
 impl Clock {
     fn instant(&self, secs: f64) -> Instant {
-        self.start + Duration::from_secs_f64(self.zero + secs)
+        self.start + Duration::from_secs_f64(self.run_start + secs)
     }
 
     fn now(&self) -> f64 {
-        self.start.elapsed().as_secs_f64() - self.zero
+        self.start.elapsed().as_secs_f64() - self.run_start
     }
 
     fn sleep_until(&self, secs: f64) {
@@ -85,7 +90,7 @@
     }
 }
 
-/// Numbers below a thousand from the seed, the same in each run with it.
+/// Returns a pseudo-random number below 1000, which depends only on the seed and the number of the draw.
 fn random(seed: u64, draw: u64) -> f64 {
     let mixed = seed.wrapping_mul(6364136223846793005).wrapping_add(draw * 1442695040888963407);
     ((mixed >> 33) % 1000) as f64
@@ -105,7 +110,9 @@
     (server, calls)
 }
 
-fn start_forwarders(authority: &Authority, exchange: Exchange, disco: &Server, known: &str) -> Vec<Daemon> {
+fn start_forwarders(
+    authority: &Authority, exchange: Exchange, discovery_server: &Server, endpoint_list: &str,
+) -> Vec<Daemon> {
     let addresses = FORWARDERS.map(|_| free_address());
     let start = |index: usize| {
         let name = FORWARDERS[index];
@@ -116,20 +123,20 @@
             Exchange::Off => vec![format!("--name={name}")],
         };
         let env = vec![("MICALADDER_LOG".to_string(), "info".to_string())];
-        Setup { flags, env, max_pending: 600, ..setup(disco, known.to_string()) }.start()
+        Setup { flags, env, max_pending: 600, ..setup(discovery_server, endpoint_list.to_string()) }.start()
     };
     (0..FORWARDERS.len()).map(start).collect()
 }
 
-/// Submits messages until the end of the run. A message that finds no forwarder is not submitted again.
+/// Submits messages until the end of the run. A message is not resubmitted if the forwarder is down.
 fn start_client(address: SocketAddr, name: &'static str, clock: Clock) -> JoinHandle<()> {
     thread::spawn(move || {
         for number in 0u64.. {
-            let due = clock.instant(number as f64 / RATE);
-            if due >= clock.instant(END_AT) {
+            let submit_at = clock.instant(number as f64 / SUBMISSION_RATE);
+            if submit_at >= clock.instant(END_AT) {
                 return;
             }
-            thread::sleep(due.saturating_duration_since(Instant::now()));
+            thread::sleep(submit_at.saturating_duration_since(Instant::now()));
             let text = message("stats", &format!("{name}-{number}"), "16000m", "");
             let text = String::from_utf8(text).expect("text");
             let text = text.replace("dest=7", &format!("dest={}", number % PARTNERS));
@@ -142,7 +149,7 @@
     })
 }
 
-fn run(seed: u64, exchange: Exchange) -> Figures {
+fn run(seed: u64, exchange: Exchange) -> Measurements {
     let kill_at = 4.0 + random(seed, 1) / 1000.0;
     let restart_at = kill_at + 0.3 + random(seed, 2) / 2000.0;
     let authority = Authority::new();
@@ -151,10 +158,10 @@
     let partners: Vec<(Server, Calls)> =
         (0..PARTNERS).map(|index| start_partner(index, start, outage.clone())).collect();
     let endpoints: Vec<_> = partners.iter().enumerate().map(|(n, p)| (n as u64, p.0.addr)).collect();
-    let known = list(1, &endpoints);
-    let disco = discovery(known.clone());
-    let mut daemons = start_forwarders(&authority, exchange, &disco, &known);
-    let clock = Clock { start, zero: start.elapsed().as_secs_f64() };
+    let endpoint_list = list(1, &endpoints);
+    let discovery_server = discovery(endpoint_list.clone());
+    let mut daemons = start_forwarders(&authority, exchange, &discovery_server, &endpoint_list);
+    let clock = Clock { start, run_start: start.elapsed().as_secs_f64() };
     let clients: Vec<_> =
         daemons.iter().zip(FORWARDERS).map(|(d, name)| start_client(d.addr, name, clock)).collect();
     clock.sleep_until(OUTAGE_AT);
@@ -171,98 +178,100 @@
     evaluate(&partners, clock, ready_at)
 }
 
-fn evaluate(partners: &[(Server, Calls)], clock: Clock, ready_at: f64) -> Figures {
-    let mut figures = Figures::default();
+fn evaluate(partners: &[(Server, Calls)], clock: Clock, ready_at: f64) -> Measurements {
+    let mut measurements = Measurements::default();
     for (index, (_, calls)) in partners.iter().enumerate() {
         let mut calls = calls.lock().expect("lock").clone();
-        calls.iter_mut().for_each(|call| call.at -= clock.zero);
+        calls.iter_mut().for_each(|call| call.at -= clock.run_start);
         if (index as u64) < FAILING_PARTNERS {
-            figures.wasted_calls += count_of_restarted(&calls, ready_at, RECOVERY_AT);
-            figures.recovery_secs = figures.recovery_secs.max(recovery_secs(&calls));
-            figures.overload = figures.overload.max(overload(&calls));
-            figures.delivered += count_of_restarted(&calls, RECOVERY_AT, END_AT);
+            measurements.wasted_calls += count_of_restarted(&calls, ready_at, RECOVERY_AT);
+            measurements.recovery_secs = measurements.recovery_secs.max(recovery_secs(&calls));
+            measurements.overload = measurements.overload.max(overload(&calls));
+            measurements.delivered += count_of_restarted(&calls, RECOVERY_AT, END_AT);
         } else {
-            figures.delivered += count_of_restarted(&calls, 0.0, END_AT);
+            measurements.delivered += count_of_restarted(&calls, 0.0, END_AT);
         }
     }
-    figures
+    measurements
 }
 
-/// Calls of the restarted forwarder within a time.
+/// Returns the number of calls of the restarted forwarder within a period.
 fn count_of_restarted(calls: &[Call], from: f64, to: f64) -> f64 {
     let prefix = format!("{}-", FORWARDERS[RESTARTED]);
     let is_counted = |call: &&Call| call.message.starts_with(&prefix) && call.at >= from && call.at < to;
     calls.iter().filter(is_counted).count() as f64
 }
 
-/// Seconds after the partner's recovery until the restarted forwarder sends at its full rate again.
+/// Returns the time from the partner's recovery until the restarted forwarder sends at its full rate, in seconds.
 fn recovery_secs(calls: &[Call]) -> f64 {
-    let full_rate = RECOVERED_SHARE * RATE / PARTNERS as f64;
+    let full_rate = RECOVERED_SHARE * SUBMISSION_RATE / PARTNERS as f64;
     let has_recovered =
         |secs: &f64| count_of_restarted(calls, RECOVERY_AT + secs, RECOVERY_AT + secs + 1.0) >= full_rate;
     let recovered = (0..60).map(|tenth| f64::from(tenth) / 10.0).find(has_recovered);
     recovered.unwrap_or(END_AT - RECOVERY_AT)
 }
 
-/// The highest load on a recovering partner, as a multiple of its capacity at that time.
+/// Returns the highest load on a recovering partner, as a multiple of its capacity at that time.
 fn overload(calls: &[Call]) -> f64 {
     let mut highest: f64 = 0.0;
     let last_window = END_AT - LOAD_WINDOW_SECS;
     for first in calls.iter().filter(|call| call.at >= RECOVERY_AT && call.at < last_window) {
         let is_in_window = |call: &&Call| call.at >= first.at && call.at < first.at + LOAD_WINDOW_SECS;
         let load = calls.iter().filter(is_in_window).count() as f64;
-        let warmth = ((first.at - RECOVERY_AT) / WARM_UP_SECS).min(1.0);
-        let capacity = CAPACITY * (COLD_SHARE + (1.0 - COLD_SHARE) * warmth) * LOAD_WINDOW_SECS;
+        let warm_up_progress = ((first.at - RECOVERY_AT) / WARM_UP_SECS).min(1.0);
+        let capacity = CAPACITY * (COLD_SHARE + (1.0 - COLD_SHARE) * warm_up_progress) * LOAD_WINDOW_SECS;
         highest = highest.max(load / capacity);
     }
     highest
 }
 
-/// Prints minimum, median and maximum of a figure, without and with peers.
-fn print_row(name: &str, figure: impl Fn(&Figures) -> f64, without: &[Figures], with: &[Figures]) {
-    let spread = |runs: &[Figures]| {
-        let mut values: Vec<f64> = runs.iter().map(&figure).collect();
+/// Prints the minimum, median and maximum of a measurement, without and with peers.
+fn print_row(
+    name: &str, measurement: impl Fn(&Measurements) -> f64, without: &[Measurements], with: &[Measurements],
+) {
+    let format_range = |runs: &[Measurements]| {
+        let mut values: Vec<f64> = runs.iter().map(&measurement).collect();
         values.sort_by(f64::total_cmp);
         format!("{:.2} / {:.2} / {:.2}", values[0], values[values.len() / 2], values[values.len() - 1])
     };
-    println!("| {name} | {} | {} |", spread(without), spread(with));
+    println!("| {name} | {} | {} |", format_range(without), format_range(with));
 }
 
-/// A run that is due: its seed, and whether the forwarders have peers.
-type DueRun = (u64, Exchange);
+/// A planned run: its seed, and whether the forwarders exchange observations.
+type PlannedRun = (u64, Exchange);
 
-/// Runs all, `WORKERS` at a time, and gives the figures of each with what it ran with.
-fn run_all(due: Vec<DueRun>) -> Vec<(Exchange, Figures)> {
-    let due = Mutex::new(due);
-    let done = Mutex::new(Vec::new());
+/// Executes all runs, `WORKERS` at a time, and returns the measurements of each.
+fn run_all(planned: Vec<PlannedRun>) -> Vec<(Exchange, Measurements)> {
+    let planned = Mutex::new(planned);
+    let finished = Mutex::new(Vec::new());
     thread::scope(|scope| {
         for _ in 0..WORKERS {
             scope.spawn(|| loop {
-                let Some((seed, exchange)) = due.lock().expect("lock").pop() else { return };
-                let figures = run(seed, exchange);
-                done.lock().expect("lock").push((exchange, figures));
+                let Some((seed, exchange)) = planned.lock().expect("lock").pop() else { return };
+                let measurements = run(seed, exchange);
+                finished.lock().expect("lock").push((exchange, measurements));
             });
         }
     });
-    done.into_inner().expect("lock")
+    finished.into_inner().expect("lock")
 }
 
 #[test]
-#[ignore = "a measurement of some minutes"]
+#[ignore = "takes several minutes"]
 fn benefit_of_peers_to_a_restarted_forwarder() {
     let seeds: u64 = std::env::var("SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(20);
-    let due = (0..seeds).flat_map(|seed| [(seed, Exchange::Off), (seed, Exchange::On)]).collect();
+    let planned = (0..seeds).flat_map(|seed| [(seed, Exchange::Off), (seed, Exchange::On)]).collect();
     let (mut with, mut without) = (Vec::new(), Vec::new());
-    for (exchange, figures) in run_all(due) {
+    for (exchange, measurements) in run_all(planned) {
         match exchange {
-            Exchange::On => with.push(figures),
-            Exchange::Off => without.push(figures),
+            Exchange::On => with.push(measurements),
+            Exchange::Off => without.push(measurements),
         }
     }
     println!("| {seeds} seeds, min / median / max | without | with peers |\n| --- | --- | --- |");
-    print_row("calls wasted on the failing partners", |f| f.wasted_calls, &without, &with);
-    print_row("seconds until its sending rate is back", |f| f.recovery_secs, &without, &with);
-    print_row("load on a recovering partner, multiple of its capacity", |f| f.overload, &without, &with);
-    print_row("messages delivered by it", |f| f.delivered, &without, &with);
-    assert!(with.iter().all(|f| f.overload <= 2.0), "a recovering partner was overloaded");
+    print_row("calls wasted on the failing partners", |run| run.wasted_calls, &without, &with);
+    print_row("seconds until its sending rate has recovered", |run| run.recovery_secs, &without, &with);
+    print_row("load on a recovering partner, multiple of its capacity", |run| run.overload, &without, &with);
+    print_row("messages delivered by it", |run| run.delivered, &without, &with);
+    assert!(with.iter().all(|run| run.overload <= 2.0), "a recovering partner was overloaded");
 }
--- a/tests/peers_common/mod.rs
+++ b/tests/peers_common/mod.rs
@@ -1,17 +1,17 @@
-//! Certificates for forwarders that exchange observations, and the flags that name them.
+//! Creates certificates for forwarders that exchange observations, and the flags that configure them.
 #![allow(dead_code)]
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// A certificate authority, with the folder of its forwarders' files.
+/// A certificate authority and the folder of its files and its forwarders' files.
 pub struct Authority {
     folder: tempfile::TempDir,
     issuer: Issuer<'static, KeyPair>,
 }
 
 impl Authority {
-    /// An authority with a key of its own.
+    /// Creates an authority with a new key and writes its certificate.
     pub fn new() -> Authority {
         let folder = tempfile::tempdir().expect("a folder");
         let mut params = CertificateParams::new(Vec::new()).expect("parameters");
@@ -22,12 +22,12 @@
         Authority { issuer: Issuer::new(params, key), folder }
     }
 
-    /// Path of a file of this authority.
+    /// Returns the path of a file in the authority's folder.
     pub fn path(&self, name: &str) -> PathBuf {
         self.folder.path().join(name)
     }
 
-    /// Writes a certificate and a key for a forwarder; `expired` sets its validity to the past.
+    /// Writes a certificate and a key for a forwarder; with `expired`, the validity of the certificate is in the past.
     pub fn write(&self, name: &str, expired: bool) {
         let mut params =
             CertificateParams::new(vec!["micaladder-neighbour".to_string()]).expect("parameters");
@@ -41,7 +41,7 @@
         std::fs::write(self.path(&format!("{name}.pem")), certificate.pem()).expect("written");
     }
 
-    /// The flags of a forwarder that listens on this address.
+    /// Returns the flags of a forwarder that listens for peers on this address.
     pub fn flags(&self, name: &str, listen: SocketAddr, seeds: &[SocketAddr]) -> Vec<String> {
         let text = |path: &Path| path.to_string_lossy().into_owned();
         let mut flags = vec![
@@ -52,7 +52,7 @@
             format!("--neighbours-authority={}", text(&self.path("authority.pem"))),
         ];
         if !seeds.is_empty() {
-            let seeds: Vec<String> = seeds.iter().map(|s| s.to_string()).collect();
+            let seeds: Vec<String> = seeds.iter().map(|seed| seed.to_string()).collect();
             flags.push(format!("--neighbours-seeds={}", seeds.join(",")));
         }
         flags
