--- a/src/peers/session/subscriber.rs
+++ b/src/peers/session/subscriber.rs
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::time::{interval, Instant, MissedTickBehavior};
 
-/// Interval of the pings that bound a frame's transit time. This interval is the largest error of the bound.
+/// Interval of the pings that bound a frame's transit time. Observations are dated at most this much too early.
 pub(super) const PING_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Receives observations until the session ends. Calls `on_batch` with each batch and the upper bound of its frame's
