--- a/src/logic.rs
+++ b/src/logic.rs
@@ -71,13 +71,13 @@
     /// When to ask for the endpoint list.
     watch_at: Option<Nanos>,
     /// Backoff in seconds before the list is asked for again after a failure.
-    watch_backoff: f64,
+    watch_backoff_secs: f64,
     /// Kinds of endpoint with signs that idle connections do harm there.
     connection_limited: BTreeSet<usize>,
     /// Endpoints with a call ended whose idle connections are to be checked.
     idle_checks: BTreeSet<EndpointId>,
     /// Seconds without use after which a connection is assumed to be dropped, once one was.
-    idle_limit: Option<f64>,
+    idle_limit_secs: Option<f64>,
 }
 
 impl Balancer {
@@ -87,7 +87,7 @@
         Balancer {
             watch_at: settings.poll_interval.map(|_| Nanos(0)),
             random: Random(seed | 1),
-            watch_backoff: tuning::WATCH_BACKOFF_FIRST,
+            watch_backoff_secs: tuning::FIRST_WATCH_BACKOFF_SECS,
             settings,
             ..Balancer::default()
         }
@@ -102,7 +102,7 @@
         }
         self.review();
         self.expire();
-        self.relieve_slots();
+        self.cancel_to_free_slot();
         self.shed_load();
         self.promote();
         self.dispatch();
@@ -114,15 +114,15 @@
     /// Takes in one event.
     fn ingest(&mut self, event: &Event) {
         match event {
-            Event::EndpointList { complete, entries } => self.take_list(*complete, entries),
-            Event::EndpointListFailed => self.list_failed(),
+            Event::EndpointList { complete, entries } => self.apply_endpoint_list(*complete, entries),
+            Event::EndpointListFailed => self.endpoint_list_failed(),
             Event::Message(message) => self.accept(message),
             Event::Resumed(message, prior) => self.resume(message, prior),
             Event::AttemptEnded(ended) => self.attempt_ended(ended),
-            Event::RetryAfter { host, dest, wait } => self.retry_after(*host, *dest, *wait),
+            Event::RetryAfter { host, dest, wait } => self.record_retry_after(*host, *dest, *wait),
             Event::Withdrawn(id) => self.finish(*id),
             Event::Paused(paused) => self.paused = *paused,
-            Event::PeerObservation(observation) => self.take_observation(observation),
+            Event::PeerObservation(observation) => self.apply_peer_observation(observation),
             // A timer may fire a little early, by rounding of clocks: what it was for is armed anew.
             Event::Due => self.timer = None,
         }
--- a/src/logic/admission.rs
+++ b/src/logic/admission.rs
@@ -1,5 +1,5 @@
 //! Admission: messages that are accepted or resumed, and their place among the pending ones.
-use super::tuning::{DEMAND_GAIN, EXPIRED_RETRY_AFTER, WINDOW_SHARE};
+use super::tuning::{DEMAND_GAIN, EXPIRED_RETRY_AFTER_SECS, WINDOW_SHARE};
 use super::Balancer;
 use crate::interface::*;
 use crate::state::*;
@@ -47,7 +47,7 @@
             self.retry_checks.insert((self.now, message.id));
         }
         if prior.attempts >= self.settings.max_attempts {
-            self.give_up(message.id, EXPIRED_RETRY_AFTER);
+            self.give_up(message.id, EXPIRED_RETRY_AFTER_SECS);
         }
     }
 
@@ -68,7 +68,7 @@
         let ordering_key = message.key.and_then(|key| self.ordering_keys.get(&key));
         let unblocked = ordering_key.is_none_or(|key| key.is_next(id));
         let destination = self.destinations.entry(message.dest).or_default();
-        destination.pending.insert(id, message.group(), message.deadline, unblocked);
+        destination.pending.insert(id, message.group_key(), message.deadline, unblocked);
     }
 
     /// Takes a message out of the pending ones, for a send or at its end.
--- a/src/logic/connections.rs
+++ b/src/logic/connections.rs
@@ -13,7 +13,7 @@
     /// A served call shows that there is capacity for it; bit by bit, so that it is noticed when there is
     /// more.
     pub(super) fn raise_capacity(&mut self, slots: usize) {
-        self.full_in_a_row = 0;
+        self.consecutive_full_rejections = 0;
         let Some(capacity) = self.capacity else { return };
         let raised = capacity + CAPACITY_GAIN / capacity;
         // With more than all slots it is no limit any more.
@@ -29,14 +29,14 @@
 
     /// Counts a call on its connection. Where connections that were idle for so long are assumed to be
     /// dropped, they are closed first.
-    pub(super) fn use_connection(&mut self, id: EndpointId) {
+    pub(super) fn assign_connection(&mut self, id: EndpointId) {
         let now = self.now;
         let streams = self.streams();
         let endpoint = self.endpoints.entry(id).or_default();
         let idle = if endpoint.has_idle_stream(streams) { (now - endpoint.used_at).secs() } else { 0.0 };
-        endpoint.connection_idle = idle;
-        if endpoint.calls == 0 && self.idle_limit.is_some_and(|limit| idle > limit) {
-            endpoint.connection_idle = 0.0;
+        endpoint.connection_idle_secs = idle;
+        if endpoint.calls == 0 && self.idle_limit_secs.is_some_and(|limit| idle > limit) {
+            endpoint.connection_idle_secs = 0.0;
             endpoint.connections = 0;
             self.actions.push(Action::CloseIdle(id));
         }
@@ -47,20 +47,21 @@
 
     /// A call was lost on an idle connection, yet one is served on a new connection: a connection that was
     /// idle for so long is dropped unseen. An answer on one that was idle for longer shows that it is not.
-    pub(super) fn learn_idle_limit(&mut self, attempt: &InFlight) {
+    pub(super) fn update_idle_limit(&mut self, attempt: &InFlight) {
         let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) else { return };
-        let on_new_connection = attempt.connection_idle <= IDLE_RISK;
+        let on_new_connection = attempt.connection_idle_secs <= IDLE_RISK_SECS;
         let loss = endpoint.idle_loss.filter(|loss| loss.at <= attempt.sent_at && on_new_connection);
         if let Some(loss) = loss {
-            let limit = (loss.idle * IDLE_LIMIT_SHARE).max(IDLE_RISK);
-            if (self.now - loss.at).secs() < OUTAGE_LEAST {
-                self.idle_limit = Some(self.idle_limit.map_or(limit, |known| known.min(limit)));
+            let limit = (loss.idle_secs * IDLE_LIMIT_SHARE).max(IDLE_RISK_SECS);
+            if (self.now - loss.at).secs() < MIN_OUTAGE_SECS {
+                self.idle_limit_secs = Some(self.idle_limit_secs.map_or(limit, |known| known.min(limit)));
             }
             endpoint.idle_loss = None;
         }
         if attempt.unanswered {
-            self.idle_limit = self.idle_limit.filter(|limit| attempt.connection_idle < *limit);
-            endpoint.idle_loss = endpoint.idle_loss.filter(|loss| attempt.connection_idle < loss.idle);
+            self.idle_limit_secs = self.idle_limit_secs.filter(|limit| attempt.connection_idle_secs < *limit);
+            endpoint.idle_loss =
+                endpoint.idle_loss.filter(|loss| attempt.connection_idle_secs < loss.idle_secs);
         }
     }
 
--- a/src/logic/dispatch.rs
+++ b/src/logic/dispatch.rs
@@ -5,7 +5,7 @@
 use crate::state::*;
 
 /// Least latency objective in seconds that costs are computed with, so that no division by zero occurs.
-const OBJECTIVE_LEAST: f64 = 1e-3;
+const MIN_OBJECTIVE_SECS: f64 = 1e-3;
 
 /// A message that may be sent next.
 struct Candidate {
@@ -17,8 +17,8 @@
 
 impl DestinationQueue {
     /// (a + 1) / g of the design; δ differs from g by a factor that is the same for all.
-    fn turn(&self) -> f64 {
-        (self.dispatched + 1.0) / (KAPPA + self.extra_gain)
+    fn dispatch_ratio(&self) -> f64 {
+        (self.dispatched + 1.0) / (INITIAL_GAIN + self.extra_gain)
     }
 }
 
@@ -27,9 +27,9 @@
     pub(super) fn dispatch(&mut self) {
         while self.calls.len() < self.settings.slots {
             let ready = self.active_destinations().filter(|(_, queue)| queue.ready > 0);
-            let next = ready.min_by(|a, b| a.1.turn().total_cmp(&b.1.turn()));
+            let next = ready.min_by(|a, b| a.1.dispatch_ratio().total_cmp(&b.1.dispatch_ratio()));
             let Some(dest) = next.map(|(dest, _)| *dest) else { return };
-            if !self.serve(dest) {
+            if !self.fill_slot(dest) {
                 let destination = self.destination(dest);
                 destination.promoted -= destination.ready as f64;
                 destination.ready = 0;
@@ -39,12 +39,12 @@
 
     /// Fills one slot from a destination: the message that loses most by waiting, at the endpoint that costs
     /// least. False if it has none to send.
-    fn serve(&mut self, dest: DestinationId) -> bool {
+    fn fill_slot(&mut self, dest: DestinationId) -> bool {
         let Some((first, endpoint)) = self.next_send(&self.destinations[&dest]) else { return false };
         // Messages of one call share its fate, so a trial carries one.
         let trial = matches!(self.endpoints[&endpoint].breaker, CircuitBreaker::Open { .. });
         let max_batch = if trial { 1 } else { self.max_batch(endpoint) };
-        let call = self.open_call(dest, endpoint, first);
+        let call = self.start_call(dest, endpoint, first);
         self.send(first, endpoint, call);
         for _ in 1..max_batch {
             let Some(next) = self.most_urgent(&self.destinations[&dest], endpoint) else { break };
@@ -74,7 +74,7 @@
     fn most_urgent(&self, destination: &DestinationQueue, endpoint: EndpointId) -> Option<Candidate> {
         let latency = self.endpoints.get(&endpoint).map_or(0.0, |endpoint| endpoint.latency.mean);
         let soon = self.now + latency;
-        let later = soon + destination.backlog();
+        let later = soon + destination.backlog_secs();
         // The loss rises and falls with the deadline, and turns where the wait ends or the objective passes.
         let points = |class: usize| {
             let class = &self.settings.classes[class];
@@ -93,7 +93,7 @@
     fn endpoint_cost(&self, id: MessageId, endpoint: EndpointId) -> f64 {
         let endpoint = &self.endpoints[&endpoint];
         let class = self.messages[&id].class;
-        let objective = self.settings.classes[class].latency_objective.secs().max(OBJECTIVE_LEAST);
+        let objective = self.settings.classes[class].latency_objective.secs().max(MIN_OBJECTIVE_SECS);
         let late = endpoint.latency.mean * f64::from(endpoint.calls + 1) / objective;
         let separate_route = endpoint.route.1.is_some();
         let route_fee = if separate_route { self.settings.route_fee.get(endpoint.zone) } else { None };
@@ -106,19 +106,19 @@
     }
 
     /// Starts a call: takes the slot and the tokens, and notes a trial. Returns the call's number.
-    fn open_call(&mut self, dest: DestinationId, endpoint: EndpointId, first: MessageId) -> u64 {
+    fn start_call(&mut self, dest: DestinationId, endpoint: EndpointId, first: MessageId) -> u64 {
         let now = self.now;
         // Drawn for every call, so that the sequence of random numbers does not depend on the breaker.
         let jitter = self.jitter();
         self.last_call += 1;
         self.destination(dest).calls += 1;
-        self.use_connection(endpoint);
+        self.assign_connection(endpoint);
         let endpoint = self.endpoints.entry(endpoint).or_default();
         endpoint.bucket.level -= 1.0;
-        endpoint.trial = Some(first).filter(|_| endpoint.unanswered > 0);
+        endpoint.trial = Some(first).filter(|_| endpoint.consecutive_unanswered > 0);
         if let CircuitBreaker::Open { since, next_trial, .. } = &mut endpoint.breaker {
             endpoint.trial = Some(first);
-            let gap = ((now - *since).secs() * TRIAL_GAP_SHARE).clamp(TRIAL_GAP_LEAST, TRIAL_GAP_MAX);
+            let gap = ((now - *since).secs() * TRIAL_GAP_SHARE).clamp(MIN_TRIAL_GAP_SECS, MAX_TRIAL_GAP_SECS);
             *next_trial = now + gap * jitter;
         }
         self.routes.entry(endpoint.route).or_default().bucket.level -= 1.0;
@@ -140,7 +140,7 @@
             class: message.class,
             sent_at: self.now,
             call,
-            connection_idle: record.connection_idle,
+            connection_idle_secs: record.connection_idle_secs,
             ..InFlight::default()
         });
         *self.calls.entry(call).or_default() += 1;
--- a/src/logic/expiry.rs
+++ b/src/logic/expiry.rs
@@ -15,20 +15,20 @@
 impl Balancer {
     /// Time by which a deadline is met early.
     pub(super) fn deadline_margin(&self) -> Nanos {
-        Nanos(self.settings.tick.0 * MARGIN_TICKS)
+        Nanos(self.settings.tick.0 * DEADLINE_MARGIN_TICKS)
     }
 
     /// Answers messages that can no longer be delivered, so that none is lost, and notes silent endpoints. An
     /// attempt that is cancelled or cut to the deadline may end too late, so the answer does not wait for it.
     pub(super) fn expire(&mut self) {
         let mut expired = self.expired_pending();
-        expired.extend(self.no_longer_repeatable());
+        expired.extend(self.no_longer_retryable());
         expired.extend(self.expired_in_flight());
         let unanswered = self.newly_unanswered();
         expired.sort_unstable();
         expired.dedup();
         for id in expired {
-            self.give_up(id, EXPIRED_RETRY_AFTER);
+            self.give_up(id, EXPIRED_RETRY_AFTER_SECS);
         }
         for (id, attempt) in unanswered {
             self.record_lost_call(&attempt, true);
@@ -46,7 +46,7 @@
     }
 
     /// Messages whose idempotency window is over.
-    fn no_longer_repeatable(&mut self) -> Vec<MessageId> {
+    fn no_longer_retryable(&mut self) -> Vec<MessageId> {
         let mut found = Vec::new();
         while let Some((at, id)) = self.retry_checks.first().copied() {
             if at > self.now {
@@ -91,7 +91,7 @@
                 continue;
             };
             let Some(endpoint) = self.endpoints.get(&attempt.endpoint) else { continue };
-            let silent = (self.now - attempt.sent_at).secs() > endpoint.answer_timeout();
+            let silent = (self.now - attempt.sent_at).secs() > endpoint.answer_timeout_secs();
             if silent && endpoint.last_answer_at <= attempt.sent_at {
                 attempt.unanswered = true;
                 found.push((*id, *attempt));
@@ -103,14 +103,15 @@
     /// Guards the slots against calls that nobody answers, whatever the cause: where all slots are taken and
     /// too many of the calls are past their answer time-out, the one with the least value left is cancelled.
     /// May hurt where very slow endpoints would have answered yet.
-    pub(super) fn relieve_slots(&mut self) {
+    pub(super) fn cancel_to_free_slot(&mut self) {
         let candidates = self.cancel_candidates();
-        let too_many = candidates.len() as f64 > (self.settings.slots as f64 * UNANSWERED_SHARE).max(1.0);
+        let too_many =
+            candidates.len() as f64 > (self.settings.slots as f64 * UNANSWERED_SLOT_SHARE).max(1.0);
         let eligible = candidates.iter().filter(|candidate| too_many || candidate.overdue);
         let least =
             eligible.min_by(|a, b| self.value(&a.id, self.now).total_cmp(&self.value(&b.id, self.now)));
         let Some(id) = least.map(|candidate| candidate.id) else { return };
-        if !self.active_destinations().any(|(_, queue)| self.lacks_only_a_slot(queue)) {
+        if !self.active_destinations().any(|(_, queue)| self.needs_only_a_slot(queue)) {
             return;
         }
         let Some(message) = self.messages.get_mut(&id) else { return };
@@ -142,10 +143,10 @@
 
     /// Time-out of an attempt that may be repeated.
     pub(super) fn attempt_timeout(&self, endpoint: EndpointId, class: &Class) -> Nanos {
-        let answer_timeout = match self.endpoints.get(&endpoint) {
-            Some(endpoint) => endpoint.answer_timeout(),
-            None => ANSWER_TIMEOUT_UNKNOWN,
+        let answer_timeout_secs = match self.endpoints.get(&endpoint) {
+            Some(endpoint) => endpoint.answer_timeout_secs(),
+            None => DEFAULT_ANSWER_TIMEOUT_SECS,
         };
-        Nanos::from_secs((2.0 * answer_timeout).max(class.latency_objective.secs()))
+        Nanos::from_secs((2.0 * answer_timeout_secs).max(class.latency_objective.secs()))
     }
 }
--- a/src/logic/gain.rs
+++ b/src/logic/gain.rs
@@ -23,19 +23,23 @@
     /// this forwarder could have helped is judged; a slow destination would else miss the objective by its
     /// own latency and take the front for good.
     fn review(&mut self, now: Nanos, latency_objective: f64) -> bool {
-        self.served_rate += SERVED_RATE_GAIN * (f64::from(self.served) - self.served_rate);
+        self.served_rate += SERVED_RATE_GAIN * (f64::from(self.served_since_review) - self.served_rate);
         self.demand *= 1.0 - DEMAND_GAIN;
-        let missed =
-            self.sent > 0 && self.waited / f64::from(self.sent) > latency_objective * OBJECTIVE_SHARE;
+        let missed = self.sent_since_review > 0
+            && self.total_wait_secs / f64::from(self.sent_since_review)
+                > latency_objective * OBJECTIVE_WAIT_SHARE;
         if missed {
-            self.extra_gain += GAMMA;
+            self.extra_gain += GAIN_STEP;
         } else {
             self.extra_gain *= REVIEW_KEEP;
         }
-        self.waited = 0.0;
-        self.sent = 0;
-        self.served = 0;
-        if now - self.last_sent_at > FORGET_AFTER && self.calls == 0 && self.pending.is_empty() {
+        self.total_wait_secs = 0.0;
+        self.sent_since_review = 0;
+        self.served_since_review = 0;
+        if now - self.last_sent_at > IDLE_DESTINATION_RESET_AFTER
+            && self.calls == 0
+            && self.pending.is_empty()
+        {
             self.dispatched = 0.0;
             self.promoted = 0.0;
             self.extra_gain = 0.0;
@@ -68,18 +72,19 @@
         self.endpoints.retain(|_, endpoint| !endpoint.removed || endpoint.calls > 0);
         let endpoints = &self.endpoints;
         self.routes.retain(|(_, endpoint), _| endpoint.is_none_or(|id| endpoints.contains_key(&id)));
-        self.idle_limit = self.idle_limit.map(|limit| limit * IDLE_LIMIT_GROWTH);
+        self.idle_limit_secs = self.idle_limit_secs.map(|limit| limit * IDLE_LIMIT_GROWTH);
     }
 
     /// ARR: a missed objective raises the gain, and all counts start anew. Gains that have grown large shrink
     /// together.
     fn review_gains(&mut self) {
-        let objective = self.settings.shortest_objective();
+        let objective = self.settings.shortest_objective_secs();
         let mut missed = false;
         for destination in self.destinations.values_mut() {
             missed |= destination.review(self.now, objective);
         }
-        let too_high = self.destinations.values().any(|queue| queue.extra_gain > GAIN_MAX * KAPPA);
+        let too_high =
+            self.destinations.values().any(|queue| queue.extra_gain > MAX_GAIN_FACTOR * INITIAL_GAIN);
         if !missed && !too_high {
             return;
         }
--- a/src/logic/gate.rs
+++ b/src/logic/gate.rs
@@ -16,13 +16,17 @@
         let Some(attempt) = message.in_flight.filter(|attempt| !attempt.cancelled) else { return false };
         let Some(endpoint) = self.endpoints.get(&attempt.endpoint) else { return false };
         let breaker_allows = match endpoint.breaker {
-            CircuitBreaker::Closed => endpoint.unanswered == 0 || endpoint.trial == Some(id),
+            CircuitBreaker::Closed => endpoint.consecutive_unanswered == 0 || endpoint.trial == Some(id),
             CircuitBreaker::Open { .. } => endpoint.trial == Some(id),
             CircuitBreaker::SlowStart { since } => since <= attempt.sent_at,
         };
-        let waits = self.routes.get(&endpoint.route).is_none_or(|route| now < route.waits_until());
+        let route_is_blocked =
+            self.routes.get(&endpoint.route).is_none_or(|route| now < route.blocked_until());
         let class = &self.settings.classes[message.class];
-        endpoint.listed && breaker_allows && !waits && message.may_retry(class, now, Some(endpoint.zone))
+        endpoint.listed
+            && breaker_allows
+            && !route_is_blocked
+            && message.may_retry(class, now, Some(endpoint.zone))
     }
 
     /// Whether one of its endpoints is slow, failing or in an outage.
@@ -36,14 +40,14 @@
     pub(super) fn slot_cap(&self, destination: &DestinationQueue) -> usize {
         let slots = self.settings.slots as f64;
         if !self.is_unhealthy(destination) {
-            let share = (slots * HEALTHY_SHARE).ceil() as usize;
+            let share = (slots * HEALTHY_SLOT_SHARE).ceil() as usize;
             return share.saturating_sub(1).max(1);
         }
         let unhealthy = self.active_destinations().map(|(_, other)| other);
         let unhealthy = unhealthy.filter(|other| other.calls > 0 && self.is_unhealthy(other));
-        let held: usize = unhealthy.map(|other| other.calls).sum();
-        let held_by_others = held - destination.calls;
-        ((slots * UNHEALTHY_SHARE) as usize).saturating_sub(held_by_others).max(1)
+        let calls_to_unhealthy: usize = unhealthy.map(|other| other.calls).sum();
+        let calls_of_others = calls_to_unhealthy - destination.calls;
+        ((slots * UNHEALTHY_SLOT_SHARE) as usize).saturating_sub(calls_of_others).max(1)
     }
 
     /// Endpoints of a destination that a call may start to now.
@@ -56,7 +60,7 @@
     }
 
     /// Whether a destination could send a message if a slot were free.
-    pub(super) fn lacks_only_a_slot(&self, destination: &DestinationQueue) -> bool {
+    pub(super) fn needs_only_a_slot(&self, destination: &DestinationQueue) -> bool {
         if destination.calls >= self.slot_cap(destination) {
             return false;
         }
@@ -77,7 +81,7 @@
             && self.breaker_allows(endpoint)
             && self.now >= endpoint.full_until
             && has_capacity
-            && self.now >= route.waits_until()
+            && self.now >= route.blocked_until()
             && has_token
     }
 
@@ -86,7 +90,9 @@
         let has_token = endpoint.bucket.level >= 1.0;
         match endpoint.breaker {
             CircuitBreaker::Closed if !endpoint.suspected => true,
-            CircuitBreaker::Closed => has_token && (endpoint.unanswered == 0 || endpoint.trial.is_none()),
+            CircuitBreaker::Closed => {
+                has_token && (endpoint.consecutive_unanswered == 0 || endpoint.trial.is_none())
+            }
             CircuitBreaker::Open { next_trial, .. } => {
                 has_token && endpoint.trial.is_none() && self.now >= next_trial
             }
--- a/src/logic/health.rs
+++ b/src/logic/health.rs
@@ -21,12 +21,12 @@
 
 impl EndpointRecord {
     /// Seconds without any answer after which a call counts as unanswered.
-    pub(super) fn answer_timeout(&self) -> f64 {
-        let expected = self.latency.mean + ANSWER_DEVIATIONS * self.latency.deviation;
+    pub(super) fn answer_timeout_secs(&self) -> f64 {
+        let expected = self.latency.mean + ANSWER_TIMEOUT_DEVIATIONS * self.latency.deviation;
         if expected > 0.0 {
-            expected.max(ANSWER_TIMEOUT_LEAST)
+            expected.max(MIN_ANSWER_TIMEOUT_SECS)
         } else {
-            ANSWER_TIMEOUT_UNKNOWN
+            DEFAULT_ANSWER_TIMEOUT_SECS
         }
     }
 
@@ -41,13 +41,13 @@
     /// Takes in a served call, its latency in seconds; true if it ends an outage.
     pub(super) fn record_served(&mut self, now: Nanos, sent_at: Nanos, latency: f64) -> bool {
         self.latency.sample(latency);
-        self.unanswered = 0;
+        self.consecutive_unanswered = 0;
         self.failure_share *= 1.0 - FAILURE_GAIN;
         self.suspected = false;
         let CircuitBreaker::Open { since, may_lose_calls, .. } = self.breaker else { return false };
         // A call sent before the outage, or one that found a connection again: the endpoint was slow, not
         // silent.
-        let was_no_outage = (sent_at < since || !may_lose_calls) && (now - since).secs() < OUTAGE_LEAST;
+        let was_no_outage = (sent_at < since || !may_lose_calls) && (now - since).secs() < MIN_OUTAGE_SECS;
         if was_no_outage {
             self.breaker = CircuitBreaker::Closed;
         }
@@ -75,7 +75,7 @@
         // Both are drawn before any return, so that the sequence of random numbers does not depend on what is
         // known.
         let draw = self.random.next();
-        let first_trial = TRIAL_GAP_LEAST * self.jitter();
+        let first_trial = MIN_TRIAL_GAP_SECS * self.jitter();
         let now = self.now;
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         if !endpoint.suspected && endpoint.breaker == CircuitBreaker::Closed {
@@ -85,10 +85,10 @@
             endpoint.suspect(now, draw + extra);
         }
         if failure.unanswered {
-            endpoint.unanswered += 1;
+            endpoint.consecutive_unanswered += 1;
         }
-        if endpoint.unanswered > 0 && failure.may_lose_calls {
-            self.suspect_route_of(id, draw);
+        if endpoint.consecutive_unanswered > 0 && failure.may_lose_calls {
+            self.suspect_route_endpoints(id, draw);
         }
         self.update_breaker(id, failure, now + first_trial);
     }
@@ -96,17 +96,17 @@
     /// Guards against overloading a returning destination: an outage mostly takes all endpoints of a route,
     /// so those that have not answered lately are suspected too. May hurt where one of several is down: the
     /// first call to another may wait.
-    fn suspect_route_of(&mut self, id: EndpointId, draw: f64) {
+    fn suspect_route_endpoints(&mut self, id: EndpointId, draw: f64) {
         let Some(endpoint) = self.endpoints.get(&id) else { return };
         let route = endpoint.route;
         let Some(destination) = self.destinations.get(&endpoint.dest) else { return };
         for other in &destination.endpoints {
             let Some(other) = self.endpoints.get_mut(other) else { continue };
-            let quiet = (self.now - other.last_answer_at).secs() > OUTAGE_LEAST;
-            let well = !other.suspected && other.breaker == CircuitBreaker::Closed;
-            if other.route == route && well && quiet {
-                other.suspect(self.now, SUSPECTED_PEER_TOKENS * draw);
-                other.unanswered = 1;
+            let no_recent_answer = (self.now - other.last_answer_at).secs() > MIN_OUTAGE_SECS;
+            let is_healthy = !other.suspected && other.breaker == CircuitBreaker::Closed;
+            if other.route == route && is_healthy && no_recent_answer {
+                other.suspect(self.now, MAX_SUSPECTED_ROUTE_TOKENS * draw);
+                other.consecutive_unanswered = 1;
             }
         }
     }
@@ -116,7 +116,9 @@
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         if let CircuitBreaker::Open { may_lose_calls, .. } = &mut endpoint.breaker {
             *may_lose_calls |= failure.may_lose_calls;
-        } else if endpoint.unanswered >= UNANSWERED_OPEN || endpoint.failure_share > FAILURE_SHARE_OPEN {
+        } else if endpoint.consecutive_unanswered >= BREAKER_UNANSWERED_CALLS
+            || endpoint.failure_share > BREAKER_FAILURE_SHARE
+        {
             endpoint.breaker = CircuitBreaker::Open {
                 since: self.now,
                 next_trial: first_trial,
@@ -130,12 +132,12 @@
     /// where the call took one, the endpoint is only suspected, and the next call goes on a new connection;
     /// that one's loss counts.
     pub(super) fn record_lost_call(&mut self, attempt: &InFlight, unanswered: bool) {
-        let on_idle_connection = unanswered && attempt.connection_idle > IDLE_RISK;
+        let on_idle_connection = unanswered && attempt.connection_idle_secs > IDLE_RISK_SECS;
         let failure = Failure { unanswered: unanswered && !on_idle_connection, may_lose_calls: true };
         self.record_failure(attempt.endpoint, failure);
         let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) else { return };
         if on_idle_connection {
-            endpoint.idle_loss = Some(IdleLoss { at: self.now, idle: attempt.connection_idle });
+            endpoint.idle_loss = Some(IdleLoss { at: self.now, idle_secs: attempt.connection_idle_secs });
             endpoint.connections = endpoint.calls;
             self.actions.push(Action::CloseIdle(attempt.endpoint));
         } else {
--- a/src/logic/list.rs
+++ b/src/logic/list.rs
@@ -1,11 +1,11 @@
 //! The endpoint list: which endpoints may be sent to, and what it says of their rates.
-use super::tuning::{WATCH_BACKOFF_FIRST, WATCH_BACKOFF_MAX};
+use super::tuning::{FIRST_WATCH_BACKOFF_SECS, MAX_WATCH_BACKOFF_SECS};
 use super::Balancer;
 use crate::interface::*;
 
 impl Balancer {
     /// Takes in the list. A draining or missing endpoint is unlisted at once: no send may follow.
-    pub(super) fn take_list(&mut self, complete: bool, entries: &[EndpointEntry]) {
+    pub(super) fn apply_endpoint_list(&mut self, complete: bool, entries: &[EndpointEntry]) {
         if complete {
             for endpoint in self.endpoints.values_mut() {
                 endpoint.listed = false;
@@ -13,13 +13,13 @@
             }
         }
         for entry in entries {
-            self.take_entry(entry);
+            self.apply_list_entry(entry);
         }
-        self.watch_backoff = WATCH_BACKOFF_FIRST;
+        self.watch_backoff_secs = FIRST_WATCH_BACKOFF_SECS;
     }
 
     /// Takes in one entry.
-    fn take_entry(&mut self, entry: &EndpointEntry) {
+    fn apply_list_entry(&mut self, entry: &EndpointEntry) {
         let separate = self.settings.kinds.get(entry.kind).is_some_and(|kind| kind.separate_routes);
         let route = (entry.dest, separate.then_some(entry.host));
         let endpoint = self.endpoints.entry(entry.host).or_default();
@@ -52,9 +52,9 @@
     }
 
     /// Asks for the list again after a growing pause.
-    pub(super) fn list_failed(&mut self) {
-        self.watch_at = Some(self.now + self.watch_backoff * self.jitter());
-        self.watch_backoff = (self.watch_backoff * 2.0).min(WATCH_BACKOFF_MAX);
+    pub(super) fn endpoint_list_failed(&mut self) {
+        self.watch_at = Some(self.now + self.watch_backoff_secs * self.jitter());
+        self.watch_backoff_secs = (self.watch_backoff_secs * 2.0).min(MAX_WATCH_BACKOFF_SECS);
         self.log("list not to be had: asking again", None);
     }
 }
--- a/src/logic/observations/tests.rs
+++ b/src/logic/observations/tests.rs
@@ -15,7 +15,7 @@
 /// A module with one endpoint, and what it sent.
 struct Forwarder {
     module: Balancer,
-    next: u64,
+    next_id: u64,
     sent: Vec<(Nanos, MessageId)>,
     /// How many of them have an outcome.
     ended: usize,
@@ -45,13 +45,13 @@
             ..Settings::default()
         };
         let mut forwarder =
-            Forwarder { module: Balancer::new(settings, 7), next: 0, sent: Vec::new(), ended: 0 };
+            Forwarder { module: Balancer::new(settings, 7), next_id: 0, sent: Vec::new(), ended: 0 };
         let state = EndpointState::Running;
         let entry = EndpointEntry { host: ENDPOINT, zone: 0, kind: 0, dest: DEST, state, rate: 0.0 };
-        forwarder.take(at(0.0), vec![Event::EndpointList { complete: true, entries: vec![entry] }]);
+        forwarder.handle_events(at(0.0), vec![Event::EndpointList { complete: true, entries: vec![entry] }]);
         forwarder
     }
-    fn take(&mut self, now: Nanos, events: Vec<Event>) {
+    fn handle_events(&mut self, now: Nanos, events: Vec<Event>) {
         let mut actions = Vec::new();
         self.module.handle(now, &events, &mut actions);
         for action in actions {
@@ -61,16 +61,19 @@
         }
     }
     fn observe(&mut self, now: Nanos, finding: Finding, age: f64) {
-        self.take(now, vec![Event::PeerObservation(Observation { host: ENDPOINT, finding, age: span(age) })]);
+        self.handle_events(
+            now,
+            vec![Event::PeerObservation(Observation { host: ENDPOINT, finding, age: span(age) })],
+        );
     }
     fn submit(&mut self, now: Nanos, count: u64) {
         let message = |n| {
             let (id, deadline) = (MessageId(n), now + span(30.0));
             Event::Message(Message { id, class: 0, tenant: 0, key: None, dest: DEST, deadline })
         };
-        let events = (self.next..self.next + count).map(message).collect();
-        self.next += count;
-        self.take(now, events);
+        let events = (self.next_id..self.next_id + count).map(message).collect();
+        self.next_id += count;
+        self.handle_events(now, events);
     }
     /// Lets time pass; each call ends after a tenth of a second. Returns how many were sent.
     fn run(&mut self, from: f64, to: f64, outcome: Outcome) -> usize {
@@ -92,21 +95,21 @@
                 }));
                 self.ended += 1;
             }
-            self.take(now, events);
+            self.handle_events(now, events);
         }
         self.sent.len() - before
     }
 }
 
 /// Age of the outage in the tests, in seconds.
-const OUTAGE: f64 = 20.0;
+const OUTAGE_SECS: f64 = 20.0;
 
 fn outage() -> Finding {
-    Finding::Outage { since: span(OUTAGE), risky: true }
+    Finding::Outage { since: span(OUTAGE_SECS), risky: true }
 }
 
 #[test]
-fn an_outage_that_a_peer_observed_lets_only_trials_go() {
+fn a_peer_outage_allows_only_trial_calls() {
     let (mut uninformed, mut informed) = (Forwarder::new(), Forwarder::new());
     informed.observe(at(0.1), outage(), 0.2);
     for forwarder in [&mut uninformed, &mut informed] {
@@ -120,18 +123,18 @@
 }
 
 #[test]
-fn a_false_outage_costs_one_trial_and_a_slow_start() {
+fn a_false_peer_outage_costs_one_trial_and_a_slow_start() {
     let mut informed = Forwarder::new();
     informed.observe(at(0.1), outage(), 0.2);
     informed.submit(at(0.2), 40);
     informed.run(0.2, 20.0, Outcome::Ok);
     assert_eq!(informed.sent.len(), 40, "all are delivered in time");
-    assert!(informed.sent[0].0 <= at(0.1 + PEER_TRIAL_WITHIN + 0.1));
+    assert!(informed.sent[0].0 <= at(0.1 + PEER_TRIAL_SPREAD_SECS + 0.1));
 }
 
 #[test]
-fn own_experience_wins_unless_it_is_older() {
-    for (age, wanted) in [(0.5, false), (0.0, true)] {
+fn a_local_outcome_overrides_an_older_peer_observation() {
+    for (age, only_trials) in [(0.5, false), (0.0, true)] {
         let mut forwarder = Forwarder::new();
         forwarder.submit(at(0.0), 1);
         forwarder.run(0.0, 0.2, Outcome::Ok);
@@ -139,7 +142,7 @@
         forwarder.submit(at(0.5), 8);
         assert_eq!(
             forwarder.sent.len() <= 2,
-            wanted,
+            only_trials,
             "observed {age} s ago: {:?} {:?}",
             forwarder.sent,
             forwarder.module.observations(at(0.5))
@@ -148,7 +151,7 @@
 }
 
 #[test]
-fn nothing_is_sent_before_the_end_of_a_retry_after_that_a_peer_received() {
+fn no_call_starts_before_a_peer_retry_after_ends() {
     let mut forwarder = Forwarder::new();
     forwarder.observe(at(0.0), Finding::RetryAfter { left: span(1.5) }, 0.5);
     forwarder.submit(at(0.1), 4);
@@ -158,7 +161,7 @@
 }
 
 #[test]
-fn a_good_observation_frees_nothing() {
+fn a_favourable_peer_observation_lifts_no_restriction() {
     // The peer saw it healthy before it failed, or saw it return: neither closes the breaker.
     let mut forwarder = Forwarder::new();
     forwarder.observe(at(0.0), outage(), 0.0);
@@ -178,7 +181,7 @@
 }
 
 #[test]
-fn observations_of_peers_are_never_passed_on() {
+fn peer_observations_are_not_reported_as_local() {
     let mut forwarder = Forwarder::new();
     forwarder.observe(at(0.0), outage(), 0.0);
     forwarder.observe(at(0.0), Finding::RetryAfter { left: span(5.0) }, 0.0);
@@ -198,7 +201,7 @@
 }
 
 #[test]
-fn absurd_values_do_no_harm() {
+fn invalid_peer_values_do_not_stop_delivery() {
     let mut forwarder = Forwarder::new();
     for bad in [f64::NAN, f64::INFINITY, -1.0, 0.0] {
         forwarder.observe(at(0.0), Finding::RateLimit { rate: bad }, 0.0);
--- a/src/logic/outcomes.rs
+++ b/src/logic/outcomes.rs
@@ -14,9 +14,9 @@
         self.record_attempt(ended, &attempt);
         self.release_ordering_key(key, ended.outcome);
         let may_retry = self.may_be_retried(ended.id);
-        self.end_call_of(&attempt, dest);
-        self.learn(ended, &attempt);
-        self.settle(ended, may_retry);
+        self.release_call(&attempt, dest);
+        self.record_outcome(ended, &attempt);
+        self.finish_or_requeue(ended, may_retry);
         self.unblock_next(key);
     }
 
@@ -50,7 +50,7 @@
     }
 
     /// Frees the call's slot once all of its messages have their outcomes.
-    fn end_call_of(&mut self, attempt: &InFlight, dest: DestinationId) {
+    fn release_call(&mut self, attempt: &InFlight, dest: DestinationId) {
         let left = self.calls.entry(attempt.call).or_insert(1);
         *left -= 1;
         if *left > 0 {
@@ -66,7 +66,7 @@
     }
 
     /// Ends the message, or puts it back among the pending ones.
-    fn settle(&mut self, ended: &AttemptEnded, may_retry: bool) {
+    fn finish_or_requeue(&mut self, ended: &AttemptEnded, may_retry: bool) {
         let answered = self.messages.get(&ended.id).is_some_and(|message| message.answered);
         if answered {
             self.messages.remove(&ended.id);
@@ -75,17 +75,17 @@
         } else {
             self.add_pending(ended.id);
             if !may_retry {
-                self.give_up(ended.id, EXPIRED_RETRY_AFTER);
+                self.give_up(ended.id, EXPIRED_RETRY_AFTER_SECS);
             }
         }
     }
 
     /// Takes in what an outcome says of its endpoint and route.
-    fn learn(&mut self, ended: &AttemptEnded, attempt: &InFlight) {
+    fn record_outcome(&mut self, ended: &AttemptEnded, attempt: &InFlight) {
         // Drawn for every outcome, so that the sequence of random numbers does not depend on what is known.
         let draw = self.random.next();
         let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) else { return };
-        endpoint.record_own_outcome(self.now, ended.outcome);
+        endpoint.record_local_outcome(self.now, ended.outcome);
         endpoint.end_trial(ended.id);
         if ended.outcome.answered() {
             endpoint.last_answer_at = self.now;
@@ -95,19 +95,19 @@
             route.reported_limit = report.limit;
         }
         match ended.outcome {
-            Outcome::Ok => self.learn_served(ended, attempt, draw),
-            Outcome::Rejected(wait) => self.learn_rejected(ended, attempt, wait, draw),
-            Outcome::ConnectionLimit => self.learn_connection_limit(attempt.endpoint, draw),
-            Outcome::ConnectFailed => self.learn_connect_failed(ended, attempt.endpoint),
-            Outcome::Timeout | Outcome::Error | Outcome::Reset => self.learn_failed(ended, attempt),
+            Outcome::Ok => self.record_served_call(ended, attempt, draw),
+            Outcome::Rejected(wait) => self.record_rejected_call(ended, attempt, wait, draw),
+            Outcome::ConnectionLimit => self.record_connection_limit(attempt.endpoint, draw),
+            Outcome::ConnectFailed => self.record_connect_failure(ended, attempt.endpoint),
+            Outcome::Timeout | Outcome::Error | Outcome::Reset => self.record_failed_call(ended, attempt),
             // All endpoints give unreadable answers alike: no reason to open a breaker.
             Outcome::Cancelled | Outcome::UnreadableAnswer | Outcome::Skipped | Outcome::NotSent => {}
         }
     }
 
     /// A served call: it ends an outage, raises pace and capacity.
-    fn learn_served(&mut self, ended: &AttemptEnded, attempt: &InFlight, draw: f64) {
-        self.learn_idle_limit(attempt);
+    fn record_served_call(&mut self, ended: &AttemptEnded, attempt: &InFlight, draw: f64) {
+        self.update_idle_limit(attempt);
         let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) else { return };
         let dest = endpoint.dest;
         if let Some(share) = endpoint.class_loss.get_mut(&attempt.class) {
@@ -119,12 +119,14 @@
             endpoint.start_slow_start(self.now, draw);
             self.log("half-open: served, slow start", Some(attempt.endpoint));
         }
-        self.destination(dest).served += 1;
+        self.destination(dest).served_since_review += 1;
     }
 
     /// A rejected call: it reduces the pace; with a long Retry-After, or below the limit, it counts as an
     /// outage.
-    fn learn_rejected(&mut self, ended: &AttemptEnded, attempt: &InFlight, wait: Option<Nanos>, draw: f64) {
+    fn record_rejected_call(
+        &mut self, ended: &AttemptEnded, attempt: &InFlight, wait: Option<Nanos>, draw: f64,
+    ) {
         let Some(endpoint) = self.endpoints.get(&attempt.endpoint) else { return };
         let key = endpoint.route;
         let demand = self.destinations.get(&endpoint.dest).map_or(0.0, |destination| destination.demand);
@@ -134,7 +136,7 @@
         let opens_at = route.retry_after_until;
         // A wait as long as an outage is one, and all who wait hear of the same end: slow start keeps them
         // from overloading the destination then.
-        if wait.is_some_and(|wait| wait.secs() >= OUTAGE_LEAST) {
+        if wait.is_some_and(|wait| wait.secs() >= MIN_OUTAGE_SECS) {
             for endpoint in self.endpoints.values_mut().filter(|endpoint| endpoint.route == key) {
                 endpoint.start_slow_start(opens_at, draw);
             }
@@ -143,7 +145,8 @@
             self.log("pace cut", Some(attempt.endpoint));
         }
         // Rejected, though not at its limit: its queue is full or it is shut, and it may return cold.
-        let below_limit = ended.report.is_none_or(|report| report.limit <= 0.0 || report.left > LIMIT_LEFT);
+        let below_limit =
+            ended.report.is_none_or(|report| report.limit <= 0.0 || report.left > LIMIT_NOT_REACHED_SHARE);
         if wait.is_none() && below_limit {
             self.record_failure(attempt.endpoint, Failure { unanswered: false, may_lose_calls: false });
         }
@@ -152,29 +155,30 @@
     /// Guards against taking a full table of connections for a limit or an outage: only as many calls at once
     /// go there as it takes. Also guards the table against forwarders that keep asking for a place. May hurt
     /// where another forwarder closes its connections: the capacity grows bit by bit.
-    fn learn_connection_limit(&mut self, id: EndpointId, draw: f64) {
+    fn record_connection_limit(&mut self, id: EndpointId, draw: f64) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         endpoint.capacity = Some(f64::from(endpoint.calls.max(1)));
         self.connection_limited.insert(endpoint.kind);
         if endpoint.calls == 0 {
-            let doublings = endpoint.full_in_a_row.min(BACKOFF_DOUBLINGS) as i32;
-            let pause = (CAPACITY_WAIT * 2f64.powi(doublings)).min(self.settings.shortest_objective());
+            let doublings = endpoint.consecutive_full_rejections.min(MAX_BACKOFF_DOUBLINGS) as i32;
+            let pause = (FIRST_CAPACITY_WAIT_SECS * 2f64.powi(doublings))
+                .min(self.settings.shortest_objective_secs());
             endpoint.full_until = self.now + pause * (JITTER + draw);
-            endpoint.full_in_a_row += 1;
+            endpoint.consecutive_full_rejections += 1;
         }
     }
 
     /// A connection that could not be made: a full endpoint, or one that does not answer.
-    fn learn_connect_failed(&mut self, ended: &AttemptEnded, id: EndpointId) {
+    fn record_connect_failure(&mut self, ended: &AttemptEnded, id: EndpointId) {
         let Some(endpoint) = self.endpoints.get(&id) else { return };
         self.connection_limited.insert(endpoint.kind);
         // Refused at once its table of connections may be full; unanswered it is as silent as any.
-        let may_lose_calls = ended.took.secs() > ANSWER_TIMEOUT_LEAST;
+        let may_lose_calls = ended.took.secs() > MIN_ANSWER_TIMEOUT_SECS;
         self.record_failure(id, Failure { unanswered: true, may_lose_calls });
     }
 
     /// A call that may have run and failed.
-    fn learn_failed(&mut self, ended: &AttemptEnded, attempt: &InFlight) {
+    fn record_failed_call(&mut self, ended: &AttemptEnded, attempt: &InFlight) {
         let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) else { return };
         endpoint.failure_share += FAILURE_GAIN * (1.0 - endpoint.failure_share);
         if !attempt.unanswered {
--- a/src/logic/pacing.rs
+++ b/src/logic/pacing.rs
@@ -26,18 +26,18 @@
     /// Lowest pace in calls a second.
     fn lowest_pace(&self) -> f64 {
         if self.rate > 0.0 {
-            (self.rate * PACE_LEAST_SHARE).max(1.0 / CALL_GAP_MAX)
+            (self.rate * MIN_PACE_SHARE).max(1.0 / MAX_CALL_GAP_SECS)
         } else {
-            PACE_FLOOR
+            MIN_PACE
         }
     }
 
     /// First backoff in seconds.
     fn first_backoff(&self, settings: &Settings) -> f64 {
         let call_gap = if settings.limits_reported && self.rate <= 0.0 { 0.0 } else { 1.0 / self.rate };
-        let objective_share = if self.rate > 0.0 { 1.0 } else { OBJECTIVE_SHARE };
-        let longest = settings.shortest_objective() * objective_share;
-        (call_gap / PACE_CUT).min(longest).max(BACKOFF_FIRST)
+        let objective_share = if self.rate > 0.0 { 1.0 } else { OBJECTIVE_WAIT_SHARE };
+        let longest = settings.shortest_objective_secs() * objective_share;
+        (call_gap / PACE_REDUCTION_FACTOR).min(longest).max(MIN_FIRST_BACKOFF_SECS)
     }
 }
 
@@ -48,7 +48,7 @@
             self.served.pop_front();
         }
         if let Some(rate) = self.rate() {
-            self.bucket.refill(now, rate, (rate * BURST).max(1.0));
+            self.bucket.refill(now, rate, (rate * BURST_SECS).max(1.0));
         }
     }
 
@@ -62,22 +62,25 @@
     /// not do. Guards against a jam that feeds itself, since rejected calls may use up the limit too: each
     /// further one halves the pace, until all forwarders together ask for a part of the limit.
     pub(super) fn record_rejected(&mut self, settings: &Settings, now: Nanos, rejection: &Rejection) -> bool {
-        self.retry_after(now, rejection.wait.unwrap_or_default());
+        self.record_retry_after(now, rejection.wait.unwrap_or_default());
         if rejection.sent_at < self.reduced_at {
             return false;
         }
         let even_share = self.even_share(settings);
         let lowest = even_share.lowest_pace();
-        let level = self.level_before_rejection(&even_share, rejection.demand);
+        let rate = self.rate_at_rejection(&even_share, rejection.demand);
         // Consecutive rejections say no more of the level.
         if self.rejections == 0 {
-            self.rejected_rate =
-                if level < self.rejected_rate * PACE_KEEP { level * PACE_KEEP } else { level };
+            self.rejected_rate = if rate < self.rejected_rate * LOWER_REJECTION_FACTOR {
+                rate * LOWER_REJECTION_FACTOR
+            } else {
+                rate
+            };
             self.rejected_rate = self.rejected_rate.max(lowest);
         }
         self.rejections += 1;
         self.refill(now);
-        let pace = (level * PACE_CUT).max(lowest);
+        let pace = (rate * PACE_REDUCTION_FACTOR).max(lowest);
         self.back_off(even_share.first_backoff(settings), pace, rejection.draw);
         self.reduce_pace(now, pace);
         true
@@ -85,7 +88,7 @@
 
     /// The rate that was too much: the pace or the even share, but no less than what was served, as far as
     /// few samples tell.
-    fn level_before_rejection(&self, even_share: &EvenShare, demand: f64) -> f64 {
+    fn rate_at_rejection(&self, even_share: &EvenShare, demand: f64) -> f64 {
         let served = self.served.len() as f64;
         let expected = if even_share.rate > 0.0 { even_share.rate.max(demand) } else { served };
         self.pace.unwrap_or(f64::INFINITY).min(expected).max(served - served.sqrt())
@@ -94,8 +97,8 @@
     /// All that received a Retry-After hear of the same end; the random part keeps them from returning at
     /// once.
     fn back_off(&mut self, first: f64, pace: f64, draw: f64) {
-        let doublings = self.rejections.min(BACKOFF_DOUBLINGS) as i32 - 1;
-        let backoff = (first * 2f64.powi(doublings)).min(TRIAL_GAP_MAX.max(1.0 / pace));
+        let doublings = self.rejections.min(MAX_BACKOFF_DOUBLINGS) as i32 - 1;
+        let backoff = (first * 2f64.powi(doublings)).min(MAX_TRIAL_GAP_SECS.max(1.0 / pace));
         self.backoff_until = self.retry_after_until + backoff * (JITTER + draw);
     }
 
@@ -115,11 +118,11 @@
         self.refill(now);
         self.served.push_back(now);
         self.rejections = 0;
-        let x = (now - self.reduced_pace_at).secs() / PACE_RECOVERY - 1.0;
+        let x = (now - self.reduced_pace_at).secs() / PACE_RECOVERY_SECS - 1.0;
         let height = if x < 0.0 {
             self.rejected_rate - self.reduced_pace
         } else {
-            self.rejected_rate * (1.0 - PACE_CUT)
+            self.rejected_rate * (1.0 - PACE_REDUCTION_FACTOR)
         };
         if let Some(pace) = self.pace {
             self.pace = Some(pace.max(self.rejected_rate + height.max(0.0) * x.powi(3)));
@@ -129,8 +132,8 @@
 
 impl Balancer {
     /// Takes in a Retry-After that came apart from an attempt's outcome.
-    pub(super) fn retry_after(&mut self, endpoint: EndpointId, dest: DestinationId, wait: Nanos) {
+    pub(super) fn record_retry_after(&mut self, endpoint: EndpointId, dest: DestinationId, wait: Nanos) {
         let route = self.endpoints.get(&endpoint).map_or((dest, None), |endpoint| endpoint.route);
-        self.routes.entry(route).or_default().retry_after(self.now, wait);
+        self.routes.entry(route).or_default().record_retry_after(self.now, wait);
     }
 }
--- a/src/logic/promotion.rs
+++ b/src/logic/promotion.rs
@@ -37,7 +37,7 @@
                 let Some(endpoint) = self.endpoints.get_mut(id) else { continue };
                 let returns = matches!(endpoint.breaker, CircuitBreaker::SlowStart { .. });
                 let even_share = if returns && self.settings.listed_rates == ListedRates::Nominal {
-                    endpoint.listed_rate * EVEN_SHARE_DEMAND / self.settings.forwarders.max(1) as f64
+                    endpoint.listed_rate * EVEN_SHARE_DEMAND_FACTOR / self.settings.forwarders.max(1) as f64
                 } else {
                     0.0
                 };
--- a/src/logic/shedding.rs
+++ b/src/logic/shedding.rs
@@ -47,7 +47,7 @@
     /// The message of a destination that costs least to reject. Within a group it is the one with the least
     /// time left, and all or none of them may be rejected, so the extremes of the groups suffice.
     fn shed_candidate(&self, queue: &DestinationQueue) -> Option<Candidate> {
-        let wait = queue.backlog();
+        let wait = queue.backlog_secs();
         let at = self.now + wait;
         let mut cheapest: Option<(f64, u64, MessageId)> = None;
         for position in queue.pending.extremes() {
--- a/src/logic/timers.rs
+++ b/src/logic/timers.rs
@@ -37,9 +37,9 @@
         for message in self.in_flight.iter().filter_map(|id| self.messages.get(id)) {
             let Some(attempt) = message.in_flight else { continue };
             let endpoint = self.endpoints.get(&attempt.endpoint);
-            let answer_timeout = endpoint.map_or(0.0, EndpointRecord::answer_timeout);
+            let answer_timeout_secs = endpoint.map_or(0.0, EndpointRecord::answer_timeout_secs);
             earliest.add(message.deadline);
-            earliest.add(attempt.sent_at + answer_timeout + self.deadline_margin());
+            earliest.add(attempt.sent_at + answer_timeout_secs + self.deadline_margin());
         }
     }
 
--- a/src/logic/value.rs
+++ b/src/logic/value.rs
@@ -6,15 +6,15 @@
 
 impl Settings {
     /// The shortest latency objective of all classes, in seconds.
-    pub(super) fn shortest_objective(&self) -> f64 {
+    pub(super) fn shortest_objective_secs(&self) -> f64 {
         self.classes.iter().map(|class| class.latency_objective.secs()).fold(f64::INFINITY, f64::min)
     }
 }
 
 impl DestinationQueue {
     /// Seconds that the pending messages take at the rate served lately.
-    pub(super) fn backlog(&self) -> f64 {
-        (self.pending.len() as f64 / self.served_rate.max(PACE_FLOOR)).clamp(1.0, BACKLOG_MAX)
+    pub(super) fn backlog_secs(&self) -> f64 {
+        (self.pending.len() as f64 / self.served_rate.max(MIN_PACE)).clamp(1.0, MAX_BACKLOG_SECS)
     }
 }
 
--- a/src/logic/warm_up.rs
+++ b/src/logic/warm_up.rs
@@ -20,11 +20,13 @@
             CircuitBreaker::SlowStart { since } => since,
             CircuitBreaker::Closed | CircuitBreaker::Open { .. } => now,
         };
-        let warm = ((now - since).secs() / settings.warm_up.secs().max(WARM_UP_LEAST)).min(1.0);
+        let warm_up_progress =
+            ((now - since).secs() / settings.warm_up.secs().max(MIN_WARM_UP_SECS)).min(1.0);
         let cold_share = settings.cold_capacity_share;
-        let share = (cold_share + (1.0 - cold_share) * warm) * settings.overload_multiple.max(1.0);
-        self.limited_rate = (demand * share).max(SLOW_START_LEAST / settings.forwarders.max(1) as f64);
-        let depth = (self.limited_rate * BURST).max(self.bucket.level).max(1.0);
+        let share =
+            (cold_share + (1.0 - cold_share) * warm_up_progress) * settings.overload_multiple.max(1.0);
+        self.limited_rate = (demand * share).max(MIN_SLOW_START_RATE / settings.forwarders.max(1) as f64);
+        let depth = (self.limited_rate * BURST_SECS).max(self.bucket.level).max(1.0);
         self.bucket.refill(now, self.limited_rate, depth);
     }
 
--- a/src/state/destination.rs
+++ b/src/state/destination.rs
@@ -26,11 +26,11 @@
     /// A message could be sent in the last round.
     pub sendable: bool,
     /// Sum of the time that sent messages waited while they could be sent, in seconds, since the last review.
-    pub waited: f64,
+    pub total_wait_secs: f64,
     /// Messages sent since the last review.
-    pub sent: u32,
+    pub sent_since_review: u32,
     /// Messages served since the last review.
-    pub served: u32,
+    pub served_since_review: u32,
     /// Messages served a second, moving mean.
     pub served_rate: f64,
     /// When a message was last sent.
@@ -47,8 +47,8 @@
         }
         self.ready = self.ready.saturating_sub(1);
         self.dispatched += 1.0;
-        self.waited += (now - arrived.max(self.sendable_since)).secs();
-        self.sent += 1;
+        self.total_wait_secs += (now - arrived.max(self.sendable_since)).secs();
+        self.sent_since_review += 1;
         self.last_sent_at = now;
     }
 }
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -42,7 +42,7 @@
     /// When it was lost.
     pub at: Nanos,
     /// For how long the connection had been idle, in seconds.
-    pub idle: f64,
+    pub idle_secs: f64,
 }
 
 /// What is known of an endpoint.
@@ -77,13 +77,13 @@
     /// It has capacity for no call at all until then.
     pub full_until: Nanos,
     /// Consecutive calls that it rejected for want of connections while no other was in flight.
-    pub full_in_a_row: u32,
+    pub consecutive_full_rejections: u32,
     /// The last call that was lost on an idle connection, until it is explained.
     pub idle_loss: Option<IdleLoss>,
     /// For how long the connection of its last call had been idle, in seconds.
-    pub connection_idle: f64,
+    pub connection_idle_secs: f64,
     /// Consecutive unanswered calls.
-    pub unanswered: u32,
+    pub consecutive_unanswered: u32,
     /// Moving share of calls that fail.
     pub failure_share: f64,
     /// Moving share of lost calls, for each class that was lost here.
@@ -99,9 +99,9 @@
     /// Calls a second that may go while it is suspected or in slow start.
     pub limited_rate: f64,
     /// When this forwarder last had an outcome of its own here.
-    pub own_outcome_at: Option<Nanos>,
+    pub local_outcome_at: Option<Nanos>,
     /// The first own outcome since which the breaker is own experience.
-    pub own_since: Nanos,
+    pub local_since: Nanos,
     /// The breaker's state is a peer's observation.
     pub breaker_from_peer: bool,
     /// The capacity is a peer's observation.
--- a/src/state/message.rs
+++ b/src/state/message.rs
@@ -3,7 +3,7 @@
 use crate::interface::*;
 
 /// Least time in seconds that the decay of a message's value is computed with.
-const LEAST_SPAN: f64 = 1e-3;
+const MIN_SPAN_SECS: f64 = 1e-3;
 
 /// An attempt in flight.
 #[derive(Clone, Copy, Default)]
@@ -21,7 +21,7 @@
     /// It was cancelled; its outcome is still to come.
     pub cancelled: bool,
     /// For how long its connection had been idle, in seconds.
-    pub connection_idle: f64,
+    pub connection_idle_secs: f64,
 }
 
 /// The first attempt of a message that may have run.
@@ -60,7 +60,7 @@
 
 impl PendingMessage {
     /// What it has in common with messages that lose value alike and may be rejected alike.
-    pub fn group(&self) -> GroupKey {
+    pub fn group_key(&self) -> GroupKey {
         GroupKey {
             class: self.class,
             first_run_zone: self.first_run.map(|run| run.zone),
@@ -77,10 +77,10 @@
         if late <= 0.0 {
             return class.priority_weight;
         }
-        let span = (class.deadline - class.latency_objective).secs().max(LEAST_SPAN);
+        let span = (class.deadline - class.latency_objective).secs().max(MIN_SPAN_SECS);
         let share = match value_decay {
             ValueDecay::Linear => 1.0 - (1.0 - class.late_weight_share) * late / span,
-            ValueDecay::Halving => 0.5f64.powf(late / class.latency_objective.secs().max(LEAST_SPAN)),
+            ValueDecay::Halving => 0.5f64.powf(late / class.latency_objective.secs().max(MIN_SPAN_SECS)),
         };
         class.priority_weight * share.max(class.late_weight_share)
     }
--- a/src/state/pending_index.rs
+++ b/src/state/pending_index.rs
@@ -140,14 +140,14 @@
 fn nearest_of_group<const N: usize>(
     group: &Group, points: [Nanos; N], eligible: &impl Fn(MessageId) -> bool,
 ) -> Vec<Position> {
-    let fits = |position: &&Position| eligible(position.id);
+    let is_eligible = |position: &&Position| eligible(position.id);
     let mut found = Vec::new();
     for deadline in points {
         let point = Position { deadline, arrival: u64::MAX, id: MessageId(u64::MAX) };
-        found.extend(group.by_deadline.range(..=point).rev().find(fits).copied());
-        found.extend(group.by_deadline.range(point..).find(fits).copied());
+        found.extend(group.by_deadline.range(..=point).rev().find(is_eligible).copied());
+        found.extend(group.by_deadline.range(point..).find(is_eligible).copied());
     }
-    found.extend(group.by_arrival.values().find(fits).copied());
+    found.extend(group.by_arrival.values().find(is_eligible).copied());
     found
 }
 
--- a/src/state/pending_index/tests.rs
+++ b/src/state/pending_index/tests.rs
@@ -45,37 +45,44 @@
 
 proptest! {
     #[test]
-    fn the_nearest_messages_include_the_one_that_loses_most_by_waiting(
-        all in prop::collection::vec(entry(), 0..40), wait in 0..40u64, halves in any::<bool>(),
+    fn candidates_of_the_index_match_a_scan_of_all_messages(
+        all in prop::collection::vec(entry(), 0..40), wait in 0..40u64, halving in any::<bool>(),
     ) {
-        let (classes, decay) = (classes(), if halves { ValueDecay::Halving } else { ValueDecay::Linear });
+        let (classes, decay) = (classes(), if halving { ValueDecay::Halving } else { ValueDecay::Linear });
         let mut index = PendingIndex::default();
-        for (n, h) in all.iter().enumerate() {
-            let group = GroupKey { class: h.class, first_run_zone: h.zone, attempts: 0 };
-            index.insert(MessageId(n as u64), group, h.deadline, false);
-            if h.unblocked {
+        for (n, entry) in all.iter().enumerate() {
+            let group = GroupKey { class: entry.class, first_run_zone: entry.zone, attempts: 0 };
+            index.insert(MessageId(n as u64), group, entry.deadline, false);
+            if entry.unblocked {
                 index.unblock(MessageId(n as u64));
             }
         }
-        all.iter().enumerate().filter(|(_, h)| h.removed).for_each(|(n, _)| index.remove(MessageId(n as u64)));
-        let left = || all.iter().enumerate().filter(|(_, h)| !h.removed);
-        prop_assert_eq!(index.len(), left().count());
-        let value = |h: &Entry, at| {
-            let msg = PendingMessage { class: h.class, deadline: h.deadline, ..PendingMessage::default() };
-            msg.value(&classes[h.class], decay, at)
+        for (n, _) in all.iter().enumerate().filter(|(_, entry)| entry.removed) {
+            index.remove(MessageId(n as u64));
+        }
+        let remaining = || all.iter().enumerate().filter(|(_, entry)| !entry.removed);
+        prop_assert_eq!(index.len(), remaining().count());
+        let value = |entry: &Entry, at| {
+            let message =
+                PendingMessage { class: entry.class, deadline: entry.deadline, ..PendingMessage::default() };
+            message.value(&classes[entry.class], decay, at)
         };
         let (soon, later) = (Nanos(101 * SECOND), Nanos(101 * SECOND) + wait as f64);
         let loss = |n: usize| value(&all[n], soon) - value(&all[n], later);
         let points = |c: usize| [later, soon + (classes[c].deadline - classes[c].latency_objective)];
-        let near = index.nearest(points, |id| all[id.0 as usize].eligible).map(|p| loss(p.id.0 as usize));
-        let near = near.reduce(f64::max);
-        let plain = left().filter(|(_, h)| h.unblocked && h.eligible).map(|(n, _)| loss(n)).reduce(f64::max);
-        prop_assert_eq!(near.is_some(), plain.is_some());
-        if let (Some(near), Some(plain)) = (near, plain) {
-            prop_assert!((near - plain).abs() < 1e-9, "{near} of the index, {plain} of all");
+        let nearest = index.nearest(points, |id| all[id.0 as usize].eligible).map(|p| loss(p.id.0 as usize));
+        let nearest = nearest.reduce(f64::max);
+        let eligible = remaining().filter(|(_, entry)| entry.unblocked && entry.eligible);
+        let scanned = eligible.map(|(n, _)| loss(n)).reduce(f64::max);
+        prop_assert_eq!(nearest.is_some(), scanned.is_some());
+        if let (Some(nearest), Some(scanned)) = (nearest, scanned) {
+            prop_assert!(
+                (nearest - scanned).abs() < 1e-9,
+                "largest loss: {nearest} in the index, {scanned} in the scan"
+            );
         }
         let least = index.extremes().map(|p| value(&all[p.id.0 as usize], later)).reduce(f64::min);
-        let plain = left().map(|(_, h)| value(h, later)).reduce(f64::min);
-        prop_assert_eq!(least, plain);
+        let scanned = remaining().map(|(_, entry)| value(entry, later)).reduce(f64::min);
+        prop_assert_eq!(least, scanned);
     }
 }
--- a/src/state/route.rs
+++ b/src/state/route.rs
@@ -35,7 +35,7 @@
     /// Consecutive rejections.
     pub rejections: u32,
     /// The end of the Retry-After that this forwarder itself received.
-    pub own_retry_after_until: Nanos,
+    pub local_retry_after_until: Nanos,
     /// The pace is a peer's observation.
     pub pace_from_peer: bool,
 }
@@ -52,18 +52,18 @@
     }
 
     /// Takes in a Retry-After that this forwarder received. The longest one stands.
-    pub fn retry_after(&mut self, now: Nanos, wait: Nanos) {
-        self.peer_retry_after(now, wait);
-        self.own_retry_after_until = self.own_retry_after_until.max(now + wait);
+    pub fn record_retry_after(&mut self, now: Nanos, wait: Nanos) {
+        self.record_peer_retry_after(now, wait);
+        self.local_retry_after_until = self.local_retry_after_until.max(now + wait);
     }
 
     /// Takes in a Retry-After that a peer received: it applies here too, to the same end.
-    pub fn peer_retry_after(&mut self, now: Nanos, wait: Nanos) {
+    pub fn record_peer_retry_after(&mut self, now: Nanos, wait: Nanos) {
         self.retry_after_until = self.retry_after_until.max(now + wait);
     }
 
     /// Until when no call may start.
-    pub fn waits_until(&self) -> Nanos {
+    pub fn blocked_until(&self) -> Nanos {
         self.retry_after_until.max(self.backoff_until)
     }
 
@@ -73,6 +73,6 @@
             Some(rate) => self.bucket.next_token(now, rate),
             None => now,
         };
-        self.waits_until().max(token)
+        self.blocked_until().max(token)
     }
 }
--- a/src/state/token_bucket.rs
+++ b/src/state/token_bucket.rs
@@ -2,7 +2,7 @@
 use crate::interface::Nanos;
 
 /// Least rate that a wait is computed with, in tokens a second, so that no division by zero occurs.
-const LEAST_RATE: f64 = 1e-3;
+const MIN_RATE: f64 = 1e-3;
 
 /// A token bucket. Rate and depth are passed with each refill, since both change over time.
 #[derive(Clone, Copy, Default)]
@@ -22,6 +22,6 @@
 
     /// When the next whole token is available.
     pub fn next_token(&self, now: Nanos, rate: f64) -> Nanos {
-        now + (1.0 - self.level).max(0.0) / rate.max(LEAST_RATE)
+        now + (1.0 - self.level).max(0.0) / rate.max(MIN_RATE)
     }
 }
