--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,4 +1,5 @@
-//! The interface of the decision module: settings and events in, actions out. No decision is taken here.
+//! The interface of the decision module: settings and events in, actions out. This module holds data types
+//! only and makes no decisions.
 #![warn(missing_docs)]
 
 mod action;
--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -1,46 +1,46 @@
-//! Actions: what the forwarder is to carry out.
+//! Actions that the decision module asks the forwarder to carry out.
 use super::{EndpointId, MessageId, Nanos};
 
-/// What the forwarder is to do, in this order.
+/// An action for the forwarder. Actions are carried out in the order in which they are emitted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send a message to an endpoint. Sends of one round to one endpoint travel as one call, as far as its
-    /// kind allows.
+    /// Send a message to an endpoint. Sends of one round to the same endpoint are combined into one call, up
+    /// to the batch size of the endpoint's kind.
     Send {
         /// The message.
         id: MessageId,
         /// The endpoint.
         host: EndpointId,
-        /// Time-out of this attempt.
+        /// Timeout of this attempt.
         timeout: Nanos,
     },
-    /// Cancel an attempt in flight; its outcome still comes.
+    /// Cancel an attempt in flight. Its outcome is still reported by an event.
     Cancel {
         /// The message.
         id: MessageId,
-        /// Number of the attempt.
+        /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// Final answer: not delivered; the client may safely submit it again.
+    /// Final answer: the message was not delivered, and the client may safely submit it again.
     Reject {
         /// The message.
         id: MessageId,
-        /// Retry-After, if clients are given one.
+        /// Retry-After for the client; `None` where the deployment sends none.
         after: Option<Nanos>,
     },
-    /// Final answer: given up, with no promise about its effect.
+    /// Final answer: delivery is given up, and the message may or may not have taken effect.
     Fail(MessageId),
     /// Call `handle` with [`Event::Due`](super::Event::Due) at this time.
     WakeAt(Nanos),
     /// Close this forwarder's idle connections to an endpoint.
     CloseIdle(EndpointId),
-    /// Watch the endpoint list.
+    /// Start to watch, or request, the endpoint list.
     WatchEndpointList,
-    /// A line for the operator.
+    /// Write a log line for the operator.
     Log {
-        /// What happened.
+        /// The text of the log line.
         text: &'static str,
-        /// The endpoint concerned, if one is.
+        /// The endpoint that the line is about, if any.
         host: Option<EndpointId>,
     },
 }
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -1,4 +1,4 @@
-//! Events: what the forwarder reports to the decision module.
+//! Events that the forwarder reports to the decision module.
 use super::{
     DestinationId, EndpointId, LoadReport, Message, MessageId, Nanos, Observation, Outcome, PriorAttempts,
 };
@@ -6,11 +6,11 @@
 /// State of a listed endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// May be sent to; says nothing of health.
+    /// Accepts messages. This state says nothing about the endpoint's health.
     Running,
-    /// Nothing new may be sent there.
+    /// Accepts no new messages.
     Draining,
-    /// Removed.
+    /// Removed from the list.
     Removed,
 }
 
@@ -19,69 +19,71 @@
 pub struct EndpointEntry {
     /// The endpoint.
     pub host: EndpointId,
-    /// Its zone.
+    /// Zone of the endpoint.
     pub zone: usize,
-    /// Its kind.
+    /// Kind of the endpoint, an index into [`Settings::kinds`](super::Settings::kinds).
     pub kind: usize,
-    /// Its destination.
+    /// Destination that the endpoint belongs to.
     pub dest: DestinationId,
-    /// Its state.
+    /// State of the endpoint.
     pub state: EndpointState,
-    /// Listed rate, see [`ListedRates`](super::ListedRates).
+    /// Listed rate in calls per second; [`ListedRates`](super::ListedRates) defines its meaning.
     pub rate: f64,
 }
 
-/// An attempt that ended. Each send has exactly one.
+/// The end of an attempt. Each [`Action::Send`](super::Action::Send) is followed by exactly one.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnded {
     /// The message.
     pub id: MessageId,
     /// Number of the attempt, from 0.
     pub attempt: u32,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// The message is finished; nothing more is owed.
+    /// The message is finished: it needs no final answer from the module.
     pub over: bool,
-    /// Time since the send.
+    /// Time from the send to the end of the attempt.
     pub took: Nanos,
-    /// What the answer reported of the limit.
+    /// Report on the destination's limit in the response, if it carried one.
     pub report: Option<LoadReport>,
 }
 
-/// What happened. All events of one `handle` call share its time.
+/// An input of the decision module. All events of one `handle` call share the same time.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The endpoint list: all of it, or only what changed.
+    /// The endpoint list, in full or only its changes.
     EndpointList {
-        /// Endpoints that are missing are removed.
+        /// The list is complete: endpoints that are missing from it are removed.
         complete: bool,
-        /// The entries.
+        /// Entries of the list.
         entries: Vec<EndpointEntry>,
     },
-    /// The request for the endpoint list failed, or the watch on it broke.
+    /// The request for the endpoint list failed, or the watch on the list broke.
     EndpointListFailed,
-    /// A message was submitted.
+    /// A client submitted a message.
     Message(Message),
-    /// A message that is still owed its answer after a restart; in the order in which they were accepted.
+    /// A message that has no final answer yet after a restart. Such messages are reported in the order in
+    /// which they were accepted.
     Resumed(Message, PriorAttempts),
     /// An attempt ended.
     AttemptEnded(AttemptEnded),
-    /// An endpoint sent a Retry-After, whatever became of the call that it answered. The call's outcome,
-    /// where it still counts, repeats it.
+    /// An endpoint sent a Retry-After. This event does not depend on what became of the call that it
+    /// answered; the outcome of that call, if it still counts, repeats the Retry-After.
     RetryAfter {
         /// The endpoint.
         host: EndpointId,
-        /// Its destination; the endpoint may be forgotten.
+        /// Destination of the endpoint; it selects the route if the endpoint is no longer known.
         dest: DestinationId,
-        /// How long nothing may be sent there.
+        /// Time during which no call may start.
         wait: Nanos,
     },
     /// The client has withdrawn the message.
     Withdrawn(MessageId),
-    /// From now on no send can start (true), or sends can start again (false). What is in flight goes on.
+    /// From now on no send may start (true), or sends may start again (false). Attempts in flight are not
+    /// affected.
     Paused(bool),
-    /// A peer's observation of an endpoint. Own experience wins over it unless that is older.
+    /// A peer's observation of an endpoint. Local observations take precedence unless they are older.
     PeerObservation(Observation),
-    /// The timer that was asked for is due.
+    /// The time of the requested wake-up has come.
     Due,
 }
--- a/src/interface/message.rs
+++ b/src/interface/message.rs
@@ -1,40 +1,40 @@
-//! Messages, and the ids of what the module decides on.
+//! Messages and the identifiers of messages, endpoints and destinations.
 use super::Nanos;
 
-/// A message, as the caller names it. Never used twice.
+/// Identifier of a message, assigned by the caller and never reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MessageId(pub u64);
 
-/// One endpoint address, as the caller numbers it. Carries no meaning.
+/// Identifier of an endpoint address, assigned by the caller. The number has no meaning beyond identity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EndpointId(pub u32);
 
-/// A destination: the set of endpoints that a message may go to.
+/// Identifier of a destination: a set of endpoints, each of which can receive the destination's messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DestinationId(pub u64);
 
-/// A message that was submitted.
+/// A submitted message.
 #[derive(Clone, Copy, Debug)]
 pub struct Message {
-    /// Its id.
+    /// Identifier of the message.
     pub id: MessageId,
-    /// Its class, an index into the settings' list.
+    /// Class of the message, an index into the settings' list.
     pub class: usize,
-    /// Its tenant, an index into the settings' list.
+    /// Tenant of the message, an index into the settings' list.
     pub tenant: usize,
-    /// Its ordering key, where the class has one.
+    /// Ordering key, for classes that have one.
     pub key: Option<u64>,
-    /// Its destination.
+    /// Destination of the message.
     pub dest: DestinationId,
-    /// It is given up at this time.
+    /// Time at which delivery is given up.
     pub deadline: Nanos,
 }
 
-/// The attempts of a message that an earlier process of this forwarder had accepted.
+/// The attempts that an earlier process of this forwarder made for a message that it had accepted.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PriorAttempts {
-    /// Attempts made.
+    /// Number of attempts made.
     pub attempts: u32,
-    /// When, and to an endpoint of which zone, the first attempt that may have run was sent.
+    /// Send time of the first attempt that may have run, and the zone of its endpoint.
     pub first_possible_run: Option<(Nanos, usize)>,
 }
--- a/src/interface/observation.rs
+++ b/src/interface/observation.rs
@@ -1,53 +1,53 @@
 //! Observations of endpoints that peers exchange.
 use super::{EndpointId, Nanos};
 
-/// What is known of an endpoint beside its entry in the list: this module's own experience, or a peer's.
-/// Times are spans, never stamps, so that no two clocks are compared.
+/// A local or peer observation of an endpoint's behaviour, beyond its entry in the list. All times are
+/// durations rather than timestamps, so that clocks of different machines are never compared.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Finding {
-    /// Calls fail there.
+    /// Calls to the endpoint fail.
     Outage {
-        /// How long the outage has lasted.
+        /// Duration of the outage so far.
         since: Nanos,
-        /// Calls are lost rather than rejected: they may be swallowed or half done.
+        /// Calls are lost rather than rejected: they may disappear or be processed in part.
         risky: bool,
     },
-    /// It serves again after an outage; it may still be warming up.
+    /// The endpoint serves calls again after an outage and may still be warming up.
     Recovering {
-        /// How long ago the first call was served.
+        /// Time since the first served call.
         since: Nanos,
     },
-    /// It serves.
+    /// The endpoint serves calls.
     Healthy {
         /// Mean latency in seconds.
         mean: f64,
         /// Mean deviation of the latency in seconds.
         dev: f64,
     },
-    /// Its route sent a Retry-After.
+    /// The endpoint's route sent a Retry-After.
     RetryAfter {
-        /// How long nothing may be sent there.
+        /// Remaining time during which no call may start.
         left: Nanos,
     },
-    /// Its route rejected calls; one forwarder's pace there.
+    /// The endpoint's route rejected calls, and the observer reduced its pace there.
     RateLimit {
-        /// Calls a second.
+        /// Pace of the observing forwarder, in calls per second.
         rate: f64,
     },
-    /// It accepts a limited number of calls at once.
+    /// The endpoint accepts a limited number of concurrent calls.
     ConnectionCapacity {
-        /// Calls at once.
+        /// Number of concurrent calls.
         calls: f64,
     },
 }
 
-/// A finding on an endpoint, and its age.
+/// A finding about an endpoint, and its age.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Observation {
-    /// The endpoint, as this module knows it.
+    /// The endpoint, under this module's identifier.
     pub host: EndpointId,
-    /// What was seen there.
+    /// The finding.
     pub finding: Finding,
-    /// How long ago the observer saw it.
+    /// Time since the observer made the finding.
     pub age: Nanos,
 }
--- a/src/interface/outcome.rs
+++ b/src/interface/outcome.rs
@@ -1,35 +1,39 @@
 //! Outcomes of attempts.
 use super::Nanos;
 
-/// How an attempt ended.
+/// The outcome of an attempt. Outcomes differ in whether the message may have run, that is, may have taken
+/// effect at the destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Delivered.
+    /// The message was delivered.
     Ok,
-    /// The destination answered with an error; it may have run.
+    /// The destination answered with an error; the message may have run.
     Error,
-    /// Rejected unprocessed, with its Retry-After, if any; it never ran.
+    /// Rejected without being processed, with the Retry-After if one was sent; the message never ran.
     Rejected(Option<Nanos>),
-    /// No answer in time; it may have run or may still run.
+    /// No response within the timeout; the message may have run or may still run.
     Timeout,
-    /// No connection; it never ran.
+    /// The connection could not be established; the message never ran.
     ConnectFailed,
-    /// Rejected on a new connection, since the endpoint accepts no further one; it never ran.
+    /// Rejected on a new connection, because the endpoint accepts no further connection; the message never
+    /// ran.
     ConnectionLimit,
-    /// The connection broke; it may have run.
+    /// The connection broke; the message may have run.
     Reset,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled; the message may have run.
     Cancelled,
-    /// It ran, but its answer cannot be read: that says nothing of its endpoint.
+    /// The message ran, but the response cannot be parsed. This says nothing about the health of the
+    /// endpoint.
     UnreadableAnswer,
-    /// Not sent.
+    /// The message was not sent.
     Skipped,
-    /// Not sent, since the decision is outdated: it does not count as an attempt, and is decided anew.
+    /// The message was not sent because the decision was outdated. This does not count as an attempt, and the
+    /// module decides on the message again.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether the endpoint answered at all.
+    /// Returns whether the endpoint sent any response.
     pub fn answered(self) -> bool {
         match self {
             Outcome::Ok
@@ -41,7 +45,7 @@
             Outcome::Skipped | Outcome::NotSent => false,
         }
     }
-    /// Whether it proves that the attempt never ran.
+    /// Returns whether the outcome proves that the message never ran.
     pub fn never_ran(self) -> bool {
         match self {
             Outcome::Rejected(_) | Outcome::ConnectFailed | Outcome::ConnectionLimit => true,
@@ -52,11 +56,11 @@
     }
 }
 
-/// What an answer reported of its destination's limit.
+/// The state of a destination's limit, as reported in a response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadReport {
-    /// Share of the limit that is left.
+    /// Share of the limit that is still available.
     pub left: f64,
-    /// Calls a second that the limit allows; zero: no limit.
+    /// Limit in calls per second; zero if there is none.
     pub limit: f64,
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,134 +1,137 @@
 //! Settings of the decision module.
 use super::Nanos;
 
-/// How often a message may take effect.
+/// How often a message may take effect at its destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Repeating it is harmless.
+    /// Repeated delivery is harmless.
     Idempotent,
-    /// Repeats are dropped for `window` from the first send that may have run, by the endpoints of `scope`.
+    /// The endpoints of `scope` drop repeated deliveries for `window`, counted from the first send that may
+    /// have run.
     IdempotentByKey {
-        /// Which endpoints drop repeats.
+        /// The endpoints that drop repeats.
         scope: IdempotencyScope,
-        /// For how long.
+        /// Duration of the idempotency window.
         window: Nanos,
     },
-    /// It must never take effect twice.
+    /// The message must never take effect twice.
     AtMostOnce,
 }
 
-/// The endpoints of a destination that drop repeats of a message with an idempotency key.
+/// The endpoints of a destination that drop repeated deliveries of a message with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdempotencyScope {
-    /// All of them.
+    /// All endpoints of the destination.
     AllEndpoints,
-    /// Those in the zone of the endpoint that may have run it.
+    /// The endpoints in the zone of the endpoint that may have run the message.
     SameZone,
 }
 
-/// How a message's value decays once its latency objective has passed.
+/// How the value of a message decays after its latency objective has passed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ValueDecay {
-    /// Evenly, to the late share at the deadline.
+    /// Linearly, down to the late share at the deadline.
     #[default]
     Linear,
-    /// By half with each further latency objective, not below the late share.
+    /// By half with each further latency objective, but not below the late share.
     Halving,
 }
 
-/// A class of message.
+/// A class of messages.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Full value when delivered within this time.
+    /// Latency objective: a message delivered within this time has its full value.
     pub latency_objective: Nanos,
-    /// Given up after this time.
+    /// Time after which delivery is given up.
     pub deadline: Nanos,
-    /// Full value, in points.
+    /// Full value of a message, in points.
     pub priority_weight: f64,
-    /// Share of the value left at the deadline.
+    /// Share of the value that is left at the deadline.
     pub late_weight_share: f64,
-    /// How often it may take effect.
+    /// How often a message may take effect.
     pub effect: Effect,
-    /// Messages that share a key are sent one at a time, in the order of arrival; those without a key are
-    /// free.
+    /// Messages that share a key are sent one at a time, in the order of arrival. Messages without a key are
+    /// not ordered.
     pub fifo_by_key: bool,
 }
 
 /// A kind of endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointKind {
-    /// The endpoints of a destination are separate routes: each has its own limit, waits, pace and outages.
+    /// Each endpoint of a destination is a separate route with its own limit, waits, pace and outages.
     pub separate_routes: bool,
-    /// Messages that one call carries at most.
+    /// Maximum number of messages in one call.
     pub max_batch: usize,
 }
 
-/// What the rates of the endpoint list mean.
+/// Meaning of the rates in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ListedRates {
-    /// No rate is listed.
+    /// The list contains no rates.
     #[default]
     Absent,
-    /// Calls a second that the destination (or separate route) takes from all forwarders together.
+    /// Calls per second that the destination (or separate route) accepts from all forwarders together.
     Nominal,
-    /// The same, but only roughly.
+    /// Like `Nominal`, but only an approximation.
     Approximate,
 }
 
-/// Settings of a forwarder, fixed at its start. A deployment without a feature leaves its field empty or
-/// zero, as the default does for all.
+/// Settings of a forwarder, fixed at its start. A field is empty or zero in a deployment without the feature,
+/// as in the default value.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// Calls in flight at most.
+    /// Maximum number of calls in flight.
     pub slots: usize,
-    /// Messages that are owed an answer at most, in flight or not.
+    /// Maximum number of messages without a final answer, pending or in flight.
     pub max_pending: usize,
-    /// Attempts of one message at most.
+    /// Maximum number of attempts of one message.
     pub max_attempts: u32,
-    /// Forwarders in this deployment.
+    /// Number of forwarders in this deployment.
     pub forwarders: usize,
     /// Shortest time between two rounds.
     pub tick: Nanos,
-    /// Classes of message.
+    /// Classes of messages.
     pub classes: Vec<Class>,
     /// Kinds of endpoint.
     pub kinds: Vec<EndpointKind>,
-    /// How a message's value decays.
+    /// How the value of a message decays.
     pub value_decay: ValueDecay,
-    /// Calls a second of each tenant's agreed quota, over all forwarders; empty without tenants.
+    /// Agreed quota of each tenant in calls per second, over all forwarders; empty without tenants.
     pub tenant_quota: Vec<f64>,
-    /// Value of traffic beyond a quota, as a share of the usual.
+    /// Value of traffic over a tenant's quota, as a share of its usual value.
     pub over_quota_weight: f64,
-    /// This forwarder's zone.
+    /// Zone of this forwarder.
     pub zone: usize,
-    /// Points for a message that a separate route in each zone takes on.
+    /// Cost in points, by zone, of a message that a separate route accepts.
     pub route_fee: Vec<f64>,
-    /// Points for an attempt that crosses zones.
+    /// Cost in points of an attempt that crosses zones.
     pub cross_fee: f64,
-    /// Points for a new connection.
+    /// Cost in points of a new connection.
     pub handshake_fee: f64,
-    /// Idle connections close after this time.
+    /// Time after which an idle connection is closed.
     pub connection_idle_timeout: Nanos,
-    /// Calls that one connection carries at once.
+    /// Maximum number of concurrent calls on one connection.
     pub streams_per_connection: u32,
-    /// Longest Retry-After that clients obey; none: a rejection carries no Retry-After.
+    /// Longest Retry-After that clients obey; `None` if rejections carry no Retry-After.
     pub retry_after: Option<Nanos>,
-    /// Attempts may be cancelled.
+    /// Attempts in flight may be cancelled.
     pub may_cancel: bool,
-    /// The endpoint list comes on request only, and must be requested at least this often.
+    /// Maximum interval between requests for the endpoint list, where the list is only sent on request;
+    /// `None` where it is pushed.
     pub poll_interval: Option<Nanos>,
-    /// Answers report their destination's limit, where it has one.
+    /// Responses report the limit of their destination, where it has one.
     pub limits_reported: bool,
-    /// What the rates of the endpoint list mean.
+    /// Meaning of the rates in the endpoint list.
     pub listed_rates: ListedRates,
-    /// Share of its capacity that a destination has at least when it returns from an outage.
+    /// Minimum share of its capacity that a destination has when it returns from an outage.
     pub cold_capacity_share: f64,
-    /// Time after which it has all of its capacity.
+    /// Time after which a returning destination has its full capacity.
     pub warm_up: Nanos,
-    /// Multiple of its present capacity beyond which a returning destination fails again,
+    /// Multiple of its current capacity above which a returning destination fails again, if calls arrive at
+    /// that rate for `overload_window`.
     pub overload_multiple: f64,
-    /// if calls arrive at that rate for this long.
+    /// Time for which a returning destination tolerates calls above `overload_multiple`.
     pub overload_window: Nanos,
-    /// An ordering key's pause after an attempt that may still run; zero where none is needed.
+    /// Pause of an ordering key after an attempt that may still run; zero where no pause is needed.
     pub ordering_pause: Nanos,
 }
--- a/src/interface/time.rs
+++ b/src/interface/time.rs
@@ -1,16 +1,17 @@
-//! Time of the decision module.
+//! Time values of the decision module.
 use std::ops::{Add, Sub};
 
-/// A point in time or a length of time, in nanoseconds; points count from an arbitrary zero.
+/// A point in time or a duration, in nanoseconds. Points in time count from an arbitrary zero.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Nanos(pub u64);
 
 impl Nanos {
-    /// The value in seconds.
+    /// Returns the value in seconds.
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1e9
     }
-    /// From seconds; negative values and NaN give zero, too large ones the largest time.
+    /// Converts from seconds. Negative values and NaN give zero; values that are too large give the largest
+    /// time.
     pub fn from_secs(s: f64) -> Self {
         Nanos((s * 1e9) as u64)
     }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,6 +1,9 @@
-//! The decision module: every decision of micaladder, without I/O. Its types are in `interface.rs`, its
-//! records in `state.rs`. Each round takes in all events of a moment, then decides once: review, expiry,
-//! relief of slots, load shedding, promotion (LexAS), dispatch (ARR), idle connections, timer.
+//! The decision module: a state machine without I/O, a clock or external randomness that makes all delivery
+//! decisions. Its inputs and outputs are defined in `interface.rs`, its records in `state.rs`.
+//!
+//! Each round processes all events of one moment and then decides once, in this order: review, expiry,
+//! cancellation of attempts that block slots, load shedding, promotion (LexAS), dispatch (ARR), idle
+//! connections, timer.
 #![warn(missing_docs)]
 
 mod admission;
@@ -27,62 +30,65 @@
 use crate::state::*;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// The decision module of one forwarder: a state machine without I/O.
+/// The decision module of one forwarder. The same settings, seed and events always give the same actions.
 #[derive(Default)]
 pub struct Balancer {
-    /// What the deployment allows and asks for.
+    /// Limits, classes and features of the deployment.
     settings: Settings,
     /// Random numbers, drawn in the order of events.
     random: Random,
-    /// Time of the round.
+    /// Time of the current round.
     now: Nanos,
-    /// Actions of the round, in order.
+    /// Actions of the current round, in order.
     actions: Vec<Action>,
-    /// Messages that are owed an answer or whose last outcome is not known.
+    /// Messages without a final answer, and answered messages whose attempt is still in flight.
     messages: HashMap<MessageId, PendingMessage>,
-    /// Deadlines of pending messages, so that no round scans all of them.
+    /// Deadlines of pending messages, so that a round does not scan all messages.
     deadlines: BTreeSet<(Nanos, MessageId)>,
-    /// When pending messages must be checked for whether they may still be retried.
+    /// Times at which pending messages must be checked for whether a retry is still allowed.
     retry_checks: BTreeSet<(Nanos, MessageId)>,
     /// Messages with an attempt in flight.
     in_flight: BTreeSet<MessageId>,
-    /// How many messages are owed an answer.
+    /// Number of messages without a final answer.
     open_messages: usize,
-    /// No send can start.
+    /// True while no send may start.
     paused: bool,
-    /// Ordering keys with open messages or a pause.
+    /// Ordering keys that have unanswered messages, attempts in flight or a pause.
     ordering_keys: BTreeMap<u64, OrderingKey>,
     /// Destinations and their pending messages.
     destinations: BTreeMap<DestinationId, DestinationQueue>,
     /// Destinations with a message pending or in flight.
     active: BTreeSet<DestinationId>,
-    /// Endpoints of the list, and removed ones with calls in flight.
+    /// Listed endpoints, and removed endpoints that still have calls in flight.
     endpoints: BTreeMap<EndpointId, EndpointRecord>,
-    /// Limits, waits and paces.
+    /// Limit, waits and pace of each route.
     routes: BTreeMap<RouteKey, Route>,
-    /// Messages in flight in each call.
+    /// Number of messages in flight in each call.
     calls: BTreeMap<u64, usize>,
-    /// Number of the last call that was started.
+    /// Number of the call that was started last.
     last_call: u64,
-    /// When the next review is due.
+    /// Time of the next review.
     next_review_at: Nanos,
-    /// The timer that was asked for and is not due yet.
+    /// Time of the last requested wake-up, if it is not due yet.
     timer: Option<Nanos>,
-    /// When to ask for the endpoint list.
+    /// Time of the next request for the endpoint list, if one is scheduled.
     watch_at: Option<Nanos>,
-    /// Backoff in seconds before the list is asked for again after a failure.
+    /// Backoff in seconds before the endpoint list is requested again after a failure.
     watch_backoff_secs: f64,
-    /// Kinds of endpoint with signs that idle connections do harm there.
+    /// Kinds of endpoint that have rejected or failed a connection. Idle connections to them are closed.
     connection_limited: BTreeSet<usize>,
-    /// Endpoints with a call ended whose idle connections are to be checked.
+    /// Endpoints on which a call ended and whose idle connections have yet to be checked.
     idle_checks: BTreeSet<EndpointId>,
-    /// Seconds without use after which a connection is assumed to be dropped, once one was.
+    /// Idle time in seconds after which a connection is assumed to be dropped; `None` until a dropped
+    /// connection has been detected.
     idle_limit_secs: Option<f64>,
 }
 
 impl Balancer {
-    /// A new module. It knows nothing but its settings; `seed` feeds its random numbers. With no slots it
-    /// sends nothing and answers each message at its deadline; a message of an unknown class is rejected.
+    /// Creates a module without endpoints or messages. `seed` initializes its random numbers.
+    ///
+    /// With zero slots in `settings` it sends nothing and answers each message at its deadline. A message of
+    /// an unknown class is rejected.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Balancer {
             watch_at: settings.poll_interval.map(|_| Nanos(0)),
@@ -93,7 +99,7 @@
         }
     }
 
-    /// Takes in all events of this moment, then decides once and appends the actions to carry out.
+    /// Processes all events of one moment, decides once and appends the actions to carry out to `out`.
     pub fn handle(&mut self, now: Nanos, events: &[Event], out: &mut Vec<Action>) {
         self.now = now;
         self.timer = self.timer.filter(|due| *due > now);
@@ -111,7 +117,7 @@
         out.append(&mut self.actions);
     }
 
-    /// Takes in one event.
+    /// Updates the state for one event.
     fn ingest(&mut self, event: &Event) {
         match event {
             Event::EndpointList { complete, entries } => self.apply_endpoint_list(*complete, entries),
@@ -123,33 +129,34 @@
             Event::Withdrawn(id) => self.finish(*id),
             Event::Paused(paused) => self.paused = *paused,
             Event::PeerObservation(observation) => self.apply_peer_observation(observation),
-            // A timer may fire a little early, by rounding of clocks: what it was for is armed anew.
+            // The timer may fire slightly early because of clock rounding. `arm_timer` then requests a new
+            // wake-up.
             Event::Due => self.timer = None,
         }
     }
 
-    /// A random factor around 1 that keeps forwarders from acting at the same moment.
+    /// Returns a random factor around 1, so that forwarders do not act at the same moment.
     fn jitter(&mut self) -> f64 {
         1.0 - tuning::JITTER + 2.0 * tuning::JITTER * self.random.next()
     }
 
-    /// Adds a line for the operator.
+    /// Logs a line for the operator.
     fn log(&mut self, text: &'static str, host: Option<EndpointId>) {
         self.actions.push(Action::Log { text, host });
     }
 
-    /// Destinations with a message pending or in flight. A round visits these alone, so that its cost does
-    /// not grow with the fleet.
+    /// Returns the destinations with a message pending or in flight. A round visits only these, so its cost
+    /// does not grow with the number of known destinations.
     fn active_destinations(&self) -> impl Iterator<Item = (&DestinationId, &DestinationQueue)> {
         self.active.iter().filter_map(|dest| self.destinations.get_key_value(dest))
     }
 
-    /// The record of a destination; a new one for an unknown destination.
+    /// Returns the record of a destination, and creates it for an unknown destination.
     fn destination(&mut self, dest: DestinationId) -> &mut DestinationQueue {
         self.destinations.entry(dest).or_default()
     }
 
-    /// Class of a message that is known.
+    /// Returns the class of a known message.
     fn class_of(&self, id: &MessageId) -> &Class {
         &self.settings.classes[self.messages[id].class]
     }
--- a/src/logic/admission.rs
+++ b/src/logic/admission.rs
@@ -1,11 +1,11 @@
-//! Admission: messages that are accepted or resumed, and their place among the pending ones.
+//! Admission: accepts new and resumed messages and adds them to the pending messages.
 use super::tuning::{DEMAND_GAIN, EXPIRED_RETRY_AFTER_SECS, WINDOW_SHARE};
 use super::Balancer;
 use crate::interface::*;
 use crate::state::*;
 
 impl Balancer {
-    /// Accepts a new message; one of an unknown class is rejected.
+    /// Accepts a new message. A message of an unknown class is rejected.
     pub(super) fn accept(&mut self, message: &Message) {
         if self.messages.contains_key(&message.id) {
             return;
@@ -33,14 +33,16 @@
         self.open_messages += 1;
     }
 
-    /// Accepts a message of an earlier process. Its prior attempts count as if made here, so that neither a
-    /// duplicate effect nor an attempt too many results. If it may not be retried, `expire` answers it.
+    /// Accepts a message of an earlier process. Its prior attempts count as attempts of this process, which
+    /// prevents duplicate effects and attempts beyond the maximum. If the message may not be retried,
+    /// `expire` gives its final answer.
     pub(super) fn resume(&mut self, message: &Message, prior: &PriorAttempts) {
         self.accept(message);
         let Some(pending) = self.messages.get_mut(&message.id) else { return };
         pending.attempts = prior.attempts;
         pending.first_run = prior.first_possible_run.map(|(sent_at, zone)| FirstRun { sent_at, zone });
-        // It was accepted before this moment, so its rejection is not one on arrival.
+        // The message was accepted before this moment, so its rejection must not count as a rejection on
+        // arrival.
         pending.arrived = self.now - Nanos(1);
         self.add_pending(message.id);
         if prior.first_possible_run.is_some() {
@@ -51,8 +53,8 @@
         }
     }
 
-    /// Puts a message that is not in flight among the pending ones of its destination, and notes when it may
-    /// have to be answered.
+    /// Adds a message that is not in flight to the pending messages of its destination, and schedules its
+    /// expiry checks.
     pub(super) fn add_pending(&mut self, id: MessageId) {
         self.remove_pending(id);
         let Some(message) = self.messages.get_mut(&id) else { return };
@@ -71,7 +73,7 @@
         destination.pending.insert(id, message.group_key(), message.deadline, unblocked);
     }
 
-    /// Takes a message out of the pending ones, for a send or at its end.
+    /// Removes a message from the pending messages, because it is sent or has its final answer.
     pub(super) fn remove_pending(&mut self, id: MessageId) {
         let Some(message) = self.messages.get_mut(&id) else { return };
         self.deadlines.remove(&(message.deadline, id));
@@ -81,7 +83,7 @@
         self.destinations.entry(message.dest).or_default().pending.remove(id);
     }
 
-    /// Unblocks the next message of an ordering key, unless one of the key is in flight.
+    /// Unblocks the next message of an ordering key, unless an attempt of the key is in flight.
     pub(super) fn unblock_next(&mut self, key: Option<u64>) {
         let Some(ordering_key) = key.and_then(|key| self.ordering_keys.get(&key)) else { return };
         let Some(id) = ordering_key.next() else { return };
--- a/src/logic/connections.rs
+++ b/src/logic/connections.rs
@@ -1,34 +1,35 @@
-//! Connections: which are counted as idle, which are closed, and when an idle one is assumed to be dropped.
+//! Connections: counts idle connections, closes them, and estimates after which idle time a connection is
+//! dropped.
 use super::tuning::*;
 use super::Balancer;
 use crate::interface::*;
 use crate::state::*;
 
 impl EndpointRecord {
-    /// Whether a further call needs no new connection, with so many calls on each.
+    /// Returns whether a further call needs no new connection, given the number of concurrent calls per
+    /// connection.
     pub(super) fn has_idle_stream(&self, streams: u32) -> bool {
         self.calls < self.connections * streams
     }
 
-    /// A served call shows that there is capacity for it; bit by bit, so that it is noticed when there is
-    /// more.
+    /// Raises the estimated capacity slightly after a served call, so that added capacity is detected.
     pub(super) fn raise_capacity(&mut self, slots: usize) {
         self.consecutive_full_rejections = 0;
         let Some(capacity) = self.capacity else { return };
         let raised = capacity + CAPACITY_GAIN / capacity;
-        // With more than all slots it is no limit any more.
+        // A capacity of all slots or more is no longer a limit.
         self.capacity = Some(raised).filter(|calls| *calls < slots as f64);
     }
 }
 
 impl Balancer {
-    /// Calls that one connection carries at once.
+    /// Returns the number of concurrent calls on one connection.
     pub(super) fn streams(&self) -> u32 {
         self.settings.streams_per_connection.max(1)
     }
 
-    /// Counts a call on its connection. Where connections that were idle for so long are assumed to be
-    /// dropped, they are closed first.
+    /// Assigns a call to a connection. Closes the idle connections first if they have been idle for longer
+    /// than the time after which connections are assumed to be dropped.
     pub(super) fn assign_connection(&mut self, id: EndpointId) {
         let now = self.now;
         let streams = self.streams();
@@ -45,8 +46,9 @@
         endpoint.used_at = now;
     }
 
-    /// A call was lost on an idle connection, yet one is served on a new connection: a connection that was
-    /// idle for so long is dropped unseen. An answer on one that was idle for longer shows that it is not.
+    /// Updates the idle time after which connections are assumed to be dropped. If a call was lost on an idle
+    /// connection and the next one is served on a new connection, connections that were idle for that long
+    /// are dropped without notice. A response on a connection that was idle for longer disproves this.
     pub(super) fn update_idle_limit(&mut self, attempt: &InFlight) {
         let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) else { return };
         let on_new_connection = attempt.connection_idle_secs <= IDLE_RISK_SECS;
@@ -65,9 +67,10 @@
         }
     }
 
-    /// Guards endpoints that accept few connections, idle ones counted: forwarders that each keep one shut
-    /// all others out. Also guards against idle connections that are dropped unseen. May hurt where a
-    /// connection would soon be used again: a handshake.
+    /// Closes idle connections to kinds of endpoint that accept few connections, idle ones included: if each
+    /// forwarder kept one open, the other forwarders would be locked out. This also prevents losses on idle
+    /// connections that were dropped without notice. The cost: a handshake if the connection would have been
+    /// used again soon.
     pub(super) fn close_idle_connections(&mut self) {
         for id in std::mem::take(&mut self.idle_checks) {
             let streams = self.streams();
@@ -76,8 +79,8 @@
                 continue;
             }
             let used = endpoint.calls.div_ceil(streams);
-            // One idle connection is kept for as long as a call takes: so all forwarders together hold no
-            // more than twice what is in use.
+            // One idle connection stays open for the duration of a call. All forwarders together thus hold at
+            // most twice as many connections as are in use.
             if endpoint.connections == used + 1 && self.now < endpoint.used_at + endpoint.latency.mean {
                 self.idle_checks.insert(id);
             } else if endpoint.connections > used {
--- a/src/logic/dispatch.rs
+++ b/src/logic/dispatch.rs
@@ -1,29 +1,30 @@
-//! Dispatch (ARR of the paper): which destination fills a free slot, with which message, at which endpoint.
+//! Dispatch (ARR of the paper): selects the destination that fills a free slot, the message and the endpoint.
 use super::tuning::*;
 use super::Balancer;
 use crate::interface::*;
 use crate::state::*;
 
-/// Least latency objective in seconds that costs are computed with, so that no division by zero occurs.
+/// Shortest latency objective in seconds used to compute costs; it prevents a division by zero.
 const MIN_OBJECTIVE_SECS: f64 = 1e-3;
 
 /// A message that may be sent next.
 struct Candidate {
     /// The message.
     id: MessageId,
-    /// Value that it loses by waiting until the backlog is served, in points.
+    /// Value in points that the message loses if it waits until the backlog is served.
     loss: f64,
 }
 
 impl DestinationQueue {
-    /// (a + 1) / g of the design; δ differs from g by a factor that is the same for all.
+    /// Returns (a + 1) / g of the design. δ differs from g by a factor that is the same for all destinations.
+    /// The destination with the smallest ratio is served next.
     fn dispatch_ratio(&self) -> f64 {
         (self.dispatched + 1.0) / (INITIAL_GAIN + self.extra_gain)
     }
 }
 
 impl Balancer {
-    /// Fills free slots, each from the destination with the least (a + 1) / δ.
+    /// Fills free slots, each from the destination with the smallest (a + 1) / δ.
     pub(super) fn dispatch(&mut self) {
         while self.calls.len() < self.settings.slots {
             let ready = self.active_destinations().filter(|(_, queue)| queue.ready > 0);
@@ -37,11 +38,11 @@
         }
     }
 
-    /// Fills one slot from a destination: the message that loses most by waiting, at the endpoint that costs
-    /// least. False if it has none to send.
+    /// Fills one slot from a destination, with the message that loses most by waiting, at the endpoint with
+    /// the lowest cost. Returns false if the destination has no message to send.
     fn fill_slot(&mut self, dest: DestinationId) -> bool {
         let Some((first, endpoint)) = self.next_send(&self.destinations[&dest]) else { return false };
-        // Messages of one call share its fate, so a trial carries one.
+        // All messages of a call share its outcome, so a trial call carries only one.
         let trial = matches!(self.endpoints[&endpoint].breaker, CircuitBreaker::Open { .. });
         let max_batch = if trial { 1 } else { self.max_batch(endpoint) };
         let call = self.start_call(dest, endpoint, first);
@@ -53,7 +54,7 @@
         true
     }
 
-    /// The message that loses most by waiting, and the endpoint that costs least for it.
+    /// Returns the message that loses most by waiting, and the endpoint with the lowest cost for it.
     fn next_send(&self, destination: &DestinationQueue) -> Option<(MessageId, EndpointId)> {
         let mut best: Option<(Candidate, f64, EndpointId)> = None;
         for endpoint in self.open_endpoints(destination) {
@@ -69,13 +70,14 @@
         best.map(|(candidate, _, endpoint)| (candidate.id, endpoint))
     }
 
-    /// The message that loses most by waiting of those that may go to this endpoint; the first to arrive
-    /// where several lose the same.
+    /// Returns, of the messages that may be sent to this endpoint, the one that loses most by waiting, or the
+    /// first of them to arrive if several lose the same.
     fn most_urgent(&self, destination: &DestinationQueue, endpoint: EndpointId) -> Option<Candidate> {
         let latency = self.endpoints.get(&endpoint).map_or(0.0, |endpoint| endpoint.latency.mean);
         let soon = self.now + latency;
         let later = soon + destination.backlog_secs();
-        // The loss rises and falls with the deadline, and turns where the wait ends or the objective passes.
+        // The loss is not monotonic in the deadline: its turning points are where the wait ends and where the
+        // latency objective passes.
         let points = |class: usize| {
             let class = &self.settings.classes[class];
             [later, soon + (class.deadline - class.latency_objective)]
@@ -89,7 +91,8 @@
         most.map(|(loss, position)| Candidate { id: position.id, loss })
     }
 
-    /// Points that a send to this endpoint is likely to cost: lateness, fees, a new connection, failure.
+    /// Returns the expected cost in points of a send to this endpoint: lateness, fees, a new connection and
+    /// failure.
     fn endpoint_cost(&self, id: MessageId, endpoint: EndpointId) -> f64 {
         let endpoint = &self.endpoints[&endpoint];
         let class = self.messages[&id].class;
@@ -105,7 +108,7 @@
         late * LATE_COST + route_fee + cross_fee + handshake_fee + loss
     }
 
-    /// Starts a call: takes the slot and the tokens, and notes a trial. Returns the call's number.
+    /// Starts a call: takes the slot and the tokens, and records a trial. Returns the number of the call.
     fn start_call(&mut self, dest: DestinationId, endpoint: EndpointId, first: MessageId) -> u64 {
         let now = self.now;
         // Drawn for every call, so that the sequence of random numbers does not depend on the breaker.
@@ -125,14 +128,15 @@
         self.last_call
     }
 
-    /// Puts a message in flight and tells the forwarder to send it.
+    /// Marks a message as in flight and emits its send action.
     fn send(&mut self, id: MessageId, endpoint: EndpointId, call: u64) {
         let timeout = self.attempt_timeout(endpoint, self.class_of(&id));
         let Some(message) = self.messages.get_mut(&id) else { return };
         let Some(record) = self.endpoints.get(&endpoint) else { return };
         let class = &self.settings.classes[message.class];
         let left = message.deadline - self.now;
-        // Giving up on a message that must not be repeated forfeits its value: it may use all of its time.
+        // An at-most-once message cannot be sent again, so a timeout before its deadline would only forfeit
+        // its value.
         let timeout = if class.effect == Effect::AtMostOnce { left } else { timeout.min(left) };
         message.attempts += 1;
         message.in_flight = Some(InFlight {
--- a/src/logic/expiry.rs
+++ b/src/logic/expiry.rs
@@ -1,4 +1,4 @@
-//! Messages whose time is up, attempts whose endpoint stays silent, and slots that such attempts hold.
+//! Expiry of messages, detection of unanswered attempts, and cancellation of attempts that block slots.
 use super::tuning::*;
 use super::Balancer;
 use crate::interface::*;
@@ -8,18 +8,19 @@
 struct CancelCandidate {
     /// The message.
     id: MessageId,
-    /// It has had its time-out twice.
+    /// Whether the attempt has run for more than twice its timeout.
     overdue: bool,
 }
 
 impl Balancer {
-    /// Time by which a deadline is met early.
+    /// Returns the time by which an answer is given ahead of the deadline.
     pub(super) fn deadline_margin(&self) -> Nanos {
         Nanos(self.settings.tick.0 * DEADLINE_MARGIN_TICKS)
     }
 
-    /// Answers messages that can no longer be delivered, so that none is lost, and notes silent endpoints. An
-    /// attempt that is cancelled or cut to the deadline may end too late, so the answer does not wait for it.
+    /// Gives the final answer to messages that can no longer be delivered, and records calls to silent
+    /// endpoints as lost. The answer does not wait for the attempt in flight, because an attempt that is
+    /// cancelled or limited to the deadline may end too late.
     pub(super) fn expire(&mut self) {
         let mut expired = self.expired_pending();
         expired.extend(self.no_longer_retryable());
@@ -39,13 +40,14 @@
         }
     }
 
-    /// Pending messages whose time is up.
+    /// Returns the pending messages whose deadline, less the margin, is reached.
     fn expired_pending(&self) -> Vec<MessageId> {
         let by = self.now + self.deadline_margin();
         self.deadlines.iter().take_while(|(deadline, _)| *deadline <= by).map(|(_, id)| *id).collect()
     }
 
-    /// Messages whose idempotency window is over.
+    /// Returns the pending messages that may no longer be retried, for example because their idempotency
+    /// window is over.
     fn no_longer_retryable(&mut self) -> Vec<MessageId> {
         let mut found = Vec::new();
         while let Some((at, id)) = self.retry_checks.first().copied() {
@@ -61,7 +63,7 @@
             if !message.may_retry(class, self.now, None) {
                 found.push(id);
             } else if message.retry_check_at.is_some_and(|at| at <= self.now) {
-                // By rounding it may be a moment early: checked again one tick later.
+                // Because of rounding, the check may run slightly early. It is repeated one tick later.
                 let again = self.now + Nanos(self.settings.tick.0.max(1));
                 message.retry_check_at = Some(again);
                 self.retry_checks.insert((again, id));
@@ -70,7 +72,7 @@
         found
     }
 
-    /// Messages in flight whose time is up.
+    /// Returns the messages in flight whose deadline is reached.
     fn expired_in_flight(&self) -> Vec<MessageId> {
         let expired = |id: &&MessageId| {
             let message = self.messages.get(id);
@@ -79,7 +81,7 @@
         self.in_flight.iter().filter(expired).copied().collect()
     }
 
-    /// Attempts whose endpoint has given no sign of life for too long; each is found once.
+    /// Returns the attempts whose endpoint has sent no response for too long. Each attempt is returned once.
     fn newly_unanswered(&mut self) -> Vec<(MessageId, InFlight)> {
         let mut found = Vec::new();
         for id in &self.in_flight {
@@ -100,9 +102,11 @@
         found
     }
 
-    /// Guards the slots against calls that nobody answers, whatever the cause: where all slots are taken and
-    /// too many of the calls are past their answer time-out, the one with the least value left is cancelled.
-    /// May hurt where very slow endpoints would have answered yet.
+    /// Cancels one attempt if all slots are taken and another message needs only a slot: the attempt with the
+    /// least remaining value among the overdue ones or, if too many calls are past their answer timeout,
+    /// among all unanswered ones. Otherwise unanswered calls could occupy all slots, whatever their cause.
+    /// The cost: an attempt at a very slow endpoint may be cancelled although a response would still have
+    /// come.
     pub(super) fn cancel_to_free_slot(&mut self) {
         let candidates = self.cancel_candidates();
         let too_many =
@@ -122,7 +126,7 @@
         self.actions.push(Action::Cancel { id, attempt });
     }
 
-    /// Unanswered or overdue attempts, once all slots are taken.
+    /// Returns the unanswered and overdue attempts if all slots are taken.
     fn cancel_candidates(&self) -> Vec<CancelCandidate> {
         let mut found = Vec::new();
         if !self.settings.may_cancel || self.calls.len() < self.settings.slots {
@@ -132,7 +136,8 @@
             let Some(message) = self.messages.get(id) else { continue };
             let Some(attempt) = message.in_flight.filter(|attempt| !attempt.cancelled) else { continue };
             let timeout = self.attempt_timeout(attempt.endpoint, &self.settings.classes[message.class]);
-            // Twice its time-out is too long also where the endpoint answers other calls all the while.
+            // An attempt past twice its timeout is overdue even if the endpoint answers other calls in the
+            // meantime.
             let overdue = (self.now - attempt.sent_at).0 / 2 > timeout.0;
             if attempt.unanswered || overdue {
                 found.push(CancelCandidate { id: *id, overdue });
@@ -141,7 +146,7 @@
         found
     }
 
-    /// Time-out of an attempt that may be repeated.
+    /// Returns the timeout of an attempt that may be repeated.
     pub(super) fn attempt_timeout(&self, endpoint: EndpointId, class: &Class) -> Nanos {
         let answer_timeout_secs = match self.endpoints.get(&endpoint) {
             Some(endpoint) => endpoint.answer_timeout_secs(),
--- a/src/logic/finish.rs
+++ b/src/logic/finish.rs
@@ -1,14 +1,15 @@
-//! The end of a message: its final answer, once.
+//! Final answers: each message gets exactly one.
 use super::Balancer;
 use crate::interface::*;
 
 impl Balancer {
-    /// Gives the final answer for a message that is given up: a rejection where that is safe, else a failure.
-    /// `retry_after` is the advice that goes with a rejection, in seconds.
-    pub(super) fn give_up(&mut self, id: MessageId, retry_after: f64) {
+    /// Gives up a message: its final answer is a rejection if that is safe, otherwise a failure. A rejection
+    /// carries a Retry-After of `retry_after_secs`, limited by the settings.
+    pub(super) fn give_up(&mut self, id: MessageId, retry_after_secs: f64) {
         let Some(message) = self.messages.get(&id) else { return };
         let action = if message.may_reject(&self.settings.classes[message.class]) {
-            let after = self.settings.retry_after.map(|longest| Nanos::from_secs(retry_after).min(longest));
+            let after =
+                self.settings.retry_after.map(|longest| Nanos::from_secs(retry_after_secs).min(longest));
             Action::Reject { id, after }
         } else {
             Action::Fail(id)
@@ -17,7 +18,8 @@
         self.finish(id);
     }
 
-    /// Ends a message; the record of one in flight stays until its attempt's outcome is known.
+    /// Marks a message as answered. Its record stays while an attempt is in flight, until the outcome of the
+    /// attempt is known.
     pub(super) fn finish(&mut self, id: MessageId) {
         let Some(message) = self.messages.get_mut(&id).filter(|message| !message.answered) else { return };
         message.answered = true;
--- a/src/logic/gain.rs
+++ b/src/logic/gain.rs
@@ -1,12 +1,13 @@
-//! The review, once an interval: gains of destinations that missed the latency objective, rates, and what is
-//! forgotten.
+//! The periodic review: gains of destinations that missed the latency objective, rates, and removal of unused
+//! records.
 use super::tuning::*;
 use super::Balancer;
 use crate::interface::*;
 use crate::state::*;
 
 impl EndpointRecord {
-    /// Ends a slow start, lets class losses decay and forgets connections that have closed.
+    /// Ends a completed slow start, lets the loss shares of classes decay and resets the connection count
+    /// after the idle timeout.
     fn review(&mut self, now: Nanos, settings: &Settings) {
         self.end_slow_start(now, settings.warm_up);
         for share in self.class_loss.values_mut() {
@@ -19,9 +20,9 @@
 }
 
 impl DestinationQueue {
-    /// Updates rates and ARR's gain; true if the gain rose. Departure from the design: only the wait that
-    /// this forwarder could have helped is judged; a slow destination would else miss the objective by its
-    /// own latency and take the front for good.
+    /// Updates rates and ARR's gain. Returns true if the gain rose. Departure from the design: only the wait
+    /// that this forwarder could have avoided counts. Otherwise a slow destination would miss the objective
+    /// because of its own latency and keep the highest priority permanently.
     fn review(&mut self, now: Nanos, latency_objective: f64) -> bool {
         self.served_rate += SERVED_RATE_GAIN * (f64::from(self.served_since_review) - self.served_rate);
         self.demand *= 1.0 - DEMAND_GAIN;
@@ -49,7 +50,7 @@
 }
 
 impl Balancer {
-    /// Asks for the endpoint list when it is time, and reviews endpoints and destinations once an interval.
+    /// Requests the endpoint list when it is due, and reviews endpoints and destinations once per interval.
     pub(super) fn review(&mut self) {
         if self.watch_at.take_if(|at| *at <= self.now).is_some() {
             self.actions.push(Action::WatchEndpointList);
@@ -63,20 +64,20 @@
         self.forget_unused();
     }
 
-    /// Reviews endpoints, and forgets those that were removed.
+    /// Reviews endpoints, and drops the records of removed endpoints.
     fn review_endpoints(&mut self) {
         for endpoint in self.endpoints.values_mut() {
             endpoint.review(self.now, &self.settings);
         }
-        // Guards the table against days on which endpoints come and go.
+        // Keeps the table small when many endpoints are added and removed in a day.
         self.endpoints.retain(|_, endpoint| !endpoint.removed || endpoint.calls > 0);
         let endpoints = &self.endpoints;
         self.routes.retain(|(_, endpoint), _| endpoint.is_none_or(|id| endpoints.contains_key(&id)));
         self.idle_limit_secs = self.idle_limit_secs.map(|limit| limit * IDLE_LIMIT_GROWTH);
     }
 
-    /// ARR: a missed objective raises the gain, and all counts start anew. Gains that have grown large shrink
-    /// together.
+    /// ARR: a missed objective raises the gain and resets all dispatch counters. Gains are halved together
+    /// once one exceeds the maximum.
     fn review_gains(&mut self) {
         let objective = self.settings.shortest_objective_secs();
         let mut missed = false;
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Forgets endpoints, destinations and ordering keys that are no longer in use.
+    /// Drops the records of endpoints, destinations and ordering keys that are no longer in use.
     fn forget_unused(&mut self) {
         let endpoints = &self.endpoints;
         let in_use = |id: &EndpointId| endpoints.get(id).is_some_and(|e| e.listed || e.calls > 0);
--- a/src/logic/gate.rs
+++ b/src/logic/gate.rs
@@ -1,13 +1,13 @@
-//! The send gate: every send passes here, retries and trials included.
+//! The send gate: the conditions that every send must meet, including retries and trials.
 use super::tuning::*;
 use super::Balancer;
 use crate::interface::*;
 use crate::state::*;
 
 impl Balancer {
-    /// Whether a send may still start as it was decided; asked once its connection stands. Guards waits,
-    /// drains and trials against a connect that took long: what happened since counts. Its turn and its token
-    /// it has.
+    /// Returns whether a send may still start as decided. The forwarder calls this once the connection is
+    /// established, because a connect can take long enough for a wait, a drain or an outage to begin in the
+    /// meantime. Ordering and tokens are not checked again.
     pub fn may_still_send(&self, now: Nanos, id: MessageId) -> bool {
         let Some(message) = self.messages.get(&id) else { return false };
         if message.answered || message.deadline <= now {
@@ -29,14 +29,15 @@
             && message.may_retry(class, now, Some(endpoint.zone))
     }
 
-    /// Whether one of its endpoints is slow, failing or in an outage.
+    /// Returns whether an endpoint of the destination is slow, failing or in an outage.
     fn is_unhealthy(&self, destination: &DestinationQueue) -> bool {
         let mut endpoints = destination.endpoints.iter().filter_map(|id| self.endpoints.get(id));
         endpoints.any(EndpointRecord::is_unhealthy)
     }
 
-    /// Slots that a destination may hold. Departure from the design: slow and failing ones share their half,
-    /// so that several at once leave slots to the healthy ones.
+    /// Returns the maximum number of slots for a destination. Departure from the design: slow and failing
+    /// destinations share their half of the slots, so that several of them together still leave slots to the
+    /// healthy ones.
     pub(super) fn slot_cap(&self, destination: &DestinationQueue) -> usize {
         let slots = self.settings.slots as f64;
         if !self.is_unhealthy(destination) {
@@ -50,7 +51,7 @@
         ((slots * UNHEALTHY_SLOT_SHARE) as usize).saturating_sub(calls_of_others).max(1)
     }
 
-    /// Endpoints of a destination that a call may start to now.
+    /// Returns the endpoints of a destination to which a call may start now.
     pub(super) fn open_endpoints(&self, destination: &DestinationQueue) -> Vec<EndpointId> {
         let slot_free = self.calls.len() < self.settings.slots;
         if !slot_free || destination.calls >= self.slot_cap(destination) {
@@ -59,7 +60,7 @@
         destination.endpoints.iter().copied().filter(|id| self.endpoint_allows(*id)).collect()
     }
 
-    /// Whether a destination could send a message if a slot were free.
+    /// Returns whether a destination could send a message if a slot were free.
     pub(super) fn needs_only_a_slot(&self, destination: &DestinationQueue) -> bool {
         if destination.calls >= self.slot_cap(destination) {
             return false;
@@ -70,7 +71,7 @@
         })
     }
 
-    /// Whether a call to this endpoint may start now.
+    /// Returns whether a call to this endpoint may start now.
     fn endpoint_allows(&self, id: EndpointId) -> bool {
         let Some(endpoint) = self.endpoints.get(&id) else { return false };
         let Some(route) = self.routes.get(&endpoint.route) else { return false };
@@ -85,7 +86,7 @@
             && has_token
     }
 
-    /// Whether the circuit breaker, or a suspicion, lets a call go now.
+    /// Returns whether the circuit breaker and a suspicion, if any, allow a call now.
     fn breaker_allows(&self, endpoint: &EndpointRecord) -> bool {
         let has_token = endpoint.bucket.level >= 1.0;
         match endpoint.breaker {
@@ -100,7 +101,8 @@
         }
     }
 
-    /// Whether this message may go to this endpoint now, if a call may.
+    /// Returns whether this message may be sent to this endpoint now, provided that a call to the endpoint
+    /// may start.
     pub(super) fn message_allows(&self, id: MessageId, endpoint: EndpointId) -> bool {
         let Some(message) = self.messages.get(&id) else { return false };
         let Some(endpoint) = self.endpoints.get(&endpoint) else { return false };
@@ -114,13 +116,14 @@
             && self.ordering_allows(id, message)
     }
 
-    /// A retry is not held back by its key's pause: it is the attempt that the pause is for.
+    /// Returns whether the ordering key allows the message to be sent. The key's pause does not delay a
+    /// retry, because the pause protects the very message that is retried.
     fn ordering_allows(&self, id: MessageId, message: &PendingMessage) -> bool {
         let Some(key) = message.key.and_then(|key| self.ordering_keys.get(&key)) else { return true };
         key.is_next(id) && (message.attempts > 0 || self.now >= key.paused_until)
     }
 
-    /// Messages that a call to this endpoint carries at most.
+    /// Returns the maximum number of messages in a call to this endpoint.
     pub(super) fn max_batch(&self, endpoint: EndpointId) -> usize {
         let Some(endpoint) = self.endpoints.get(&endpoint) else { return 1 };
         self.settings.kinds.get(endpoint.kind).map_or(1, |kind| kind.max_batch.max(1))
--- a/src/logic/health.rs
+++ b/src/logic/health.rs
@@ -6,7 +6,7 @@
 use crate::state::*;
 
 impl Latency {
-    /// Takes in a sample, in seconds.
+    /// Updates the estimate with a sample, in seconds.
     pub(super) fn sample(&mut self, latency: f64) {
         if self.mean == 0.0 {
             self.mean = latency;
@@ -20,7 +20,7 @@
 }
 
 impl EndpointRecord {
-    /// Seconds without any answer after which a call counts as unanswered.
+    /// Returns the time in seconds without any response after which a call counts as unanswered.
     pub(super) fn answer_timeout_secs(&self) -> f64 {
         let expected = self.latency.mean + ANSWER_TIMEOUT_DEVIATIONS * self.latency.deviation;
         if expected > 0.0 {
@@ -30,23 +30,23 @@
         }
     }
 
-    /// Guards against endpoints that fail one class and serve the others, which keeps the breaker closed: the
-    /// class goes elsewhere while another endpoint takes it. The share decays, or the class would never be
-    /// tried again.
+    /// Records a lost call of this class. An endpoint that fails one class but serves the others keeps its
+    /// breaker closed; the loss share moves the class to another endpoint if one accepts it. The share
+    /// decays, because otherwise the class would never be tried here again.
     pub(super) fn record_class_loss(&mut self, class: usize) {
         let share = self.class_loss.entry(class).or_default();
         *share += FAILURE_GAIN * (1.0 - *share);
     }
 
-    /// Takes in a served call, its latency in seconds; true if it ends an outage.
+    /// Records a served call with its latency in seconds. Returns true if the call ends an outage.
     pub(super) fn record_served(&mut self, now: Nanos, sent_at: Nanos, latency: f64) -> bool {
         self.latency.sample(latency);
         self.consecutive_unanswered = 0;
         self.failure_share *= 1.0 - FAILURE_GAIN;
         self.suspected = false;
         let CircuitBreaker::Open { since, may_lose_calls, .. } = self.breaker else { return false };
-        // A call sent before the outage, or one that found a connection again: the endpoint was slow, not
-        // silent.
+        // The outage was a false alarm if it was short and either the served call was sent before it or its
+        // calls were only refused until a connection succeeded. The endpoint was slow rather than silent.
         let was_no_outage = (sent_at < since || !may_lose_calls) && (now - since).secs() < MIN_OUTAGE_SECS;
         if was_no_outage {
             self.breaker = CircuitBreaker::Closed;
@@ -54,13 +54,13 @@
         !was_no_outage
     }
 
-    /// Suspects it, with so many tokens for its next calls.
+    /// Marks the endpoint as suspected, with this number of tokens for its next calls.
     fn suspect(&mut self, now: Nanos, tokens: f64) {
         self.suspected = true;
         self.bucket = TokenBucket { level: tokens, refilled_at: now };
     }
 
-    /// It is slow, failing or in an outage.
+    /// Returns whether the endpoint is slow, failing or in an outage.
     pub(super) fn is_unhealthy(&self) -> bool {
         let slow = self.latency.mean > SLOW_FACTOR * self.latency.lowest_mean;
         self.listed && (self.breaker != CircuitBreaker::Closed || slow)
@@ -68,12 +68,12 @@
 }
 
 impl Balancer {
-    /// Guards against a lossy path: one lost call is no outage. Where the endpoint served before and did not
-    /// reject now, one more call may go at once and the others at the rate of a suspected endpoint; a second
-    /// unanswered one opens the breaker.
+    /// Records a failed call. A single lost call on a lossy path is not an outage: if the endpoint served
+    /// calls before and did not reject this one, one more call may start at once and further calls at the
+    /// rate of a suspected endpoint. A second unanswered call opens the breaker.
     pub(super) fn record_failure(&mut self, id: EndpointId, failure: Failure) {
-        // Both are drawn before any return, so that the sequence of random numbers does not depend on what is
-        // known.
+        // Both numbers are drawn before any return, so that the sequence of random numbers does not depend on
+        // the known endpoints.
         let draw = self.random.next();
         let first_trial = MIN_TRIAL_GAP_SECS * self.jitter();
         let now = self.now;
@@ -93,9 +93,9 @@
         self.update_breaker(id, failure, now + first_trial);
     }
 
-    /// Guards against overloading a returning destination: an outage mostly takes all endpoints of a route,
-    /// so those that have not answered lately are suspected too. May hurt where one of several is down: the
-    /// first call to another may wait.
+    /// Marks the route's other endpoints that have not answered lately as suspected, because an outage
+    /// usually affects all endpoints of a route and a returning destination must not be overloaded. The cost:
+    /// if only one of several endpoints is down, the first call to another may be delayed.
     fn suspect_route_endpoints(&mut self, id: EndpointId, draw: f64) {
         let Some(endpoint) = self.endpoints.get(&id) else { return };
         let route = endpoint.route;
@@ -128,9 +128,9 @@
         }
     }
 
-    /// Takes in a call that may have run and failed. Guards against idle connections that are dropped unseen:
-    /// where the call took one, the endpoint is only suspected, and the next call goes on a new connection;
-    /// that one's loss counts.
+    /// Records a call that may have run and failed. An idle connection may have been dropped without notice,
+    /// so if the call used an idle connection, the endpoint is only suspected and the next call uses a new
+    /// connection. The loss of a call on a new connection counts as unanswered.
     pub(super) fn record_lost_call(&mut self, attempt: &InFlight, unanswered: bool) {
         let on_idle_connection = unanswered && attempt.connection_idle_secs > IDLE_RISK_SECS;
         let failure = Failure { unanswered: unanswered && !on_idle_connection, may_lose_calls: true };
--- a/src/logic/observations.rs
+++ b/src/logic/observations.rs
@@ -1,17 +1,16 @@
-//! Observations exchanged with peers: what this module reports of its own experience, and what it makes of a
-//! peer's.
+//! The exchange of observations with peers: reports local observations and applies those of peers.
 //!
-//! A peer's observation has the effect that an own outcome would have had, and only where there is no younger
-//! own one. It frees nothing: an unknown endpoint counts as healthy, so a good observation can only make it a
-//! warming one, and the worst that a false one costs is one trial.
+//! A peer's observation has the same effect as a local outcome, and only if no newer local outcome exists. It
+//! never lifts a restriction: an unknown endpoint already counts as healthy, so a favourable observation can
+//! at most mark it as warming up, and a false one costs at most one trial.
 use super::tuning::{MIN_PEER_PACE, PEER_TRIAL_SPREAD_SECS};
 use super::Balancer;
 use crate::interface::*;
 use crate::state::*;
 
 impl Balancer {
-    /// What this module has seen itself, with its age. What it has from peers is not included, so that no
-    /// echo keeps an outdated observation alive.
+    /// Returns the local observations with their ages. Observations received from peers are not included,
+    /// because passing them on would keep outdated observations alive.
     pub fn observations(&self, now: Nanos) -> Vec<Observation> {
         let mut observations = Vec::new();
         for (id, endpoint) in &self.endpoints {
@@ -36,17 +35,18 @@
         observations
     }
 
-    /// Whether usual messages are kept from this endpoint by choice: calls fail there, and only trials go.
+    /// Returns whether regular messages are kept away from this endpoint because calls fail there and only
+    /// trials are sent.
     pub fn is_avoided(&self, endpoint: EndpointId) -> bool {
         self.endpoints
             .get(&endpoint)
             .is_some_and(|endpoint| matches!(endpoint.breaker, CircuitBreaker::Open { .. }))
     }
 
-    /// Takes in a peer's observation.
+    /// Applies a peer's observation.
     pub(super) fn apply_peer_observation(&mut self, observation: &Observation) {
-        // Drawn for every observation, so that the sequence of random numbers does not depend on what is
-        // known.
+        // Drawn for every observation, so that the sequence of random numbers does not depend on the known
+        // endpoints.
         let draw = self.random.next();
         let now = self.now;
         let Some(endpoint) = self.endpoints.get_mut(&observation.host) else { return };
@@ -57,7 +57,7 @@
             Finding::RateLimit { rate } if route.reduced_at < seen_at && rate.is_finite() => {
                 route.apply_peer_pace(now, rate)
             }
-            // Own experience wins over a peer's unless it is older.
+            // Local outcomes take precedence over a peer's observation unless they are older.
             _ if endpoint.local_outcome_at.is_some_and(|at| at >= seen_at) => {}
             Finding::Outage { since, risky } => endpoint.apply_peer_outage(now, since, risky, draw),
             Finding::Recovering { since } => {
@@ -74,9 +74,10 @@
 }
 
 impl EndpointRecord {
-    /// Notes an own outcome: from now on what is known here is own experience, whatever it was before.
+    /// Records a local outcome. The breaker's state counts as locally observed from now on; a capacity or
+    /// latency that came from a peer does so once the outcome replaces it.
     pub(super) fn record_local_outcome(&mut self, now: Nanos, outcome: Outcome) {
-        // These say nothing of the endpoint.
+        // These outcomes say nothing about the endpoint.
         if matches!(outcome, Outcome::Cancelled | Outcome::Skipped | Outcome::NotSent) {
             return;
         }
@@ -90,12 +91,12 @@
         }
         if self.latency_from_peer && matches!(outcome, Outcome::Ok | Outcome::Timeout) {
             self.latency_from_peer = false;
-            // The sample that follows is the first.
+            // Makes the sample that follows the first one.
             self.latency.mean = 0.0;
         }
     }
 
-    /// What own experience says of its health, and when it was seen.
+    /// Returns the locally observed health of the endpoint and the time of the observation.
     fn local_health(&self, now: Nanos, local_outcome_at: Nanos) -> Option<(Finding, Nanos)> {
         match self.breaker {
             CircuitBreaker::Open { since, may_lose_calls, .. } if !self.breaker_from_peer => {
@@ -114,7 +115,7 @@
         }
     }
 
-    /// A peer met an outage: only trials go, the first one soon and at a random moment.
+    /// Applies an outage reported by a peer: only trials are sent, the first one soon and at a random time.
     fn apply_peer_outage(&mut self, now: Nanos, since: Nanos, may_lose_calls: bool, draw: f64) {
         if matches!(self.breaker, CircuitBreaker::Open { .. }) {
             return;
@@ -128,10 +129,11 @@
         self.breaker_from_peer = true;
     }
 
-    /// A peer was served again after an outage.
+    /// Applies a recovery reported by a peer.
     fn apply_peer_recovery(&mut self, now: Nanos, since: Nanos, warm_up: Nanos, draw: f64) {
         match &mut self.breaker {
-            // A trial of its own shows whether it is so: soon, and not at the same time as all others.
+            // A local trial must confirm the recovery. It is scheduled soon, but at a random time, so that
+            // forwarders do not all try at once.
             CircuitBreaker::Open { next_trial, .. } => {
                 *next_trial = (*next_trial).min(now + PEER_TRIAL_SPREAD_SECS * draw);
             }
@@ -140,7 +142,7 @@
                 self.bucket = TokenBucket { level: draw, refilled_at: now };
                 self.breaker_from_peer = true;
             }
-            // Where peers disagree on the moment, the later one is the safe one.
+            // If peers report different start times, the later one is the safe choice.
             CircuitBreaker::SlowStart { since: at } if self.breaker_from_peer => {
                 *at = (*at).max(now - since);
             }
@@ -148,7 +150,7 @@
         }
     }
 
-    /// Takes in the latency that a peer measured, where none is known.
+    /// Adopts the latency that a peer measured if no local latency is known.
     fn apply_peer_latency(&mut self, mean: f64, deviation: f64) {
         let sensible = mean.is_finite() && deviation.is_finite() && mean > 0.0 && deviation >= 0.0;
         if self.latency.mean == 0.0 && sensible {
@@ -159,7 +161,7 @@
 }
 
 impl Route {
-    /// Takes over the pace of a peer, where the own one is free.
+    /// Adopts the pace of a peer if the route is not paced here.
     fn apply_peer_pace(&mut self, now: Nanos, rate: f64) {
         if self.pace.is_some() {
             return;
--- a/src/logic/observations/tests.rs
+++ b/src/logic/observations/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the exchange of observations with peers.
+//! Tests the exchange of observations with peers.
 use super::*;
 
 const ENDPOINT: EndpointId = EndpointId(1);
@@ -12,12 +12,12 @@
     Nanos::from_secs(secs)
 }
 
-/// A module with one endpoint, and what it sent.
+/// A decision module with one endpoint, and the sends that it made.
 struct Forwarder {
     module: Balancer,
     next_id: u64,
     sent: Vec<(Nanos, MessageId)>,
-    /// How many of them have an outcome.
+    /// Number of sends that already have an outcome.
     ended: usize,
 }
 
@@ -75,7 +75,8 @@
         self.next_id += count;
         self.handle_events(now, events);
     }
-    /// Lets time pass; each call ends after a tenth of a second. Returns how many were sent.
+    /// Advances time from `from` to `to` in steps of 50 ms. Each call ends with `outcome` after 100 ms.
+    /// Returns the number of sends.
     fn run(&mut self, from: f64, to: f64, outcome: Outcome) -> usize {
         let before = self.sent.len();
         for step in 0..((to - from) * 20.0) as u64 {
@@ -101,7 +102,7 @@
     }
 }
 
-/// Age of the outage in the tests, in seconds.
+/// Duration in seconds of the reported outage.
 const OUTAGE_SECS: f64 = 20.0;
 
 fn outage() -> Finding {
@@ -115,7 +116,7 @@
     for forwarder in [&mut uninformed, &mut informed] {
         forwarder.submit(at(0.2), 8);
     }
-    assert!(uninformed.sent.len() > 1, "without an observation it counts as healthy");
+    assert!(uninformed.sent.len() > 1, "an endpoint without observations counts as healthy");
     assert!(informed.sent.len() <= 1, "{:?}", informed.sent);
     informed.run(0.2, 3.0, Outcome::Reset);
     let trials = informed.sent.len();
@@ -128,7 +129,7 @@
     informed.observe(at(0.1), outage(), 0.2);
     informed.submit(at(0.2), 40);
     informed.run(0.2, 20.0, Outcome::Ok);
-    assert_eq!(informed.sent.len(), 40, "all are delivered in time");
+    assert_eq!(informed.sent.len(), 40, "all messages are delivered in time");
     assert!(informed.sent[0].0 <= at(0.1 + PEER_TRIAL_SPREAD_SECS + 0.1));
 }
 
@@ -162,7 +163,7 @@
 
 #[test]
 fn a_favourable_peer_observation_lifts_no_restriction() {
-    // The peer saw it healthy before it failed, or saw it return: neither closes the breaker.
+    // An observation from before the outage and one of a recovery: neither closes the breaker.
     let mut forwarder = Forwarder::new();
     forwarder.observe(at(0.0), outage(), 0.0);
     forwarder.observe(at(0.1), Finding::Healthy { mean: 0.1, dev: 0.01 }, 0.0);
@@ -170,14 +171,14 @@
     forwarder.submit(at(0.3), 8);
     let trials = forwarder.run(0.3, 2.4, Outcome::Reset);
     assert!(trials <= 2, "{trials}");
-    // To a forwarder that knows nothing it means that the endpoint is warming up.
+    // Without other information, a recovery means that the endpoint is warming up.
     let mut uninformed = Forwarder::new();
     uninformed.observe(at(0.0), Finding::Recovering { since: span(0.5) }, 0.1);
     uninformed.submit(at(0.1), 100);
     let sent = uninformed.run(0.1, 1.1, Outcome::Ok);
     let mut healthy = Forwarder::new();
     healthy.submit(at(0.1), 100);
-    assert!(sent < healthy.run(0.1, 1.1, Outcome::Ok) / 2, "{sent} in its first second");
+    assert!(sent < healthy.run(0.1, 1.1, Outcome::Ok) / 2, "{sent} sends in the first second");
 }
 
 #[test]
@@ -188,16 +189,16 @@
     forwarder.observe(at(0.0), Finding::RateLimit { rate: 3.0 }, 0.0);
     forwarder.observe(at(0.0), Finding::ConnectionCapacity { calls: 2.0 }, 0.0);
     assert!(forwarder.module.observations(at(0.1)).is_empty());
-    // Its own trial makes an outage its own experience, which began with the trial and not before.
+    // A failed local trial makes the outage a local observation that begins with the trial, not earlier.
     forwarder.submit(at(0.1), 4);
     forwarder.run(0.1, 9.0, Outcome::Reset);
     let known = forwarder.module.observations(at(9.0));
-    let outage = known.iter().find_map(|h| match h.finding {
+    let outage = known.iter().find_map(|observation| match observation.finding {
         Finding::Outage { since, .. } => Some(since),
         _ => None,
     });
     assert!(outage.is_some_and(|since| since < span(9.0)), "{known:?}");
-    assert!(known.iter().all(|h| !matches!(h.finding, Finding::RetryAfter { .. })));
+    assert!(known.iter().all(|observation| !matches!(observation.finding, Finding::RetryAfter { .. })));
 }
 
 #[test]
--- a/src/logic/outcomes.rs
+++ b/src/logic/outcomes.rs
@@ -1,11 +1,11 @@
-//! Outcomes of attempts: what they mean for the message, and what they say of its endpoint and route.
+//! Outcomes of attempts: their consequences for the message, its endpoint and its route.
 use super::tuning::*;
 use super::Balancer;
 use crate::interface::*;
 use crate::state::*;
 
 impl Balancer {
-    /// Takes in the outcome of an attempt; one that is not in flight is ignored.
+    /// Processes the outcome of an attempt. The outcome of an attempt that is not in flight is ignored.
     pub(super) fn attempt_ended(&mut self, ended: &AttemptEnded) {
         let Some(message) = self.messages.get_mut(&ended.id) else { return };
         let Some(attempt) = message.in_flight.take() else { return };
@@ -20,7 +20,7 @@
         self.unblock_next(key);
     }
 
-    /// Counts the attempt, and notes if it may have run.
+    /// Records whether the attempt may have run, and takes back the count of an attempt that was not sent.
     fn record_attempt(&mut self, ended: &AttemptEnded, attempt: &InFlight) {
         let Some(message) = self.messages.get_mut(&ended.id) else { return };
         if !ended.outcome.never_ran() && message.first_run.is_none() {
@@ -32,7 +32,8 @@
         }
     }
 
-    /// The key pauses where the attempt may still run, so that the next message cannot overtake it.
+    /// Releases the ordering key. If the attempt may still run, the key pauses, so that the next message
+    /// cannot overtake it.
     fn release_ordering_key(&mut self, key: Option<u64>, outcome: Outcome) {
         let Some(ordering_key) = key.and_then(|key| self.ordering_keys.get_mut(&key)) else { return };
         ordering_key.in_flight = ordering_key.in_flight.saturating_sub(1);
@@ -42,14 +43,14 @@
         }
     }
 
-    /// Whether another attempt is left and allowed.
+    /// Returns whether another attempt is left and allowed.
     fn may_be_retried(&self, id: MessageId) -> bool {
         let Some(message) = self.messages.get(&id) else { return false };
         let class = &self.settings.classes[message.class];
         message.attempts < self.settings.max_attempts && message.may_retry(class, self.now, None)
     }
 
-    /// Frees the call's slot once all of its messages have their outcomes.
+    /// Frees the slot of the call once all messages of the call have their outcomes.
     fn release_call(&mut self, attempt: &InFlight, dest: DestinationId) {
         let left = self.calls.entry(attempt.call).or_insert(1);
         *left -= 1;
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Ends the message, or puts it back among the pending ones.
+    /// Finishes the message, or adds it to the pending messages again.
     fn finish_or_requeue(&mut self, ended: &AttemptEnded, may_retry: bool) {
         let answered = self.messages.get(&ended.id).is_some_and(|message| message.answered);
         if answered {
@@ -80,9 +81,10 @@
         }
     }
 
-    /// Takes in what an outcome says of its endpoint and route.
+    /// Updates the endpoint and the route according to the outcome.
     fn record_outcome(&mut self, ended: &AttemptEnded, attempt: &InFlight) {
-        // Drawn for every outcome, so that the sequence of random numbers does not depend on what is known.
+        // Drawn for every outcome, so that the sequence of random numbers does not depend on the known
+        // endpoints.
         let draw = self.random.next();
         let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) else { return };
         endpoint.record_local_outcome(self.now, ended.outcome);
@@ -100,12 +102,13 @@
             Outcome::ConnectionLimit => self.record_connection_limit(attempt.endpoint, draw),
             Outcome::ConnectFailed => self.record_connect_failure(ended, attempt.endpoint),
             Outcome::Timeout | Outcome::Error | Outcome::Reset => self.record_failed_call(ended, attempt),
-            // All endpoints give unreadable answers alike: no reason to open a breaker.
+            // A response that cannot be parsed is the same from every endpoint of the destination, so it is
+            // no reason to open a breaker.
             Outcome::Cancelled | Outcome::UnreadableAnswer | Outcome::Skipped | Outcome::NotSent => {}
         }
     }
 
-    /// A served call: it ends an outage, raises pace and capacity.
+    /// Records a served call: it ends an outage and raises the pace and the capacity.
     fn record_served_call(&mut self, ended: &AttemptEnded, attempt: &InFlight, draw: f64) {
         self.update_idle_limit(attempt);
         let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) else { return };
@@ -117,13 +120,13 @@
         endpoint.raise_capacity(self.settings.slots);
         if endpoint.record_served(self.now, attempt.sent_at, ended.took.secs()) {
             endpoint.start_slow_start(self.now, draw);
-            self.log("half-open: served, slow start", Some(attempt.endpoint));
+            self.log("trial call served, slow start begins", Some(attempt.endpoint));
         }
         self.destination(dest).served_since_review += 1;
     }
 
-    /// A rejected call: it reduces the pace; with a long Retry-After, or below the limit, it counts as an
-    /// outage.
+    /// Records a rejected call: it reduces the pace. It counts as an outage if its Retry-After is long or if
+    /// the limit was not reached.
     fn record_rejected_call(
         &mut self, ended: &AttemptEnded, attempt: &InFlight, wait: Option<Nanos>, draw: f64,
     ) {
@@ -134,17 +137,18 @@
         let rejection = super::pacing::Rejection { sent_at: attempt.sent_at, wait, demand, draw };
         let pace_reduced = route.record_rejected(&self.settings, self.now, &rejection);
         let opens_at = route.retry_after_until;
-        // A wait as long as an outage is one, and all who wait hear of the same end: slow start keeps them
-        // from overloading the destination then.
+        // A wait as long as an outage is treated as one. All forwarders that wait receive the same end time,
+        // so slow start is needed to keep them from overloading the destination when it ends.
         if wait.is_some_and(|wait| wait.secs() >= MIN_OUTAGE_SECS) {
             for endpoint in self.endpoints.values_mut().filter(|endpoint| endpoint.route == key) {
                 endpoint.start_slow_start(opens_at, draw);
             }
         }
         if pace_reduced {
-            self.log("pace cut", Some(attempt.endpoint));
+            self.log("pace reduced after a rejection", Some(attempt.endpoint));
         }
-        // Rejected, though not at its limit: its queue is full or it is shut, and it may return cold.
+        // A call that was rejected below the limit met a full queue or a closed endpoint, which may return
+        // with reduced capacity.
         let below_limit =
             ended.report.is_none_or(|report| report.limit <= 0.0 || report.left > LIMIT_NOT_REACHED_SHARE);
         if wait.is_none() && below_limit {
@@ -152,9 +156,10 @@
         }
     }
 
-    /// Guards against taking a full table of connections for a limit or an outage: only as many calls at once
-    /// go there as it takes. Also guards the table against forwarders that keep asking for a place. May hurt
-    /// where another forwarder closes its connections: the capacity grows bit by bit.
+    /// Records that the endpoint's connection table is full. The forwarder then sends only as many concurrent
+    /// calls as the endpoint accepts, so that a full table is not mistaken for a rate limit or an outage, and
+    /// waits before it tries again, so that forwarders do not keep retrying for a place. The cost: if another
+    /// forwarder closes its connections, the estimated capacity rises only gradually.
     fn record_connection_limit(&mut self, id: EndpointId, draw: f64) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         endpoint.capacity = Some(f64::from(endpoint.calls.max(1)));
@@ -168,16 +173,18 @@
         }
     }
 
-    /// A connection that could not be made: a full endpoint, or one that does not answer.
+    /// Records a failed connection attempt: the endpoint's connection table is full, or the endpoint does not
+    /// respond.
     fn record_connect_failure(&mut self, ended: &AttemptEnded, id: EndpointId) {
         let Some(endpoint) = self.endpoints.get(&id) else { return };
         self.connection_limited.insert(endpoint.kind);
-        // Refused at once its table of connections may be full; unanswered it is as silent as any.
+        // An immediate refusal can come from a full connection table. A slow failure means that the endpoint
+        // is silent, and calls may be lost there.
         let may_lose_calls = ended.took.secs() > MIN_ANSWER_TIMEOUT_SECS;
         self.record_failure(id, Failure { unanswered: true, may_lose_calls });
     }
 
-    /// A call that may have run and failed.
+    /// Records a call that may have run and failed.
     fn record_failed_call(&mut self, ended: &AttemptEnded, attempt: &InFlight) {
         let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) else { return };
         endpoint.failure_share += FAILURE_GAIN * (1.0 - endpoint.failure_share);
@@ -194,11 +201,11 @@
     }
 }
 
-/// A failed call, as far as the circuit breaker is concerned.
+/// The properties of a failed call that matter to the circuit breaker.
 #[derive(Clone, Copy)]
 pub(super) struct Failure {
-    /// No answer came.
+    /// No response was received.
     pub unanswered: bool,
-    /// Calls may be swallowed or half done there, not just rejected.
+    /// Calls may disappear or be processed in part rather than be rejected.
     pub may_lose_calls: bool,
 }
--- a/src/logic/pacing.rs
+++ b/src/logic/pacing.rs
@@ -1,29 +1,29 @@
-//! Pace of a route: reduced by rejections, raised while calls succeed, and Retry-After.
+//! The pace of a route: reduced by rejections and raised while calls succeed. Also records Retry-After waits.
 use super::tuning::*;
 use super::Balancer;
 use crate::interface::*;
 use crate::state::*;
 
-/// A call that was rejected.
+/// A rejected call.
 pub(super) struct Rejection {
-    /// When it was sent.
+    /// Send time of the call.
     pub sent_at: Nanos,
-    /// Its Retry-After.
+    /// Retry-After of the rejection, if any.
     pub wait: Option<Nanos>,
-    /// Demand for its destination, in messages a second.
+    /// Demand for the destination, in messages per second.
     pub demand: f64,
     /// Random number from 0 to 1.
     pub draw: f64,
 }
 
-/// An even part of a route's limit over all forwarders, and what follows from it.
+/// An equal share of a route's limit for each forwarder, and the bounds derived from it.
 struct EvenShare {
-    /// Calls a second; zero where no limit is known.
+    /// Calls per second; zero if no limit is known.
     rate: f64,
 }
 
 impl EvenShare {
-    /// Lowest pace in calls a second.
+    /// Returns the lowest pace, in calls per second.
     fn lowest_pace(&self) -> f64 {
         if self.rate > 0.0 {
             (self.rate * MIN_PACE_SHARE).max(1.0 / MAX_CALL_GAP_SECS)
@@ -32,7 +32,7 @@
         }
     }
 
-    /// First backoff in seconds.
+    /// Returns the first backoff, in seconds.
     fn first_backoff(&self, settings: &Settings) -> f64 {
         let call_gap = if settings.limits_reported && self.rate <= 0.0 { 0.0 } else { 1.0 / self.rate };
         let objective_share = if self.rate > 0.0 { 1.0 } else { OBJECTIVE_WAIT_SHARE };
@@ -52,15 +52,17 @@
         }
     }
 
-    /// The part of the reported or else the listed limit that is left for this forwarder.
+    /// Returns this forwarder's equal share of the reported limit, or of the listed limit if none is
+    /// reported.
     fn even_share(&self, settings: &Settings) -> EvenShare {
         let limit = if self.reported_limit > 0.0 { self.reported_limit } else { self.listed_limit };
         EvenShare { rate: limit / settings.forwarders.max(1) as f64 }
     }
 
-    /// Takes in a rejection; true if the pace was reduced, which a call sent before the last reduction does
-    /// not do. Guards against a jam that feeds itself, since rejected calls may use up the limit too: each
-    /// further one halves the pace, until all forwarders together ask for a part of the limit.
+    /// Records a rejection. Returns true if the pace was reduced; the rejection of a call that was sent
+    /// before the last reduction does not reduce it again. Rejected calls may use up the limit too, so an
+    /// unchanged pace could sustain the overload. Each further rejection therefore halves the pace, until the
+    /// demand of all forwarders together is only a part of the limit.
     pub(super) fn record_rejected(&mut self, settings: &Settings, now: Nanos, rejection: &Rejection) -> bool {
         self.record_retry_after(now, rejection.wait.unwrap_or_default());
         if rejection.sent_at < self.reduced_at {
@@ -69,7 +71,7 @@
         let even_share = self.even_share(settings);
         let lowest = even_share.lowest_pace();
         let rate = self.rate_at_rejection(&even_share, rejection.demand);
-        // Consecutive rejections say no more of the level.
+        // Only the first of several consecutive rejections shows at which rate calls are rejected.
         if self.rejections == 0 {
             self.rejected_rate = if rate < self.rejected_rate * LOWER_REJECTION_FACTOR {
                 rate * LOWER_REJECTION_FACTOR
@@ -86,23 +88,24 @@
         true
     }
 
-    /// The rate that was too much: the pace or the even share, but no less than what was served, as far as
-    /// few samples tell.
+    /// Returns the rate that was too high: the lower of the pace and the expected rate, but no less than the
+    /// number of calls served in the last second minus its statistical error. The expected rate is the larger
+    /// of the equal share and the demand, or the served rate if no limit is known.
     fn rate_at_rejection(&self, even_share: &EvenShare, demand: f64) -> f64 {
         let served = self.served.len() as f64;
         let expected = if even_share.rate > 0.0 { even_share.rate.max(demand) } else { served };
         self.pace.unwrap_or(f64::INFINITY).min(expected).max(served - served.sqrt())
     }
 
-    /// All that received a Retry-After hear of the same end; the random part keeps them from returning at
-    /// once.
+    /// Sets the backoff after a rejection. All forwarders that received a Retry-After receive the same end
+    /// time, and the random part keeps them from returning at the same moment.
     fn back_off(&mut self, first: f64, pace: f64, draw: f64) {
         let doublings = self.rejections.min(MAX_BACKOFF_DOUBLINGS) as i32 - 1;
         let backoff = (first * 2f64.powi(doublings)).min(MAX_TRIAL_GAP_SECS.max(1.0 / pace));
         self.backoff_until = self.retry_after_until + backoff * (JITTER + draw);
     }
 
-    /// Sets a lower pace, with a token for one call at most.
+    /// Sets a lower pace, and leaves tokens for at most one call.
     fn reduce_pace(&mut self, now: Nanos, pace: f64) {
         self.pace = Some(pace);
         self.reduced_pace = pace;
@@ -112,8 +115,8 @@
         self.pace_from_peer = false;
     }
 
-    /// Takes in a served call. The pace follows a cubic curve: soon back near the rate that was rejected,
-    /// slow past it, fast far beyond it, since limits fall for a while only.
+    /// Records a served call. The pace follows a cubic curve: it returns quickly to near the rejected rate,
+    /// rises slowly around it and fast far above it, because a lowered limit is usually temporary.
     pub(super) fn record_served(&mut self, now: Nanos) {
         self.refill(now);
         self.served.push_back(now);
@@ -131,7 +134,7 @@
 }
 
 impl Balancer {
-    /// Takes in a Retry-After that came apart from an attempt's outcome.
+    /// Records a Retry-After that was received independently of an attempt's outcome.
     pub(super) fn record_retry_after(&mut self, endpoint: EndpointId, dest: DestinationId, wait: Nanos) {
         let route = self.endpoints.get(&endpoint).map_or((dest, None), |endpoint| endpoint.route);
         self.routes.entry(route).or_default().record_retry_after(self.now, wait);
--- a/src/logic/promotion.rs
+++ b/src/logic/promotion.rs
@@ -1,27 +1,29 @@
-//! Promotion into the ready queue (LexAS of the paper).
+//! Promotion of messages into the ready queue (LexAS of the paper).
 use super::tuning::*;
 use super::Balancer;
 use crate::interface::*;
 use crate::state::*;
 
-/// An active destination in a round of promotion.
+/// The share of an active destination in a round of promotion.
 struct Share {
     /// The destination.
     dest: DestinationId,
-    /// w of the design: its part of the listed rates of all.
+    /// w of the design: weight of the destination, its fraction of the listed rates of all active
+    /// destinations.
     weight: f64,
-    /// Messages that it could send now.
+    /// Number of messages that the destination could send now.
     sendable: usize,
 }
 
 impl Balancer {
-    /// Promotes messages until the ready queue is full, the least promoted destinations first.
+    /// Promotes messages until the ready queue is full, from the least promoted destinations first.
     pub(super) fn promote(&mut self) {
         let destinations = &self.destinations;
         self.active.retain(|dest| destinations.get(dest).is_some_and(DestinationQueue::is_active));
         self.refill_tokens();
         let mut shares = self.shares();
-        // L: one refill of every slot, so a newly active flow waits for one turn at most.
+        // L of the design: the ready queue holds one message per slot, so a newly active flow waits for at
+        // most one round of all slots.
         let length = self.settings.slots.max(1) as f64;
         let unit = length * shares.len() as f64;
         self.raise_lagging(&shares, LEXAS_MIN * unit);
@@ -48,7 +50,7 @@
         }
     }
 
-    /// The active destinations with their weights and what they could send.
+    /// Returns the active destinations with their weights and the number of messages that each could send.
     fn shares(&self) -> Vec<Share> {
         let share = |(dest, queue): (&DestinationId, &DestinationQueue)| Share {
             dest: *dest,
@@ -63,7 +65,8 @@
         shares
     }
 
-    /// T of the design: the listed agreed rate of a destination, else the same for all.
+    /// T of the design: returns the listed agreed rate of a destination, or 1 for each destination without
+    /// listed rates.
     fn listed_rate(&self, destination: &DestinationQueue) -> f64 {
         if self.settings.listed_rates == ListedRates::Absent {
             return 1.0;
@@ -81,7 +84,7 @@
         }
     }
 
-    /// Messages of a destination that could be sent now.
+    /// Returns the number of messages of a destination that could be sent now.
     fn sendable(&self, destination: &DestinationQueue) -> usize {
         let endpoints = self.open_endpoints(destination);
         if endpoints.is_empty() {
@@ -93,12 +96,13 @@
         destination.pending.unblocked().filter(allowed).take(calls * max_batch).count()
     }
 
-    /// η of the design for each destination.
+    /// Returns η of the design (promoted messages divided by weight) for each destination.
     fn etas(&self, shares: &[Share]) -> Vec<f64> {
         shares.iter().map(|share| self.destinations[&share.dest].promoted / share.weight).collect()
     }
 
-    /// Tmin: lagging active flows are raised, so that no flow is starved for what others did not use.
+    /// Tmin of the design: raises the counters of lagging active flows, so that a flow that did not use its
+    /// share earlier does not starve the others.
     fn raise_lagging(&mut self, shares: &[Share], lexas_min: f64) {
         let etas = self.etas(shares);
         let highest = etas.iter().copied().fold(0.0, f64::max);
@@ -110,8 +114,8 @@
         }
     }
 
-    /// Takes back places in the ready queue that have become more than a destination can send. Returns the
-    /// length of the ready queue.
+    /// Withdraws places in the ready queue beyond what a destination can send now. Returns the length of the
+    /// ready queue.
     fn demote(&mut self, shares: &[Share]) -> usize {
         let now = self.now;
         let mut ready = 0;
@@ -142,9 +146,9 @@
         }
     }
 
-    /// The destination with the smallest η that has a further message to send and, unless the cap is waived,
-    /// an η of at most Tmax: the largest T that keeps the sum of (T - η) over flows at or below it under
-    /// LexASmax.
+    /// Returns the destination with the smallest η that has a further message to send and, unless the cap is
+    /// waived, whose η is at most Tmax: the largest T that keeps the sum of (T - η) over the flows with η ≤ T
+    /// under LexASmax.
     fn next_promotion(&self, shares: &[Share], cap_waived: bool, lexas_max: f64) -> Option<DestinationId> {
         let etas = self.etas(shares);
         let deficit = |t: f64| etas.iter().map(|eta| (t - eta).max(0.0)).sum::<f64>();
@@ -160,7 +164,7 @@
 }
 
 impl DestinationQueue {
-    /// It has a message pending or in flight.
+    /// Returns whether the destination has a message pending or in flight.
     fn is_active(&self) -> bool {
         !self.pending.is_empty() || self.calls > 0
     }
--- a/src/logic/repeats.rs
+++ b/src/logic/repeats.rs
@@ -1,10 +1,11 @@
-//! Which messages may be rejected or sent again without a duplicate effect.
+//! Decides which messages may be rejected or sent again without a duplicate effect.
 use super::tuning::WINDOW_SHARE;
 use crate::interface::*;
 use crate::state::*;
 
 impl PendingMessage {
-    /// Whether a rejection is safe: it promises the client that submitting the message again does no harm.
+    /// Returns whether a rejection is safe. A rejection promises the client that submitting the message again
+    /// does no harm.
     pub(super) fn may_reject(&self, class: &Class) -> bool {
         let safe = match class.effect {
             Effect::Idempotent => true,
@@ -16,7 +17,8 @@
         safe && self.in_flight.is_none()
     }
 
-    /// Whether a further attempt is allowed, at an endpoint of this zone or, without one, at any.
+    /// Returns whether a further attempt is allowed, at an endpoint of this zone or, if `zone` is `None`, at
+    /// any endpoint.
     pub(super) fn may_retry(&self, class: &Class, now: Nanos, zone: Option<usize>) -> bool {
         let Some(first_run) = self.first_run else { return true };
         match class.effect {
--- a/src/logic/shedding.rs
+++ b/src/logic/shedding.rs
@@ -1,4 +1,4 @@
-//! Load shedding: which pending messages are rejected when there are too many.
+//! Load shedding: selects the pending messages to reject when there are too many.
 use super::tuning::PENDING_RESERVE;
 use super::Balancer;
 use crate::interface::*;
@@ -10,20 +10,20 @@
 struct Candidate {
     /// The message.
     id: MessageId,
-    /// What rejecting it costs, in points.
+    /// Cost of its rejection, in points.
     cost: f64,
-    /// Seconds until its turn would come: the advice that goes with the rejection.
+    /// Time in seconds until the message would be sent; used as the Retry-After of the rejection.
     wait: f64,
 }
 
 impl Balancer {
-    /// Rejects the messages that are worth least when their turn would come, before the pending limit is
-    /// reached.
+    /// Rejects messages before the pending limit is reached, beginning with those that would have the least
+    /// value when they could be sent.
     pub(super) fn shed_load(&mut self) {
         let limit = self.settings.max_pending;
         let reserve = ((limit as f64 * PENDING_RESERVE) as usize).max(1);
         let target = limit.saturating_sub(reserve).max(1);
-        // Kept over the loop, since only the destination that gave one up changes.
+        // Kept across iterations, because only the destination of the shed message changes.
         let mut candidates: BTreeMap<DestinationId, Option<Candidate>> = BTreeMap::new();
         while self.open_messages > target {
             if candidates.is_empty() {
@@ -33,19 +33,20 @@
             let cheapest = known.min_by(|a, b| a.1.cost.total_cmp(&b.1.cost));
             let Some((dest, candidate)) = cheapest else { return };
             self.give_up(candidate.id, candidate.wait);
-            self.log("shedding: hold is full", None);
+            self.log("load shedding: message rejected, too many messages pending", None);
             let next = self.destinations.get(&dest).and_then(|queue| self.shed_candidate(queue));
             candidates.insert(dest, next);
         }
     }
 
-    /// The cheapest message of each active destination.
+    /// Returns the cheapest message to reject of each active destination.
     fn shed_candidates(&self) -> BTreeMap<DestinationId, Option<Candidate>> {
         self.active_destinations().map(|(dest, queue)| (*dest, self.shed_candidate(queue))).collect()
     }
 
-    /// The message of a destination that costs least to reject. Within a group it is the one with the least
-    /// time left, and all or none of them may be rejected, so the extremes of the groups suffice.
+    /// Returns the message of a destination with the lowest cost of rejection. In a group, the message with
+    /// the least time left is the cheapest, and either all or none may be rejected, so the extremes of each
+    /// group suffice.
     fn shed_candidate(&self, queue: &DestinationQueue) -> Option<Candidate> {
         let wait = queue.backlog_secs();
         let at = self.now + wait;
--- a/src/logic/timers.rs
+++ b/src/logic/timers.rs
@@ -1,10 +1,11 @@
-//! The timer: when the next round is needed at the latest.
+//! The timer: requests a wake-up for the next round.
 use super::Balancer;
 use crate::interface::*;
 use crate::state::*;
 
 impl Balancer {
-    /// Asks for a wake-up at the earliest time at which a decision may change, unless one is due before.
+    /// Requests a wake-up at the earliest time at which a decision may change, unless an earlier one is
+    /// already requested.
     pub(super) fn arm_timer(&mut self) {
         let mut earliest = Earliest { after: self.now, time: None };
         self.add_regular_times(&mut earliest);
@@ -18,7 +19,8 @@
         }
     }
 
-    /// Endpoint list, review, deadlines of pending messages, idle connections.
+    /// Adds the times of the endpoint list request, the review, the deadlines of pending messages and the
+    /// idle connections.
     fn add_regular_times(&self, earliest: &mut Earliest) {
         earliest.extend(self.watch_at);
         if self.open_messages > 0 {
@@ -32,7 +34,7 @@
         }
     }
 
-    /// Deadlines and answer time-outs of attempts in flight.
+    /// Adds the deadlines and answer timeouts of attempts in flight.
     fn add_attempt_times(&self, earliest: &mut Earliest) {
         for message in self.in_flight.iter().filter_map(|id| self.messages.get(id)) {
             let Some(attempt) = message.in_flight else { continue };
@@ -43,7 +45,7 @@
         }
     }
 
-    /// When waits, trials, tokens and pauses allow the next send.
+    /// Adds the times at which waits, trials, tokens and pauses allow the next send.
     fn add_send_times(&self, earliest: &mut Earliest) {
         for (_, destination) in self.active_destinations().filter(|(_, queue)| !queue.pending.is_empty()) {
             for endpoint in destination.endpoints.iter().filter_map(|id| self.endpoints.get(id)) {
@@ -59,11 +61,11 @@
     }
 }
 
-/// The earliest of several times that are still to come.
+/// The earliest of several future times.
 struct Earliest {
-    /// Times up to this one are past.
+    /// Times up to this one are in the past and ignored.
     after: Nanos,
-    /// The earliest time added.
+    /// The earliest time added so far.
     time: Option<Nanos>,
 }
 
--- a/src/logic/value.rs
+++ b/src/logic/value.rs
@@ -1,30 +1,30 @@
-//! What a message is worth to deliver, and what it costs to give it up.
+//! The value of delivering a message and the cost of rejecting it.
 use super::tuning::*;
 use super::Balancer;
 use crate::interface::*;
 use crate::state::*;
 
 impl Settings {
-    /// The shortest latency objective of all classes, in seconds.
+    /// Returns the shortest latency objective of all classes, in seconds.
     pub(super) fn shortest_objective_secs(&self) -> f64 {
         self.classes.iter().map(|class| class.latency_objective.secs()).fold(f64::INFINITY, f64::min)
     }
 }
 
 impl DestinationQueue {
-    /// Seconds that the pending messages take at the rate served lately.
+    /// Returns the time in seconds that the pending messages take at the recent rate of served messages.
     pub(super) fn backlog_secs(&self) -> f64 {
         (self.pending.len() as f64 / self.served_rate.max(MIN_PACE)).clamp(1.0, MAX_BACKLOG_SECS)
     }
 }
 
 impl Balancer {
-    /// Value of a message if delivered at this time.
+    /// Returns the value of a message if it is delivered at this time.
     pub(super) fn value(&self, id: &MessageId, at: Nanos) -> f64 {
         self.messages[id].value(self.class_of(id), self.settings.value_decay, at)
     }
 
-    /// What rejecting a message now costs beside its value.
+    /// Returns the cost of rejecting a message now, in addition to its lost value.
     pub(super) fn early_reject_cost(&self, id: &MessageId) -> f64 {
         let message = &self.messages[id];
         let class = self.class_of(id);
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! Records of the decision module and their arithmetic. No decision is taken here; see `logic.rs`.
+//! Records of the decision module and their arithmetic. The decisions are made in `logic.rs`.
 #![warn(missing_docs)]
 
 mod bisection;
--- a/src/state/destination.rs
+++ b/src/state/destination.rs
@@ -1,48 +1,51 @@
-//! A destination: its pending messages, its share of promotions (LexAS) and of slots (ARR).
+//! A destination with its pending messages, its share of promotions (LexAS) and its share of slots (ARR).
 use super::pending_index::PendingIndex;
 use crate::interface::*;
 
-/// A flow of the design: the pending messages of a destination and the counts that decide its turn.
+/// A flow of the design: the pending messages of a destination and the counters that decide when it is
+/// served.
 #[derive(Default)]
 pub(crate) struct DestinationQueue {
     /// Messages that are not in flight.
     pub pending: PendingIndex,
-    /// Its endpoints.
+    /// Endpoints of the destination.
     pub endpoints: Vec<EndpointId>,
-    /// Places in the ready queue. Which message takes one is decided when a slot is free.
+    /// Number of places in the ready queue. The message for a place is chosen when a slot becomes free.
     pub ready: usize,
-    /// Messages accepted a second, moving mean.
+    /// Messages accepted per second, as a moving mean.
     pub demand: f64,
-    /// B of the design: messages promoted.
+    /// B of the design: number of messages promoted.
     pub promoted: f64,
-    /// a of the design: slots filled since the last reset.
+    /// a of the design: number of messages dispatched since the last reset.
     pub dispatched: f64,
-    /// g - κ of the design: gain above the initial one.
+    /// g - κ of the design: gain in excess of the initial gain.
     pub extra_gain: f64,
-    /// Calls in flight.
+    /// Number of calls in flight.
     pub calls: usize,
-    /// Since when a message could be sent: waiting before that is not this forwarder's to help.
+    /// Start of the current period in which a message can be sent. Waiting before it is not counted, because
+    /// this forwarder could not have avoided it.
     pub sendable_since: Nanos,
-    /// A message could be sent in the last round.
+    /// Whether a message could be sent in the last round.
     pub sendable: bool,
-    /// Sum of the time that sent messages waited while they could be sent, in seconds, since the last review.
+    /// Total time in seconds that the messages sent since the last review had waited while they could be
+    /// sent.
     pub total_wait_secs: f64,
-    /// Messages sent since the last review.
+    /// Number of messages sent since the last review.
     pub sent_since_review: u32,
-    /// Messages served since the last review.
+    /// Number of messages served since the last review.
     pub served_since_review: u32,
-    /// Messages served a second, moving mean.
+    /// Messages served per second, as a moving mean.
     pub served_rate: f64,
-    /// When a message was last sent.
+    /// Time of the last send.
     pub last_sent_at: Nanos,
 }
 
 impl DestinationQueue {
-    /// Counts a message that is sent.
+    /// Updates the queue and the counters for a message that is sent.
     pub fn record_send(&mut self, id: MessageId, arrived: Nanos, now: Nanos) {
         self.pending.remove(id);
         if self.ready == 0 {
-            // It was not promoted before: it rides along in a call that has space left.
+            // The message was not promoted before: it fills spare space in a batch call.
             self.promoted += 1.0;
         }
         self.ready = self.ready.saturating_sub(1);
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -1,4 +1,4 @@
-//! What is known of an endpoint: the list's entry, latency, failures, circuit breaker and connections.
+//! The state of an endpoint: its list entry, latency, failures, circuit breaker and connections.
 use super::{RouteKey, TokenBucket};
 use crate::interface::*;
 use std::collections::BTreeMap;
@@ -6,112 +6,115 @@
 /// Circuit breaker of an endpoint.
 #[derive(Clone, Copy, Default, PartialEq)]
 pub(crate) enum CircuitBreaker {
-    /// Calls go as usual.
+    /// Calls are sent without restriction, unless the endpoint is suspected.
     #[default]
     Closed,
-    /// Outage: only trial calls go.
+    /// Outage: only trial calls are sent.
     Open {
         /// Start of the outage.
         since: Nanos,
-        /// When the next trial may go.
+        /// Earliest time of the next trial call.
         next_trial: Nanos,
-        /// Calls may be swallowed or half done rather than rejected.
+        /// Calls may disappear or be processed in part rather than be rejected.
         may_lose_calls: bool,
     },
-    /// Slow start after an outage.
+    /// Slow start after an outage: calls are sent at a limited rate.
     SlowStart {
-        /// When the first call was served, or may be.
+        /// Time of the first served call, or the end of the Retry-After that the endpoint sent.
         since: Nanos,
     },
 }
 
-/// Latency estimate, in seconds; all zero before the first sample.
+/// Latency estimate in seconds; all fields are zero before the first sample.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Latency {
     /// Moving mean.
     pub mean: f64,
     /// Moving mean deviation.
     pub deviation: f64,
-    /// Lowest mean seen.
+    /// Lowest moving mean seen.
     pub lowest_mean: f64,
 }
 
 /// A call that was lost on a connection that had been idle.
 #[derive(Clone, Copy)]
 pub(crate) struct IdleLoss {
-    /// When it was lost.
+    /// Time of the loss.
     pub at: Nanos,
-    /// For how long the connection had been idle, in seconds.
+    /// Time in seconds that the connection had been idle.
     pub idle_secs: f64,
 }
 
-/// What is known of an endpoint.
+/// The state of an endpoint.
 #[derive(Default)]
 pub(crate) struct EndpointRecord {
-    /// Its destination.
+    /// Destination of the endpoint.
     pub dest: DestinationId,
-    /// Its zone.
+    /// Zone of the endpoint.
     pub zone: usize,
-    /// Its kind, an index into the settings' list.
+    /// Kind of the endpoint, an index into the settings' list.
     pub kind: usize,
-    /// The route that its limits belong to.
+    /// Route whose limits apply to the endpoint.
     pub route: RouteKey,
-    /// It may be sent to, as far as the list goes.
+    /// Whether the endpoint list allows messages to be sent to the endpoint.
     pub listed: bool,
-    /// Removed from the list: forgotten with its last call.
+    /// Removed from the list; the record is dropped after the last call in flight has ended.
     pub removed: bool,
-    /// Listed rate in calls a second.
+    /// Listed rate in calls per second.
     pub listed_rate: f64,
-    /// Calls in flight.
+    /// Number of calls in flight.
     pub calls: u32,
     /// Latency estimate.
     pub latency: Latency,
-    /// When it last answered.
+    /// Time of the last response.
     pub last_answer_at: Nanos,
-    /// When a call to it last started or ended.
+    /// Time at which a call to the endpoint last started or ended.
     pub used_at: Nanos,
-    /// Connections to it, as far as the module can tell.
+    /// Estimated number of open connections to the endpoint.
     pub connections: u32,
-    /// Calls that it takes at once, once it has rejected one for want of connections.
+    /// Number of concurrent calls that the endpoint accepts; `None` until it rejects a call for lack of
+    /// connections.
     pub capacity: Option<f64>,
-    /// It has capacity for no call at all until then.
+    /// Time until which no call is sent, because the endpoint had no free connection at all.
     pub full_until: Nanos,
-    /// Consecutive calls that it rejected for want of connections while no other was in flight.
+    /// Consecutive calls rejected for lack of connections while no other call was in flight.
     pub consecutive_full_rejections: u32,
-    /// The last call that was lost on an idle connection, until it is explained.
+    /// The last call that was lost on an idle connection, until its cause is known.
     pub idle_loss: Option<IdleLoss>,
-    /// For how long the connection of its last call had been idle, in seconds.
+    /// Time in seconds that the connection of the last call had been idle.
     pub connection_idle_secs: f64,
     /// Consecutive unanswered calls.
     pub consecutive_unanswered: u32,
     /// Moving share of calls that fail.
     pub failure_share: f64,
-    /// Moving share of lost calls, for each class that was lost here.
+    /// Moving share of lost calls, for each class that has lost calls here.
     pub class_loss: BTreeMap<usize, f64>,
-    /// Its circuit breaker.
+    /// State of the circuit breaker.
     pub breaker: CircuitBreaker,
-    /// The message that the trial in flight carries.
+    /// First message of the trial call in flight.
     pub trial: Option<MessageId>,
-    /// Tokens for calls while it is suspected or in slow start.
+    /// Tokens for calls while the endpoint is suspected or in slow start.
     pub bucket: TokenBucket,
-    /// Its last call failed, or its route is in an outage.
+    /// Suspected of an outage: its last call failed, or its route is in an outage.
     pub suspected: bool,
-    /// Calls a second that may go while it is suspected or in slow start.
+    /// Calls per second allowed while the endpoint is suspected or in slow start.
     pub limited_rate: f64,
-    /// When this forwarder last had an outcome of its own here.
+    /// Time of the last outcome that this forwarder itself received from the endpoint.
     pub local_outcome_at: Option<Nanos>,
-    /// The first own outcome since which the breaker is own experience.
+    /// Time of the first local outcome from which the breaker's state has been based on local outcomes
+    /// without interruption.
     pub local_since: Nanos,
-    /// The breaker's state is a peer's observation.
+    /// Whether the breaker's state comes from a peer's observation.
     pub breaker_from_peer: bool,
-    /// The capacity is a peer's observation.
+    /// Whether the capacity comes from a peer's observation.
     pub capacity_from_peer: bool,
-    /// The latency is a peer's observation.
+    /// Whether the latency estimate comes from a peer's observation.
     pub latency_from_peer: bool,
 }
 
 impl EndpointRecord {
-    /// When a call may go next, where it is limited.
+    /// Returns the earliest time of the next call if the breaker or a suspicion limits calls, or `None` if
+    /// neither does.
     pub fn next_call(&self, now: Nanos) -> Option<Nanos> {
         let token = self.bucket.next_token(now, self.limited_rate);
         match self.breaker {
@@ -121,7 +124,7 @@
         }
     }
 
-    /// Forgets the trial in flight if this message carries it.
+    /// Clears the trial if this message carries it.
     pub fn end_trial(&mut self, id: MessageId) {
         if self.trial == Some(id) {
             self.trial = None;
--- a/src/state/message.rs
+++ b/src/state/message.rs
@@ -1,65 +1,68 @@
-//! A message that is owed an answer, and its attempt in flight.
+//! A message without a final answer, and its attempt in flight.
 use super::pending_index::GroupKey;
 use crate::interface::*;
 
-/// Least time in seconds that the decay of a message's value is computed with.
+/// Shortest time span in seconds used to compute the decay of a value; it prevents a division by zero.
 const MIN_SPAN_SECS: f64 = 1e-3;
 
 /// An attempt in flight.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct InFlight {
-    /// Where it was sent.
+    /// Endpoint that the attempt was sent to.
     pub endpoint: EndpointId,
-    /// Class of its message.
+    /// Class of the message.
     pub class: usize,
-    /// When it was sent.
+    /// Send time.
     pub sent_at: Nanos,
-    /// The call that carries it.
+    /// Number of the call that carries the attempt.
     pub call: u64,
-    /// Its endpoint was silent for too long: it is counted as unanswered already.
+    /// Whether the attempt already counts as unanswered because its endpoint was silent for too long.
     pub unanswered: bool,
-    /// It was cancelled; its outcome is still to come.
+    /// Whether the attempt was cancelled; its outcome is still to come.
     pub cancelled: bool,
-    /// For how long its connection had been idle, in seconds.
+    /// Time in seconds that the connection of the attempt had been idle.
     pub connection_idle_secs: f64,
 }
 
 /// The first attempt of a message that may have run.
 #[derive(Clone, Copy)]
 pub(crate) struct FirstRun {
-    /// When it was sent.
+    /// Send time.
     pub sent_at: Nanos,
-    /// Zone of the endpoint that it was sent to.
+    /// Zone of the endpoint that the attempt was sent to.
     pub zone: usize,
 }
 
-/// A message that was accepted and whose last outcome is not known yet.
+/// An accepted message. Its record exists until it has its final answer and the outcome of its last attempt
+/// is known.
 #[derive(Default)]
 pub(crate) struct PendingMessage {
-    /// Its class, an index into the settings' list.
+    /// Class of the message, an index into the settings' list.
     pub class: usize,
-    /// Its ordering key.
+    /// Ordering key, if the class has one.
     pub key: Option<u64>,
-    /// Its destination.
+    /// Destination of the message.
     pub dest: DestinationId,
-    /// When it was accepted.
+    /// Time of acceptance.
     pub arrived: Nanos,
-    /// It is given up at this time.
+    /// Time at which delivery is given up.
     pub deadline: Nanos,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempts: u32,
-    /// The first attempt that may have run, if there was one.
+    /// The first attempt that may have run, if any.
     pub first_run: Option<FirstRun>,
-    /// When a round must check whether it may still be retried.
+    /// Time at which a round must check whether a retry is still allowed.
     pub retry_check_at: Option<Nanos>,
-    /// Its attempt in flight.
+    /// The attempt in flight.
     pub in_flight: Option<InFlight>,
-    /// Its final answer is given; the record stays until its attempt's outcome is known.
+    /// Whether the final answer has been given. The record then stays until the outcome of the attempt is
+    /// known.
     pub answered: bool,
 }
 
 impl PendingMessage {
-    /// What it has in common with messages that lose value alike and may be rejected alike.
+    /// Returns the key shared by all messages that lose value in the same way and that are all safe or all
+    /// unsafe to reject.
     pub fn group_key(&self) -> GroupKey {
         GroupKey {
             class: self.class,
@@ -68,7 +71,7 @@
         }
     }
 
-    /// Its value if delivered at this time, in the settings' points.
+    /// Returns the value of the message, in the settings' points, if it is delivered at this time.
     pub fn value(&self, class: &Class, value_decay: ValueDecay, at: Nanos) -> f64 {
         if at >= self.deadline {
             return 0.0;
--- a/src/state/ordering.rs
+++ b/src/state/ordering.rs
@@ -1,25 +1,25 @@
-//! Order of messages that share an ordering key.
+//! Ordering of messages that share an ordering key.
 use crate::interface::{MessageId, Nanos};
 use std::collections::VecDeque;
 
-/// An ordering key: its open messages in the order of their arrival.
+/// The state of an ordering key: its unanswered messages in the order of their arrival.
 #[derive(Default)]
 pub(crate) struct OrderingKey {
-    /// Open messages of the key; the first one is next.
+    /// Unanswered messages of the key, in the order in which they are sent.
     pub queue: VecDeque<MessageId>,
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     pub in_flight: usize,
-    /// Until when the key pauses, since an earlier attempt may still run.
+    /// End of the key's pause. A key pauses while an earlier attempt may still run.
     pub paused_until: Nanos,
 }
 
 impl OrderingKey {
-    /// Whether neither an earlier message nor an attempt in flight holds this message up.
+    /// Returns whether the message is first in the queue and no attempt of the key is in flight.
     pub fn is_next(&self, id: MessageId) -> bool {
         self.in_flight == 0 && self.queue.front() == Some(&id)
     }
 
-    /// The message that may go next; none while an attempt is in flight.
+    /// Returns the message that may be sent next, or `None` while an attempt is in flight.
     pub fn next(&self) -> Option<MessageId> {
         if self.in_flight > 0 {
             return None;
@@ -27,9 +27,9 @@
         self.queue.front().copied()
     }
 
-    /// Removes a message that ended.
+    /// Removes a message that has its final answer.
     pub fn remove(&mut self, id: MessageId) {
-        // Most messages end while first in the queue: no need to search the rest then.
+        // Most messages finish while they are first in the queue, so a search of the rest is rarely needed.
         if self.queue.front() == Some(&id) {
             self.queue.pop_front();
         } else {
--- a/src/state/pending_index.rs
+++ b/src/state/pending_index.rs
@@ -1,42 +1,41 @@
-//! The pending messages of a destination, indexed by deadline and by arrival, so that no question of a round
-//! needs a scan of all of them. No decision is taken here; `logic` defines a message's value and which ones
-//! may be sent.
+//! An index of the pending messages of a destination, ordered by deadline and by arrival, so that no query of
+//! a round scans all messages. `logic` defines the value of a message and which messages may be sent.
 //!
-//! Messages of one class lose value alike: the value that is left depends on the deadline alone. So the
-//! message with the least value, or the largest loss by waiting, is next to one of a few points in time.
+//! The remaining value of a message depends only on its class and its deadline. The message with the lowest
+//! value, or with the largest loss by waiting, therefore has a deadline next to one of a few points in time.
 use crate::interface::*;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// What messages that are treated alike have in common. The first to arrive of a group mostly has the least
-/// time left.
+/// Identifies a group of messages that are treated alike. The first message of a group to arrive usually has
+/// the least time left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct GroupKey {
-    /// Their class.
+    /// Class of the messages.
     pub class: usize,
-    /// Zone of their first attempt that may have run, if there was one.
+    /// Zone of the first attempt that may have run, if any.
     pub first_run_zone: Option<usize>,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempts: u32,
 }
 
-/// Place of a message in its group, ordered by deadline, then by arrival.
+/// Position of a message in its group, ordered by deadline and then by arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Position {
-    /// When it is given up.
+    /// Time at which delivery is given up.
     pub deadline: Nanos,
-    /// Sequence number of its arrival in this index.
+    /// Sequence number of the arrival in this index.
     pub arrival: u64,
-    /// Which message it is.
+    /// Identifier of the message.
     pub id: MessageId,
 }
 
-/// Messages of a group by deadline, and by arrival: of those with the same value the first to arrive goes
-/// first.
+/// The messages of a group by deadline and by arrival. Of messages with the same value, the first to arrive
+/// is sent first.
 #[derive(Default)]
 struct Group {
-    /// Earliest deadline first.
+    /// Messages ordered by deadline, earliest first.
     by_deadline: BTreeSet<Position>,
-    /// First arrival first.
+    /// Messages ordered by arrival, earliest first.
     by_arrival: BTreeMap<u64, Position>,
 }
 
@@ -57,23 +56,23 @@
 /// The pending messages of a destination.
 #[derive(Default)]
 pub(crate) struct PendingIndex {
-    /// Where each message stands.
+    /// Group and position of each message.
     positions: HashMap<u64, (GroupKey, Position)>,
     /// All messages.
     all: BTreeMap<GroupKey, Group>,
-    /// Messages that no earlier message of their ordering key holds up.
+    /// Messages that are not blocked by an earlier message of their ordering key.
     unblocked: BTreeMap<GroupKey, Group>,
-    /// Number of the last arrival.
+    /// Sequence number of the last arrival.
     last_arrival: u64,
 }
 
 impl PendingIndex {
-    /// How many messages it holds.
+    /// Returns the number of messages.
     pub fn len(&self) -> usize {
         self.positions.len()
     }
 
-    /// Whether it holds none.
+    /// Returns whether the index is empty.
     pub fn is_empty(&self) -> bool {
         self.positions.is_empty()
     }
@@ -89,14 +88,15 @@
         }
     }
 
-    /// Notes that no earlier message holds it up any more; does nothing if it is not in the index.
+    /// Marks a message as no longer blocked by an earlier message of its ordering key. Does nothing if the
+    /// message is not in the index.
     pub fn unblock(&mut self, id: MessageId) {
         if let Some((group, position)) = self.positions.get(&id.0) {
             self.unblocked.entry(*group).or_default().insert(*position);
         }
     }
 
-    /// Removes a message; does nothing if it is not in the index.
+    /// Removes a message. Does nothing if the message is not in the index.
     pub fn remove(&mut self, id: MessageId) {
         let Some((key, position)) = self.positions.remove(&id.0) else { return };
         for groups in [&mut self.all, &mut self.unblocked] {
@@ -108,19 +108,21 @@
         }
     }
 
-    /// Of each group the message with the earliest deadline, and the first and the last to arrive.
+    /// Returns, for each group, the message with the earliest deadline and the first and the last message to
+    /// arrive.
     pub fn extremes(&self) -> impl Iterator<Item = Position> + '_ {
         self.all.values().flat_map(extremes_of_group).flatten()
     }
 
-    /// The messages that are not blocked, group by group in the order of their arrival.
+    /// Returns the messages that are not blocked, group by group in the order of their arrival.
     pub fn unblocked(&self) -> impl Iterator<Item = MessageId> + '_ {
         let positions = self.unblocked.values().flat_map(|group| group.by_arrival.values());
         positions.map(|position| position.id)
     }
 
-    /// Of each group the unblocked messages that are `eligible` and next to one of the points in time, on
-    /// either side, and the first one to arrive. `points` gives the points of a class.
+    /// Returns, for each group, the unblocked `eligible` messages whose deadlines are next to one of the
+    /// points in time on either side, and the first eligible message to arrive. `points` gives the points of
+    /// a class.
     pub fn nearest<'a, const N: usize>(
         &'a self, points: impl Fn(usize) -> [Nanos; N] + 'a, eligible: impl Fn(MessageId) -> bool + 'a,
     ) -> impl Iterator<Item = Position> + 'a {
@@ -130,13 +132,13 @@
     }
 }
 
-/// The earliest deadline, the first and the last arrival of a group.
+/// Returns the earliest deadline and the first and the last arrival of a group.
 fn extremes_of_group(group: &Group) -> [Option<Position>; 3] {
     let mut arrivals = group.by_arrival.values().copied();
     [group.by_deadline.first().copied(), arrivals.next(), arrivals.next_back()]
 }
 
-/// The eligible messages of a group next to the points, and the first arrival.
+/// Returns the eligible messages of a group next to the points, and the first eligible arrival.
 fn nearest_of_group<const N: usize>(
     group: &Group, points: [Nanos; N], eligible: &impl Fn(MessageId) -> bool,
 ) -> Vec<Position> {
--- a/src/state/pending_index/tests.rs
+++ b/src/state/pending_index/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the index of pending messages: its answers are those of a scan of all messages.
+//! Compares the index of pending messages with a scan of all messages.
 use super::*;
 use crate::state::PendingMessage;
 use proptest::prelude::*;
@@ -17,7 +17,7 @@
     vec![class(3, 24, 0.5), class(4, 16, 0.2), class(2, 20, 0.0)]
 }
 
-/// A message of the model: the index must answer as a scan of all of them does.
+/// A message of the model that the index is compared with.
 #[derive(Clone, Debug)]
 struct Entry {
     class: usize,
--- a/src/state/random.rs
+++ b/src/state/random.rs
@@ -1,11 +1,11 @@
-//! The module's source of random numbers.
+//! Random numbers of the decision module.
 
-/// Small random number generator (xorshift). The seed must not be zero.
+/// A small random number generator (xorshift64). The seed must not be zero.
 #[derive(Default)]
 pub(crate) struct Random(pub u64);
 
 impl Random {
-    /// The next number, from 0 up to 1.
+    /// Returns the next number in the range 0 (included) to 1 (excluded).
     pub fn next(&mut self) -> f64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
--- a/src/state/route.rs
+++ b/src/state/route.rs
@@ -1,47 +1,47 @@
-//! What a rate limit applies to: its waits, its pace and its recent calls.
+//! The unit that a rate limit applies to, with its waits, its pace and its recent calls.
 use super::TokenBucket;
 use crate::interface::*;
 use std::collections::VecDeque;
 
-/// What a limit, a wait and a pace belong to: a destination, or one of its endpoints where routes are
-/// separate.
+/// Identifies a route: a destination, or one endpoint of it where the endpoints are separate routes.
 pub(crate) type RouteKey = (DestinationId, Option<EndpointId>);
 
-/// Limit, waits and pace of a route. Rates are in calls a second.
+/// Limit, waits and pace of a route. Rates are in calls per second.
 #[derive(Default)]
 pub(crate) struct Route {
-    /// No call before this time: the longest Retry-After of its endpoints, or of its peers' observations.
+    /// No call may start before this time: the latest end of any Retry-After received from the route's
+    /// endpoints or reported by peers.
     pub retry_after_until: Nanos,
-    /// No call before this time: backoff after consecutive rejections.
+    /// No call may start before this time: backoff after consecutive rejections.
     pub backoff_until: Nanos,
-    /// The pace of this forwarder; none while it is free.
+    /// Pace of this forwarder; `None` while the route is not paced.
     pub pace: Option<f64>,
     /// Tokens for calls at the pace.
     pub bucket: TokenBucket,
-    /// When the calls of the last second were served.
+    /// Times at which the calls of the last second were served.
     pub served: VecDeque<Nanos>,
-    /// When the pace was last reduced.
+    /// Time at which the pace was last reduced because of a local rejection.
     pub reduced_at: Nanos,
-    /// The pace right after the last reduction.
+    /// Pace right after the last reduction.
     pub reduced_pace: f64,
-    /// When that pace was set.
+    /// Time at which `reduced_pace` was set, by a local rejection or a peer's observation.
     pub reduced_pace_at: Nanos,
-    /// The rate at which calls were rejected.
+    /// Estimated rate at which calls were rejected.
     pub rejected_rate: f64,
-    /// The limit that answers report; zero if none.
+    /// Limit reported in responses; zero if none.
     pub reported_limit: f64,
-    /// The limit that the endpoint list names; zero if none.
+    /// Limit given by the endpoint list; zero if none.
     pub listed_limit: f64,
-    /// Consecutive rejections.
+    /// Number of consecutive rejections.
     pub rejections: u32,
-    /// The end of the Retry-After that this forwarder itself received.
+    /// End of the Retry-After that this forwarder itself received.
     pub local_retry_after_until: Nanos,
-    /// The pace is a peer's observation.
+    /// Whether the pace comes from a peer's observation.
     pub pace_from_peer: bool,
 }
 
 impl Route {
-    /// The rate that applies: the pace, and never more than the reported limit.
+    /// Returns the rate that applies: the pace, but at most the reported limit.
     pub fn rate(&self) -> Option<f64> {
         let limit = Some(self.reported_limit).filter(|limit| *limit > 0.0);
         match (self.pace, limit) {
@@ -51,23 +51,23 @@
         }
     }
 
-    /// Takes in a Retry-After that this forwarder received. The longest one stands.
+    /// Records a Retry-After that this forwarder received. The one that ends last applies.
     pub fn record_retry_after(&mut self, now: Nanos, wait: Nanos) {
         self.record_peer_retry_after(now, wait);
         self.local_retry_after_until = self.local_retry_after_until.max(now + wait);
     }
 
-    /// Takes in a Retry-After that a peer received: it applies here too, to the same end.
+    /// Records a Retry-After that a peer received. It applies here too and ends at the same time.
     pub fn record_peer_retry_after(&mut self, now: Nanos, wait: Nanos) {
         self.retry_after_until = self.retry_after_until.max(now + wait);
     }
 
-    /// Until when no call may start.
+    /// Returns the time until which no call may start.
     pub fn blocked_until(&self) -> Nanos {
         self.retry_after_until.max(self.backoff_until)
     }
 
-    /// When a call may start next.
+    /// Returns the earliest time at which the next call may start.
     pub fn next_call(&self, now: Nanos) -> Nanos {
         let token = match self.rate() {
             Some(rate) => self.bucket.next_token(now, rate),
--- a/tests/as2.rs
+++ b/tests/as2.rs
@@ -330,7 +330,7 @@
     let to = format!("receipt-delivery-option: http://{}/as2\r\n", s.bank.addr);
     assert_eq!(s.submit_as("bank", "bank", &to).status(), 200);
     // The kill must come after the attempt's outcome: otherwise the attempt may have taken effect.
-    s.daemon.wait_log("pace cut");
+    s.daemon.wait_log("pace reduced after a rejection");
     s.daemon.kill();
     held.store(false, Ordering::SeqCst);
     s.daemon.start_again();
--- a/tests/forwarder.rs
+++ b/tests/forwarder.rs
@@ -461,7 +461,10 @@
         daemon.wait_log(&format!("message=c{n} outcome=Ok"));
     }
     let log = daemon.log();
-    assert!(!log.contains("pace cut") && !log.contains("breaker opened"), "taken for a limit or an outage");
+    assert!(
+        !log.contains("pace reduced after a rejection") && !log.contains("breaker opened"),
+        "taken for a limit or an outage"
+    );
     let crowded = log.matches("outcome=ConnectionLimit").count();
     assert!((1..40).contains(&crowded), "{crowded} turned away for 60 messages");
     assert!(!disco.received().iter().any(|h| h.first.starts_with("POST")), "each is delivered");
