--- a/src/logic/outcomes.rs
+++ b/src/logic/outcomes.rs
@@ -120,7 +120,7 @@
         endpoint.raise_capacity(self.settings.slots);
         if endpoint.record_served(self.now, attempt.sent_at, ended.took.secs()) {
             endpoint.start_slow_start(self.now, draw);
-            self.log("trial call served, slow start begins", Some(attempt.endpoint));
+            self.log("served again after an outage, slow start begins", Some(attempt.endpoint));
         }
         self.destination(dest).served_since_review += 1;
     }
--- a/src/logic/pacing.rs
+++ b/src/logic/pacing.rs
@@ -17,12 +17,12 @@
 }
 
 /// An equal share of a route's limit for each forwarder, and the bounds derived from it.
-struct EvenShare {
+struct EqualShare {
     /// Calls per second; zero if no limit is known.
     rate: f64,
 }
 
-impl EvenShare {
+impl EqualShare {
     /// Returns the lowest pace, in calls per second.
     fn lowest_pace(&self) -> f64 {
         if self.rate > 0.0 {
@@ -54,9 +54,9 @@
 
     /// Returns this forwarder's equal share of the reported limit, or of the listed limit if none is
     /// reported.
-    fn even_share(&self, settings: &Settings) -> EvenShare {
+    fn equal_share(&self, settings: &Settings) -> EqualShare {
         let limit = if self.reported_limit > 0.0 { self.reported_limit } else { self.listed_limit };
-        EvenShare { rate: limit / settings.forwarders.max(1) as f64 }
+        EqualShare { rate: limit / settings.forwarders.max(1) as f64 }
     }
 
     /// Records a rejection. Returns true if the pace was reduced; the rejection of a call that was sent
@@ -68,9 +68,9 @@
         if rejection.sent_at < self.reduced_at {
             return false;
         }
-        let even_share = self.even_share(settings);
-        let lowest = even_share.lowest_pace();
-        let rate = self.rate_at_rejection(&even_share, rejection.demand);
+        let equal_share = self.equal_share(settings);
+        let lowest = equal_share.lowest_pace();
+        let rate = self.rate_at_rejection(&equal_share, rejection.demand);
         // Only the first of several consecutive rejections shows at which rate calls are rejected.
         if self.rejections == 0 {
             self.rejected_rate = if rate < self.rejected_rate * LOWER_REJECTION_FACTOR {
@@ -83,7 +83,7 @@
         self.rejections += 1;
         self.refill(now);
         let pace = (rate * PACE_REDUCTION_FACTOR).max(lowest);
-        self.back_off(even_share.first_backoff(settings), pace, rejection.draw);
+        self.back_off(equal_share.first_backoff(settings), pace, rejection.draw);
         self.reduce_pace(now, pace);
         true
     }
@@ -91,9 +91,9 @@
     /// Returns the rate that was too high: the lower of the pace and the expected rate, but no less than the
     /// number of calls served in the last second minus its statistical error. The expected rate is the larger
     /// of the equal share and the demand, or the served rate if no limit is known.
-    fn rate_at_rejection(&self, even_share: &EvenShare, demand: f64) -> f64 {
+    fn rate_at_rejection(&self, equal_share: &EqualShare, demand: f64) -> f64 {
         let served = self.served.len() as f64;
-        let expected = if even_share.rate > 0.0 { even_share.rate.max(demand) } else { served };
+        let expected = if equal_share.rate > 0.0 { equal_share.rate.max(demand) } else { served };
         self.pace.unwrap_or(f64::INFINITY).min(expected).max(served - served.sqrt())
     }
 
--- a/src/logic/promotion.rs
+++ b/src/logic/promotion.rs
@@ -38,12 +38,12 @@
             for id in &destination.endpoints {
                 let Some(endpoint) = self.endpoints.get_mut(id) else { continue };
                 let returns = matches!(endpoint.breaker, CircuitBreaker::SlowStart { .. });
-                let even_share = if returns && self.settings.listed_rates == ListedRates::Nominal {
-                    endpoint.listed_rate * EVEN_SHARE_DEMAND_FACTOR / self.settings.forwarders.max(1) as f64
+                let equal_share = if returns && self.settings.listed_rates == ListedRates::Nominal {
+                    endpoint.listed_rate * EQUAL_SHARE_DEMAND_FACTOR / self.settings.forwarders.max(1) as f64
                 } else {
                     0.0
                 };
-                let demand = destination.demand.max(even_share) / destination.endpoints.len() as f64;
+                let demand = destination.demand.max(equal_share) / destination.endpoints.len() as f64;
                 endpoint.refill(&self.settings, self.now, demand);
                 self.routes.entry(endpoint.route).or_default().refill(self.now);
             }
--- a/src/logic/tuning.rs
+++ b/src/logic/tuning.rs
@@ -105,7 +105,7 @@
 pub(super) const MIN_SLOW_START_RATE: f64 = 1.0;
 /// Share of a forwarder's equal share of the listed rate that counts as demand in slow start, if the actual
 /// demand is lower.
-pub(super) const EVEN_SHARE_DEMAND_FACTOR: f64 = 0.8;
+pub(super) const EQUAL_SHARE_DEMAND_FACTOR: f64 = 0.8;
 /// Shortest warm-up in seconds used in computations; it prevents a division by zero.
 pub(super) const MIN_WARM_UP_SECS: f64 = 1e-3;
 /// Period in seconds in which the first trial after a peer's report of an outage is sent. The time is random,
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -76,7 +76,7 @@
         endpoint.wait_request(&format!("b{n}"));
     }
     assert!(before <= 2, "{before} calls to a partner with a known outage");
-    b.wait_log("trial call served, slow start begins");
+    b.wait_log("served again after an outage, slow start begins");
 }
 
 #[test]
