--- a/src/logic/observations/tests.rs
+++ b/src/logic/observations/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the exchange of observations with peers.
+//! Tests the exchange of observations with peers.
 use super::*;
 
 const ENDPOINT: EndpointId = EndpointId(1);
@@ -12,12 +12,12 @@
     Nanos::from_secs(secs)
 }
 
-/// A module with one endpoint, and what it sent.
+/// A decision module with one endpoint, and the sends that it made.
 struct Forwarder {
     module: Balancer,
-    next: u64,
+    next_id: u64,
     sent: Vec<(Nanos, MessageId)>,
-    /// How many of them have an outcome.
+    /// Number of sends that already have an outcome.
     ended: usize,
 }
 
@@ -45,13 +45,13 @@
             ..Settings::default()
         };
         let mut forwarder =
-            Forwarder { module: Balancer::new(settings, 7), next: 0, sent: Vec::new(), ended: 0 };
+            Forwarder { module: Balancer::new(settings, 7), next_id: 0, sent: Vec::new(), ended: 0 };
         let state = EndpointState::Running;
         let entry = EndpointEntry { host: ENDPOINT, zone: 0, kind: 0, dest: DEST, state, rate: 0.0 };
-        forwarder.take(at(0.0), vec![Event::EndpointList { complete: true, entries: vec![entry] }]);
+        forwarder.handle_events(at(0.0), vec![Event::EndpointList { complete: true, entries: vec![entry] }]);
         forwarder
     }
-    fn take(&mut self, now: Nanos, events: Vec<Event>) {
+    fn handle_events(&mut self, now: Nanos, events: Vec<Event>) {
         let mut actions = Vec::new();
         self.module.handle(now, &events, &mut actions);
         for action in actions {
@@ -61,18 +61,22 @@
         }
     }
     fn observe(&mut self, now: Nanos, finding: Finding, age: f64) {
-        self.take(now, vec![Event::PeerObservation(Observation { host: ENDPOINT, finding, age: span(age) })]);
+        self.handle_events(
+            now,
+            vec![Event::PeerObservation(Observation { host: ENDPOINT, finding, age: span(age) })],
+        );
     }
     fn submit(&mut self, now: Nanos, count: u64) {
         let message = |n| {
             let (id, deadline) = (MessageId(n), now + span(30.0));
             Event::Message(Message { id, class: 0, tenant: 0, key: None, dest: DEST, deadline })
         };
-        let events = (self.next..self.next + count).map(message).collect();
-        self.next += count;
-        self.take(now, events);
+        let events = (self.next_id..self.next_id + count).map(message).collect();
+        self.next_id += count;
+        self.handle_events(now, events);
     }
-    /// Lets time pass; each call ends after a tenth of a second. Returns how many were sent.
+    /// Advances time from `from` to `to` in steps of 50 ms. Each call ends with `outcome` after 100 ms.
+    /// Returns the number of sends.
     fn run(&mut self, from: f64, to: f64, outcome: Outcome) -> usize {
         let before = self.sent.len();
         for step in 0..((to - from) * 20.0) as u64 {
@@ -92,27 +96,27 @@
                 }));
                 self.ended += 1;
             }
-            self.take(now, events);
+            self.handle_events(now, events);
         }
         self.sent.len() - before
     }
 }
 
-/// Age of the outage in the tests, in seconds.
-const OUTAGE: f64 = 20.0;
+/// Duration in seconds of the reported outage.
+const OUTAGE_SECS: f64 = 20.0;
 
 fn outage() -> Finding {
-    Finding::Outage { since: span(OUTAGE), risky: true }
+    Finding::Outage { since: span(OUTAGE_SECS), risky: true }
 }
 
 #[test]
-fn an_outage_that_a_peer_observed_lets_only_trials_go() {
+fn a_peer_outage_allows_only_trial_calls() {
     let (mut uninformed, mut informed) = (Forwarder::new(), Forwarder::new());
     informed.observe(at(0.1), outage(), 0.2);
     for forwarder in [&mut uninformed, &mut informed] {
         forwarder.submit(at(0.2), 8);
     }
-    assert!(uninformed.sent.len() > 1, "without an observation it counts as healthy");
+    assert!(uninformed.sent.len() > 1, "an endpoint without observations counts as healthy");
     assert!(informed.sent.len() <= 1, "{:?}", informed.sent);
     informed.run(0.2, 3.0, Outcome::Reset);
     let trials = informed.sent.len();
@@ -120,18 +124,18 @@
 }
 
 #[test]
-fn a_false_outage_costs_one_trial_and_a_slow_start() {
+fn a_false_peer_outage_costs_one_trial_and_a_slow_start() {
     let mut informed = Forwarder::new();
     informed.observe(at(0.1), outage(), 0.2);
     informed.submit(at(0.2), 40);
     informed.run(0.2, 20.0, Outcome::Ok);
-    assert_eq!(informed.sent.len(), 40, "all are delivered in time");
-    assert!(informed.sent[0].0 <= at(0.1 + PEER_TRIAL_WITHIN + 0.1));
+    assert_eq!(informed.sent.len(), 40, "all messages are delivered in time");
+    assert!(informed.sent[0].0 <= at(0.1 + PEER_TRIAL_SPREAD_SECS + 0.1));
 }
 
 #[test]
-fn own_experience_wins_unless_it_is_older() {
-    for (age, wanted) in [(0.5, false), (0.0, true)] {
+fn a_local_outcome_overrides_an_older_peer_observation() {
+    for (age, only_trials) in [(0.5, false), (0.0, true)] {
         let mut forwarder = Forwarder::new();
         forwarder.submit(at(0.0), 1);
         forwarder.run(0.0, 0.2, Outcome::Ok);
@@ -139,7 +143,7 @@
         forwarder.submit(at(0.5), 8);
         assert_eq!(
             forwarder.sent.len() <= 2,
-            wanted,
+            only_trials,
             "observed {age} s ago: {:?} {:?}",
             forwarder.sent,
             forwarder.module.observations(at(0.5))
@@ -148,7 +152,7 @@
 }
 
 #[test]
-fn nothing_is_sent_before_the_end_of_a_retry_after_that_a_peer_received() {
+fn no_call_starts_before_a_peer_retry_after_ends() {
     let mut forwarder = Forwarder::new();
     forwarder.observe(at(0.0), Finding::RetryAfter { left: span(1.5) }, 0.5);
     forwarder.submit(at(0.1), 4);
@@ -158,8 +162,8 @@
 }
 
 #[test]
-fn a_good_observation_frees_nothing() {
-    // The peer saw it healthy before it failed, or saw it return: neither closes the breaker.
+fn a_favourable_peer_observation_lifts_no_restriction() {
+    // An observation from before the outage and one of a recovery: neither closes the breaker.
     let mut forwarder = Forwarder::new();
     forwarder.observe(at(0.0), outage(), 0.0);
     forwarder.observe(at(0.1), Finding::Healthy { mean: 0.1, dev: 0.01 }, 0.0);
@@ -167,38 +171,38 @@
     forwarder.submit(at(0.3), 8);
     let trials = forwarder.run(0.3, 2.4, Outcome::Reset);
     assert!(trials <= 2, "{trials}");
-    // To a forwarder that knows nothing it means that the endpoint is warming up.
+    // Without other information, a recovery means that the endpoint is warming up.
     let mut uninformed = Forwarder::new();
     uninformed.observe(at(0.0), Finding::Recovering { since: span(0.5) }, 0.1);
     uninformed.submit(at(0.1), 100);
     let sent = uninformed.run(0.1, 1.1, Outcome::Ok);
     let mut healthy = Forwarder::new();
     healthy.submit(at(0.1), 100);
-    assert!(sent < healthy.run(0.1, 1.1, Outcome::Ok) / 2, "{sent} in its first second");
+    assert!(sent < healthy.run(0.1, 1.1, Outcome::Ok) / 2, "{sent} sends in the first second");
 }
 
 #[test]
-fn observations_of_peers_are_never_passed_on() {
+fn peer_observations_are_not_reported_as_local() {
     let mut forwarder = Forwarder::new();
     forwarder.observe(at(0.0), outage(), 0.0);
     forwarder.observe(at(0.0), Finding::RetryAfter { left: span(5.0) }, 0.0);
     forwarder.observe(at(0.0), Finding::RateLimit { rate: 3.0 }, 0.0);
     forwarder.observe(at(0.0), Finding::ConnectionCapacity { calls: 2.0 }, 0.0);
     assert!(forwarder.module.observations(at(0.1)).is_empty());
-    // Its own trial makes an outage its own experience, which began with the trial and not before.
+    // A failed local trial makes the outage a local observation that begins with the trial, not earlier.
     forwarder.submit(at(0.1), 4);
     forwarder.run(0.1, 9.0, Outcome::Reset);
     let known = forwarder.module.observations(at(9.0));
-    let outage = known.iter().find_map(|h| match h.finding {
+    let outage = known.iter().find_map(|observation| match observation.finding {
         Finding::Outage { since, .. } => Some(since),
         _ => None,
     });
     assert!(outage.is_some_and(|since| since < span(9.0)), "{known:?}");
-    assert!(known.iter().all(|h| !matches!(h.finding, Finding::RetryAfter { .. })));
+    assert!(known.iter().all(|observation| !matches!(observation.finding, Finding::RetryAfter { .. })));
 }
 
 #[test]
-fn absurd_values_do_no_harm() {
+fn invalid_peer_values_do_not_stop_delivery() {
     let mut forwarder = Forwarder::new();
     for bad in [f64::NAN, f64::INFINITY, -1.0, 0.0] {
         forwarder.observe(at(0.0), Finding::RateLimit { rate: bad }, 0.0);
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -80,7 +80,7 @@
         endpoint.wait_request(&format!("b{n}"));
     }
     assert!(calls_before_restart <= 2, "{calls_before_restart} calls to a partner with a known outage");
-    b.wait_log("half-open: served, slow start");
+    b.wait_log("served again after an outage, slow start begins");
 }
 
 #[test]
