--- a/benches/held.rs
+++ b/benches/held.rs
@@ -96,7 +96,7 @@
         let (journal, records) = Journal::open_on(Box::new(NullDisk), 1 << 50)
             .expect("a disk that discards everything never fails");
         let core = Core::new(CoreOptions {
-            site: site(max_pending),
+            deployment: site(max_pending),
             seed: 7,
             static_endpoints: Vec::new(),
             plugins: Plugins::none(),
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -105,8 +105,8 @@
     /// What scripts are shown of a request beside its context.
     pub(super) fn details(&self, context: &RequestContext) -> RequestDetails<'_> {
         RequestDetails {
-            class: self.site.classes.get(context.class).map_or("", String::as_str),
-            tenant: self.site.tenants.get(context.tenant).map_or("", String::as_str),
+            class: self.deployment.classes.get(context.class).map_or("", String::as_str),
+            tenant: self.deployment.tenants.get(context.tenant).map_or("", String::as_str),
             time_left: context.deadline - self.now,
         }
     }
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -162,7 +162,7 @@
         let permitted =
             in_flight.stage == Stage::Connecting && !self.draining && self.balancer.may_still_send(now, id);
         let (at, zone) = (in_flight.started.0, in_flight.zone as u32);
-        let record = Record::AttemptStarted { id: id.0, at, zone, before: 0 };
+        let record = Record::AttemptStarted { id: id.0, at, zone, earlier_attempts: 0 };
         // Guards "no double effect" across restarts: an attempt that the journal does not have does not start.
         if !permitted || self.journal.append(now, &record).is_err() {
             log::debug!(message = context.name, attempt, permitted; "not sent: the decision no longer holds");
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -45,7 +45,7 @@
 /// What a core needs to start.
 pub struct CoreOptions {
     /// Settings of the decision module, and the names of classes, tenants, zones and endpoint kinds.
-    pub site: Arc<DeploymentSettings>,
+    pub deployment: Arc<DeploymentSettings>,
     /// Seed of the decision module's random numbers.
     pub seed: u64,
     /// Endpoints that discovery does not list; they are added to each complete endpoint list.
@@ -74,7 +74,7 @@
 /// Pending messages, their attempts and their completions: drives the decision module and the journal.
 pub struct Core {
     settings: Settings,
-    site: Arc<DeploymentSettings>,
+    deployment: Arc<DeploymentSettings>,
     balancer: Balancer,
     plugins: Plugins,
     metrics: Arc<Metrics>,
@@ -107,15 +107,15 @@
 impl Core {
     /// Creates a core that resumes all messages of the journal that are not complete.
     pub fn new(options: CoreOptions) -> Core {
-        let CoreOptions { site, seed, static_endpoints, plugins, journal, records, predecessor, now } =
+        let CoreOptions { deployment, seed, static_endpoints, plugins, journal, records, predecessor, now } =
             options;
-        let settings = site.module.clone();
+        let settings = deployment.module.clone();
         let mut core = Core {
             balancer: Balancer::new(settings.clone(), seed),
             settings,
             plugins,
-            metrics: Arc::new(Metrics::new(&site.classes)),
-            site,
+            metrics: Arc::new(Metrics::new(&deployment.classes)),
+            deployment,
             journal: JournalWriter::new(journal),
             pending: PendingMessages::default(),
             ordering: OrderingKeys::default(),
--- a/src/core/pending.rs
+++ b/src/core/pending.rs
@@ -107,13 +107,13 @@
         let ended_attempts = self.attempts - u32::from(self.in_flight.is_some());
         if ended_attempts > 0 {
             let (at, zone) = self.first_possible_run.map_or((0, 0), |(at, zone)| (at.0, zone as u32));
-            records.push(Record::AttemptStarted { id: id.0, at, zone, before: ended_attempts - 1 });
+            records.push(Record::AttemptStarted { id: id.0, at, zone, earlier_attempts: ended_attempts - 1 });
             let may_have_run = self.first_possible_run.is_some();
             records.push(Record::AttemptEnded { id: id.0, may_have_run });
         }
         if let Some(sent) = self.in_flight.as_ref().filter(|a| a.stage == Stage::Sent) {
             let (at, zone) = (sent.started.0, sent.zone as u32);
-            records.push(Record::AttemptStarted { id: id.0, at, zone, before: 0 });
+            records.push(Record::AttemptStarted { id: id.0, at, zone, earlier_attempts: 0 });
         }
         records
     }
--- a/src/core/restart.rs
+++ b/src/core/restart.rs
@@ -11,8 +11,8 @@
     pub(super) fn replay(&mut self, record: Record) {
         match record {
             Record::Accepted(message) => self.replay_accepted(message),
-            Record::AttemptStarted { id, at, zone, before } => {
-                self.replay_attempt_started(MessageId(id), Nanos(at), zone as usize, before);
+            Record::AttemptStarted { id, at, zone, earlier_attempts } => {
+                self.replay_attempt_started(MessageId(id), Nanos(at), zone as usize, earlier_attempts);
             }
             Record::AttemptEnded { id, may_have_run } => {
                 self.pending.end_attempt(MessageId(id), may_have_run);
@@ -51,9 +51,9 @@
         }
     }
 
-    fn replay_attempt_started(&mut self, id: MessageId, started: Nanos, zone: usize, before: u32) {
+    fn replay_attempt_started(&mut self, id: MessageId, started: Nanos, zone: usize, earlier_attempts: u32) {
         let Some(message) = self.pending.get_mut(id) else { return };
-        message.attempts += before;
+        message.attempts += earlier_attempts;
         let attempt = message.attempts;
         message.attempts += 1;
         // The journal does not say where the attempt went, nor for how long.
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -130,7 +130,7 @@
 const DISK: u64 = 9_500;
 const MESSAGES: u64 = 90;
 
-fn site() -> Arc<DeploymentSettings> {
+fn deployment() -> Arc<DeploymentSettings> {
     let class = |name: &str, effect, fifo_by_key| {
         let (aim, deadline) = (Nanos::from_secs(1.0), Nanos::from_secs(8.0));
         (
@@ -243,7 +243,7 @@
     fn start(disk: &ModelDisk, most: u64, seed: u64, now: Nanos) -> Core {
         let (journal, records) = Journal::open_on(Box::new(disk.clone()), most).expect("it opens");
         let mut core = Core::new(CoreOptions {
-            site: site(),
+            deployment: deployment(),
             seed,
             static_endpoints: Vec::new(),
             plugins: Plugins::none(),
@@ -278,8 +278,8 @@
         (self.connecting, self.out, self.told) = Default::default();
         self.attempts.clear();
         for record in self.disk.model.records() {
-            if let Record::AttemptStarted { id, before, .. } = record {
-                *self.attempts.entry(id).or_default() += 1 + before;
+            if let Record::AttemptStarted { id, earlier_attempts, .. } = record {
+                *self.attempts.entry(id).or_default() += 1 + earlier_attempts;
             }
         }
         self.core = World::start(&self.disk, self.most, self.seed, self.now);
@@ -409,7 +409,9 @@
         let attempts = self.attempts.entry(one.id.0).or_default();
         *attempts += 1;
         let logged = self.disk.model.records().iter().fold(0, |sum, r| match r {
-            Record::AttemptStarted { id, before, .. } if *id == one.id.0 => sum + 1 + before,
+            Record::AttemptStarted { id, earlier_attempts, .. } if *id == one.id.0 => {
+                sum + 1 + earlier_attempts
+            }
             _ => sum,
         });
         let name = &one.context.name;
--- a/src/daemon/startup.rs
+++ b/src/daemon/startup.rs
@@ -36,7 +36,7 @@
         Journal::open(&config.state_dir, config.disk_limit).map_err(DaemonError::Journal)?;
     let as2 = As2Settings::load(&flags.files.as2)?.map(Arc::new);
     let core = Core::new(CoreOptions {
-        site: config.deployment.clone(),
+        deployment: config.deployment.clone(),
         seed: config.seed,
         static_endpoints: as2.as_ref().map(|settings| settings.endpoints()).unwrap_or_default(),
         plugins: Plugins::load(&flags.files.plugins),
--- a/src/journal/codec.rs
+++ b/src/journal/codec.rs
@@ -66,10 +66,10 @@
 fn encode_payload(encoder: &mut Encoder, record: &Record) {
     match record {
         Record::Accepted(message) => encode_accepted(encoder.byte(tag::ACCEPTED), message),
-        Record::AttemptStarted { id, at, zone, before } => {
-            // One number holds both: programs older than `before` read the lower half alone.
-            let zone_and_before = u64::from(*zone) | u64::from(*before) << 32;
-            encoder.byte(tag::ATTEMPT_STARTED).number(*id).number(*at).number(zone_and_before);
+        Record::AttemptStarted { id, at, zone, earlier_attempts } => {
+            // One number holds both: programs older than `earlier_attempts` read the lower half alone.
+            let zone_and_earlier = u64::from(*zone) | u64::from(*earlier_attempts) << 32;
+            encoder.byte(tag::ATTEMPT_STARTED).number(*id).number(*at).number(zone_and_earlier);
         }
         Record::AttemptEnded { id, may_have_run } => {
             encoder.byte(tag::ATTEMPT_ENDED).number(*id).flag(*may_have_run);
@@ -244,10 +244,10 @@
 fn decode_attempt_started(mut decoder: Decoder) -> Option<Record> {
     let id = decoder.number()?;
     let at = decoder.number()?;
-    let zone_and_before = decoder.number()?;
-    let zone = zone_and_before as u32;
-    let before = (zone_and_before >> 32) as u32;
-    Some(Record::AttemptStarted { id, at, zone, before })
+    let zone_and_earlier = decoder.number()?;
+    let zone = zone_and_earlier as u32;
+    let earlier_attempts = (zone_and_earlier >> 32) as u32;
+    Some(Record::AttemptStarted { id, at, zone, earlier_attempts })
 }
 
 fn decode_completed(mut decoder: Decoder) -> Option<Record> {
--- a/src/journal/record.rs
+++ b/src/journal/record.rs
@@ -15,7 +15,7 @@
         /// Index of the endpoint's zone.
         zone: u32,
         /// Earlier attempts, all of them over, that a compacted journal has no records of their own for.
-        before: u32,
+        earlier_attempts: u32,
     },
     /// An attempt ended without delivering.
     AttemptEnded {
--- a/tests/journal_compatibility.rs
+++ b/tests/journal_compatibility.rs
@@ -59,7 +59,7 @@
 
 /// Every kind of record that stands in the journal.
 fn state_records() -> Vec<Record> {
-    let started = |id, at, before| Record::AttemptStarted { id, at, zone: 0, before };
+    let started = |id, at, earlier_attempts| Record::AttemptStarted { id, at, zone: 0, earlier_attempts };
     let completed = |id, completion| Record::Completed { id, at: STARTED + 5_000_000_000, completion };
     vec![
         Record::Accepted(AcceptedMessage { body: Vec::new().into(), ..accepted(1, 1, "pending-empty") }),
@@ -148,8 +148,8 @@
             body: vec![0, 255, 13, 10, 0].into(),
         }),
         Record::Accepted(AcceptedMessage { key: Some(u64::MAX), name: String::new(), ..accepted(0, 0, "") }),
-        Record::AttemptStarted { id: u64::MAX, at: u64::MAX, zone: u32::MAX, before: u32::MAX },
-        Record::AttemptStarted { id: 0, at: 0, zone: 1, before: 0 },
+        Record::AttemptStarted { id: u64::MAX, at: u64::MAX, zone: u32::MAX, earlier_attempts: u32::MAX },
+        Record::AttemptStarted { id: 0, at: 0, zone: 1, earlier_attempts: 0 },
         Record::AttemptEnded { id: 0, may_have_run: true },
         Record::Completed { id: u64::MAX, at: 0, completion: Completion::Deferred(Some(u64::MAX)) },
         Record::Completed { id: u64::MAX, at: 0, completion: Completion::Deferred(Some(0)) },
