--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -1,4 +1,5 @@
-//! Admission: which requests have their answer at once, which the module decides on, and the journal before the answer.
+//! Admission of requests. Some are answered at once, the decision module decides on the others, and an accepted message is in
+//! the journal before its request is answered.
 use super::messages::{Answer, Output};
 use super::pending::journal_bytes;
 use super::Core;
@@ -10,45 +11,48 @@
 use crate::request::{RequestContext, RequestDetails};
 use std::collections::BTreeMap;
 
-/// A warning that would come with each request is logged once in so many seconds.
+/// Minimum interval between two warnings that the journal has no capacity left, in seconds: each rejected request would
+/// log one.
 const WARNING_INTERVAL_S: f64 = 1.0;
-/// The longest wait that a request is told which is rejected here and not by the module, in seconds: what stands in its
-/// way may pass at any time.
+/// Longest `Retry-After` of a request that is rejected without the decision module, in seconds. Short, because the cause
+/// may disappear at any time.
 const RETRY_AFTER_S: f64 = 1.0;
 
-/// When a client may come again whose request is rejected without the module; none where the settings name no wait.
+/// Returns the `Retry-After` of a request that is rejected without the decision module; `None` if the settings have none.
 pub fn rejection_retry_after(settings: &Settings) -> Option<Nanos> {
     settings.retry_after.map(|longest| Nanos::from_secs(RETRY_AFTER_S).min(longest))
 }
 
 impl Core {
-    /// Answers a request at once, or gives it to the module and returns its id.
-    pub(super) fn submitted(&mut self, id: MessageId, mut context: RequestContext) -> Option<MessageId> {
+    /// Answers a request at once, or adds it as a message for the decision module and returns its id.
+    pub(super) fn handle_submitted(
+        &mut self, id: MessageId, mut context: RequestContext,
+    ) -> Option<MessageId> {
         let class = context.class;
         if let Some(answer) = self.immediate_answer(&context) {
             self.answer(id, class, answer);
             return None;
         }
         let Verdict::Pass(tags) = self.plugins.on_request(&context, self.details(&context)) else {
-            log::info!(message = context.name, dest = context.dest; "rejected by a script");
+            log::info!(message = context.name, dest = context.dest; "request rejected by a script");
             self.answer(id, class, Answer::Reject(self.rejection_retry_after()));
             return None;
         };
         context.tags = tags;
         self.pending.insert(id, context);
-        if !self.wait_for_predecessor(id) {
+        if !self.queue_behind_predecessor(id) {
             self.events.extend(self.pending.get(id).map(|m| Event::Message(m.message(id))));
         }
         Some(id)
     }
 
-    /// The answer to a request on which nothing is left to decide; none for one that scripts and the module see.
+    /// Returns the answer to a request that needs no decision; `None` if plugins and the decision module must see it.
     fn immediate_answer(&mut self, context: &RequestContext) -> Option<Answer> {
         if let Some(answer) = self.answer_to_repeat(context) {
             return Some(answer);
         }
         if self.endpoints.has_no_destinations() {
-            // No endpoint list has come yet: which destinations exist is not known, and a retry is harmless.
+            // Without an endpoint list the existing destinations are unknown, and a retry is harmless.
             return Some(Answer::Reject(self.rejection_retry_after()));
         }
         if !self.endpoints.has_destination(context.dest) {
@@ -63,16 +67,15 @@
         None
     }
 
-    /// The answer to a request that is known by its name or its idempotency key.
+    /// Returns the answer to a repeated request, recognized by its name or its idempotency key.
     fn answer_to_repeat(&self, context: &RequestContext) -> Option<Answer> {
         match self.deduplication.get(&context.name, &context.idempotency_key) {
             Some(PriorResult::Delivered) => return Some(Answer::Delivered),
             Some(PriorResult::Failed) => return Some(Answer::Failed),
             None => {}
         }
-        // The same request again, over a connection that crossed its answer: it is pending already. Guards the clients of
-        // pending requests against others that use their names: another message under the same name is not that one,
-        // whichever came first.
+        // The client repeats a request that is still pending, for example because its connection broke before the answer.
+        // A different message under the same name is rejected: it must not receive the answer of the pending one.
         let pending = self.pending.by_name(&context.name)?;
         if pending.context.same_message(context) {
             Some(Answer::Accepted)
@@ -81,7 +84,7 @@
         }
     }
 
-    /// Whether the tables and the journal have room for one more message.
+    /// Returns whether the table of messages and the journal have room for one more message.
     fn has_capacity(&mut self, context: &RequestContext) -> bool {
         if self.pending.open() >= self.settings.max_pending || self.journal.is_unavailable() {
             return false;
@@ -91,18 +94,18 @@
             return true;
         }
         if self.now >= self.capacity_warning_at {
-            log::warn!("rejected: no capacity left in the journal");
+            log::warn!("requests rejected: no capacity left in the journal");
             self.capacity_warning_at = self.now + WARNING_INTERVAL_S;
         }
         false
     }
 
-    /// When a client whose request is rejected here may come again; none where the settings name no wait.
+    /// Returns the `Retry-After` of a request that is rejected without the decision module; `None` if the settings have none.
     pub fn rejection_retry_after(&self) -> Option<Nanos> {
         rejection_retry_after(&self.settings)
     }
 
-    /// What scripts are shown of a request beside its context.
+    /// Returns the details of a request that plugins receive in addition to its context.
     pub(super) fn details(&self, context: &RequestContext) -> RequestDetails<'_> {
         RequestDetails {
             class: self.deployment.classes.get(context.class).map_or("", String::as_str),
@@ -111,7 +114,7 @@
         }
     }
 
-    /// The client has gone. A message that is complete already stays as it is.
+    /// Withdraws a message whose client disconnected. A complete message stays as it is.
     pub(super) fn withdraw(&mut self, id: MessageId) {
         if self.pending.get_open(id).is_some() {
             self.events.push(Event::Withdrawn(id));
@@ -119,21 +122,21 @@
         }
     }
 
-    /// Answers the requests of this step on which the module has decided. An accepted one is in the journal before that.
+    /// Answers the requests on which the decision module decided in this step. Accepted messages are journalled first.
     pub(super) fn answer_submitted(&mut self, submitted: &[MessageId], actions: &[Action]) {
-        let mut refusals = BTreeMap::new();
+        let mut rejections = BTreeMap::new();
         for action in actions {
             match action {
-                Action::Reject { id, after } => drop(refusals.insert(*id, Answer::Reject(*after))),
-                Action::Fail(id) => drop(refusals.insert(*id, Answer::Failed)),
+                Action::Reject { id, after } => drop(rejections.insert(*id, Answer::Reject(*after))),
+                Action::Fail(id) => drop(rejections.insert(*id, Answer::Failed)),
                 _ => {}
             }
         }
         for id in submitted {
             let Some(message) = self.pending.get(*id) else { continue };
             let class = message.context.class;
-            let answer = match refusals.get(id) {
-                Some(refusal) => *refusal,
+            let answer = match rejections.get(id) {
+                Some(rejection) => *rejection,
                 None => self.accept(*id),
             };
             if answer != Answer::Accepted {
@@ -143,7 +146,7 @@
         }
     }
 
-    /// Accepts a message if the journal takes it, or withdraws it from the module.
+    /// Accepts a message if it can be journalled; otherwise withdraws it from the decision module and rejects it.
     fn accept(&mut self, id: MessageId) -> Answer {
         if self.write_accepted(id) {
             if let Some(message) = self.pending.get(id) {
@@ -157,7 +160,7 @@
         Answer::Reject(self.rejection_retry_after())
     }
 
-    /// Whether the journal has the message now.
+    /// Writes the message to the journal, compacting the journal first if needed. Returns whether the write succeeded.
     fn write_accepted(&mut self, id: MessageId) -> bool {
         let Some(message) = self.pending.get(id) else { return false };
         let record = Record::Accepted(message.accepted(id));
@@ -171,7 +174,7 @@
         written
     }
 
-    /// The one place where a request has its answer, and where one that ends with it is counted.
+    /// Answers a request. Counts the result of a message that ends with this answer.
     fn answer(&mut self, id: MessageId, class: usize, answer: Answer) {
         let result = match answer {
             Answer::Accepted => None,
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts: decided by the module, deferred to the end of the step, handed to the transport, started once the journal
-//! has them, ended.
+//! The life of an attempt: the decision module decides on it, the core defers it to the end of the step and hands it to
+//! the transport, the journal records it before its first byte, and its outcome ends it.
 use super::completions::DEADLINE_MARGIN_S;
 use super::in_flight::{InFlight, Stage};
 use super::messages::{Attempt, Output};
@@ -9,28 +9,28 @@
 use crate::plugins;
 use crate::request::RequestContext;
 
-/// Bytes of bodies and names in one call with several messages. Such a call is 64 KiB at the most, with its head.
+/// Maximum size of the names, keys and bodies in a batch call, in bytes. With its head the call stays below 64 KiB.
 const BATCH_BYTES_MAX: usize = 56 * 1024;
-/// Bytes that a message takes in such a call beside its names and its body.
-const BATCH_LINE_BYTES: usize = 16;
+/// Overhead of a message in a batch call, in bytes, in addition to its name, key and body.
+const BATCH_MESSAGE_OVERHEAD_BYTES: usize = 16;
 
-/// Bytes that an attempt takes in a call with several messages.
+/// Returns the size of an attempt in a batch call, in bytes.
 fn batch_bytes(attempt: &Attempt) -> usize {
     let context = &attempt.context;
-    context.name.len() + context.idempotency_key.len() + context.body.len() + BATCH_LINE_BYTES
+    context.name.len() + context.idempotency_key.len() + context.body.len() + BATCH_MESSAGE_OVERHEAD_BYTES
 }
 
-/// Whether a call that carries up to `max_batch` messages has room for one more attempt.
-fn fits(call: &[Attempt], attempt: &Attempt, max_batch: usize) -> bool {
+/// Returns whether `call`, which carries at most `max_batch` messages, has room for one more attempt.
+fn has_room(call: &[Attempt], attempt: &Attempt, max_batch: usize) -> bool {
     let bytes: usize = call.iter().map(batch_bytes).sum();
     call.len() < max_batch && bytes + batch_bytes(attempt) <= BATCH_BYTES_MAX
 }
 
-/// Adds an attempt to the last call to its endpoint, where that has room, or as a call of its own.
+/// Adds an attempt to the last call to its endpoint if that call has room, otherwise to a new call.
 fn add_to_calls(calls: &mut Vec<Vec<Attempt>>, attempt: Attempt, max_batch: usize) {
     if max_batch > 1 {
         let last = calls.iter_mut().rfind(|call| call[0].host == attempt.host);
-        if let Some(call) = last.filter(|call| fits(call, &attempt, max_batch)) {
+        if let Some(call) = last.filter(|call| has_room(call, &attempt, max_batch)) {
             call.push(attempt);
             return;
         }
@@ -38,7 +38,7 @@
     calls.push(vec![attempt]);
 }
 
-/// What the outcome of an attempt says about a request of which no byte was sent: it never ran, however it was cut off.
+/// Converts the outcome of an attempt that ended before its first byte: such an attempt cannot have run.
 fn outcome_before_first_byte(outcome: Outcome) -> Outcome {
     match outcome {
         Outcome::Timeout | Outcome::Reset => Outcome::ConnectFailed,
@@ -48,11 +48,11 @@
 }
 
 impl Core {
-    /// Takes in the outcome of an attempt. An attempt that is not in flight any more changes nothing.
+    /// Processes the outcome of an attempt. Ignores an attempt that is no longer in flight.
     pub(super) fn attempt_ended(
         &mut self, id: MessageId, attempt: u32, outcome: Outcome, over: bool, report: Option<LoadReport>,
     ) {
-        // Guards the rate limits against a load report in a deployment whose settings have none.
+        // Drops load reports in a deployment whose settings have none, so that they cannot change rate limits.
         let report = report.filter(|_| self.settings.limits_reported);
         let Some(message) = self.pending.get_mut(id) else { return };
         let Some(in_flight) = message.attempt_mut(attempt) else { return };
@@ -82,31 +82,33 @@
         if self.pending.get_open(id).is_some() {
             self.complete(id, completion);
         } else {
-            log::warn!(message = context.name, dest = context.dest; "delivered after its completion");
+            log::warn!(message = context.name, dest = context.dest; "message delivered after its completion");
         }
     }
 
-    /// How a message completes whose endpoint confirms the delivery. Guards against a confirmation that arrives at the
-    /// deadline: the platform has given the message up by then and still waits for its completion. A callback for one that
-    /// was in time after all does no harm. Other client sides are notified of every completion and judge themselves what
-    /// is late.
+    /// Returns the completion of a message whose endpoint confirmed the delivery. For the platform, which gets no callback on
+    /// a delivery, a confirmation at the deadline counts as undeliverable: the platform has given the message up by then and
+    /// still waits for its completion. A callback on a delivery in time does no harm. Other client interfaces are notified
+    /// of every completion and judge lateness themselves.
     pub(super) fn completion_of_delivery(&self, context: &RequestContext) -> Completion {
         let is_late = (context.deadline - self.now).secs() <= DEADLINE_MARGIN_S;
         if is_late && context.origin.is_empty() {
-            log::debug!(message = context.name, dest = context.dest; "delivered at its deadline");
+            log::debug!(message = context.name, dest = context.dest; "delivered at its deadline, so undeliverable");
             return Completion::Undeliverable;
         }
         Completion::Delivered
     }
 
-    /// The module has decided on an attempt. It stays deferred until the end of the step.
+    /// Registers an attempt that the decision module decided on. The attempt is deferred to the end of the step.
     pub(super) fn defer_attempt(&mut self, id: MessageId, host: EndpointId, timeout: Nanos) {
         let zone = self.endpoints.get(host).map_or(0, |e| e.zone);
         let Some(message) = self.pending.get_mut(id) else {
-            // Guards the slots: the module waits for the outcome of an attempt whose message was rejected after all.
+            // The message was rejected after this decision. The decision module still waits for an outcome, and its slot would
+            // leak without one.
             return self.skip_attempt(id, 0);
         };
-        // Guards "order by key": a message with a callback is over only once that is acknowledged.
+        // Attempts start after all actions of the step: a completion in the same step may block the ordering key, because a
+        // message with a callback holds its key until the callback is acknowledged.
         let stage = Stage::Deferred;
         let attempt = InFlight { attempt: message.attempts, started: self.now, zone, stage, host, timeout };
         message.attempts += 1;
@@ -114,8 +116,8 @@
         self.ordering.defer(id);
     }
 
-    /// Hands deferred attempts to the transport, and parks those whose ordering key is blocked. Attempts of one step to one
-    /// endpoint are one call, as far as the endpoint's kind allows.
+    /// Hands deferred attempts to the transport, and parks those whose ordering key is blocked. Attempts of a step to the
+    /// same endpoint share a call, up to the batch size of the endpoint's kind.
     pub(super) fn start_deferred_attempts(&mut self) {
         let mut calls = Vec::new();
         for id in self.ordering.take_deferred() {
@@ -126,7 +128,7 @@
         self.outputs.extend(calls.into_iter().map(Output::Call));
     }
 
-    /// Returns the attempt for the transport; none where it was given up meanwhile, or is parked.
+    /// Returns the attempt to hand to the transport; `None` if it was abandoned in this step or is now parked.
     fn start_deferred_attempt(&mut self, id: MessageId) -> Option<Attempt> {
         let message = self.pending.get_mut(id)?;
         let context = message.context.clone();
@@ -146,15 +148,16 @@
         Some(Attempt { id, attempt, host, address, timeout, at_most_once, context })
     }
 
-    /// How many messages one call to this endpoint may carry.
+    /// Returns the maximum number of messages in one call to this endpoint.
     fn max_batch(&self, host: EndpointId) -> usize {
         let kind = self.endpoints.get(host).and_then(|e| self.settings.kinds.get(e.kind));
         kind.map_or(1, |k| k.max_batch)
     }
 
-    /// Whether what was decided on this attempt still holds. Asked once, when the attempt has its connection and before its
-    /// first byte. Guards waits, drains, trials and withdrawals that came during a slow connect. From `true` on the attempt
-    /// may have run, and the journal has it; after `false` it ends as [`Outcome::NotSent`].
+    /// Returns whether an attempt may still be sent. The transport calls this once, after the connect and before the first
+    /// byte: during a slow connect a `Retry-After`, a drain, an outage (which permits trial attempts only) or a withdrawal
+    /// may have overtaken the decision. After `true` the journal has the attempt and it may run; after `false` it must end as
+    /// [`Outcome::NotSent`].
     pub fn may_send(&mut self, now: Nanos, id: MessageId, attempt: u32) -> bool {
         let Some(message) = self.pending.get_mut(id).filter(|m| m.is_open()) else { return false };
         let context = message.context.clone();
@@ -163,9 +166,9 @@
             in_flight.stage == Stage::Connecting && !self.draining && self.balancer.may_still_send(now, id);
         let (at, zone) = (in_flight.started.0, in_flight.zone as u32);
         let record = Record::AttemptStarted { id: id.0, at, zone, earlier_attempts: 0 };
-        // Guards "no double effect" across restarts: an attempt that the journal does not have does not start.
+        // An attempt that is not in the journal must not start: after a restart the message could run twice.
         if !permitted || self.journal.append(now, &record).is_err() {
-            log::debug!(message = context.name, attempt, permitted; "not sent: the decision no longer holds");
+            log::debug!(message = context.name, attempt, permitted; "attempt not sent: outdated or not journalled");
             return false;
         }
         in_flight.stage = Stage::Sent;
@@ -174,7 +177,7 @@
         true
     }
 
-    /// Reports to the module an attempt that was never handed to the transport and whose message is over.
+    /// Reports to the decision module that an attempt was never handed to the transport and that its message is done.
     pub(super) fn skip_attempt(&mut self, id: MessageId, attempt: u32) {
         self.events.push(Event::AttemptEnded(AttemptEnded {
             id,
--- a/src/core/completions.rs
+++ b/src/core/completions.rs
@@ -1,4 +1,4 @@
-//! Completions: written to the journal, reported once, kept until the callback is acknowledged, remembered for repeats.
+//! Completions: written to the journal, reported in a callback until it is acknowledged, and cached to answer repeats.
 use super::messages::Output;
 use super::Core;
 use crate::interface::{Effect, MessageId, Nanos};
@@ -6,14 +6,15 @@
 use crate::metrics::MessageResult;
 use crate::request::RequestContext;
 
-/// How long after its deadline a complete message is remembered, in seconds: a repeat may cross the network that long.
-const REMEMBER_AFTER_DEADLINE_S: f64 = 2.0;
+/// How long a complete message stays in the deduplication cache after its deadline, in seconds: a repeat may be that long
+/// in the network.
+const DEDUPLICATION_GRACE_S: f64 = 2.0;
 
-/// A message this close to its deadline, in seconds, counts as past it: one that is handed back does not run after a
-/// restart either, and the client of one that is answered may have given it up already.
+/// A message this close to its deadline, in seconds, counts as expired: if deferred, it would not run again after a
+/// restart, and if delivered, its client may already have given it up.
 pub(super) const DEADLINE_MARGIN_S: f64 = 0.05;
 
-/// How operators count a completion; none where the client withdrew the message.
+/// Returns the result that the metrics count for a completion; `None` for a withdrawn message.
 fn message_result(completion: Completion) -> Option<MessageResult> {
     match completion {
         Completion::Delivered => Some(MessageResult::Fulfilled),
@@ -24,17 +25,18 @@
 }
 
 impl Core {
-    /// Completes a message, unless it is complete already.
-    pub(super) fn complete(&mut self, id: MessageId, wanted: Completion) {
+    /// Completes a message: journals the completion and reports it. Does nothing if the message is already complete.
+    pub(super) fn complete(&mut self, id: MessageId, requested: Completion) {
         let now = self.now;
         let Some(message) = self.pending.get_open(id) else { return };
         let context = message.context.clone();
         self.abandon_deferred_attempt(id);
         let left_s = (context.deadline - now).secs();
-        log::debug!(message = context.name, completion:? = wanted, left_s; "complete");
-        let record = Record::Completed { id: id.0, at: now.0, completion: wanted };
+        log::debug!(message = context.name, completion:? = requested, left_s; "message complete");
+        let record = Record::Completed { id: id.0, at: now.0, completion: requested };
         let written = self.journal.append(now, &record).is_ok();
-        let completion = if written { wanted } else { self.completion_without_journal(&context, wanted) };
+        let completion =
+            if written { requested } else { self.completion_without_journal(&context, requested) };
         self.set_complete(id, completion);
         if let Some(result) = message_result(completion) {
             self.metrics.record_result(context.class, result);
@@ -46,11 +48,12 @@
         } else {
             self.report_before_journal(id, completion, callback);
         }
-        self.remember(&context, now, completion);
+        self.add_to_deduplication(&context, now, completion);
         self.remove_if_done(id);
     }
 
-    /// An attempt that was never handed to the transport ends with its message; the module still waits for its outcome.
+    /// Ends an attempt that was never handed to the transport, because its message completes. The decision module still waits
+    /// for its outcome.
     fn abandon_deferred_attempt(&mut self, id: MessageId) {
         let deferred = self.pending.get_mut(id).and_then(|m| m.deferred_attempt_mut());
         let Some(attempt) = deferred.map(|a| a.attempt) else { return };
@@ -58,21 +61,22 @@
         self.skip_attempt(id, attempt);
     }
 
-    /// The completion to report where the journal cannot hold it yet. Guards "no double effect": a process that is killed
-    /// now resumes the message, so its client must not be told that a retry is harmless.
-    fn completion_without_journal(&self, context: &RequestContext, wanted: Completion) -> Completion {
+    /// Returns the completion to report while the journal cannot be written. If this process is killed now, the next one
+    /// resumes the message, so the client of an at-most-once message must not be told that a retry is harmless: the
+    /// message could run twice.
+    fn completion_without_journal(&self, context: &RequestContext, requested: Completion) -> Completion {
         let effect = self.settings.classes.get(context.class).map(|c| c.effect);
         let would_run_again = (context.deadline - self.now).secs() > DEADLINE_MARGIN_S;
-        match wanted {
+        match requested {
             Completion::Deferred(_) if effect == Some(Effect::AtMostOnce) && would_run_again => {
                 Completion::Undeliverable
             }
-            _ => wanted,
+            _ => requested,
         }
     }
 
-    /// Reports a completion that the journal does not hold yet. A delivery is reported only once it is written: after a
-    /// kill, the message might complete in another way.
+    /// Reports a completion that is not in the journal yet. The report of a delivery waits until its record is written: if
+    /// the process is killed before, the message may complete in another way.
     fn report_before_journal(&mut self, id: MessageId, completion: Completion, callback: Option<Output>) {
         let record = Record::Completed { id: id.0, at: self.now.0, completion };
         if completion == Completion::Delivered {
@@ -83,7 +87,7 @@
         }
     }
 
-    /// Marks the message complete. Its ordering key is blocked until its callback is acknowledged.
+    /// Marks the message complete, and blocks its ordering key until its callback is acknowledged.
     pub(super) fn set_complete(&mut self, id: MessageId, completion: Completion) {
         let Some(message) = self.pending.get(id) else { return };
         let key = message.context.ordering_key;
@@ -93,7 +97,7 @@
         }
     }
 
-    /// The client has acknowledged the message's callback.
+    /// Handles the client's acknowledgement of a callback.
     pub(super) fn acknowledge_callback(&mut self, id: MessageId) {
         let Some(message) = self.pending.acknowledge_callback(id) else { return };
         if let Some(key) = message.context.ordering_key {
@@ -102,8 +106,11 @@
         self.remove_if_done(id);
     }
 
-    /// Remembers a complete message for its repeats. One that was handed back or withdrawn may come again as if new.
-    pub(super) fn remember(&mut self, context: &RequestContext, at: Nanos, completion: Completion) {
+    /// Adds a complete message to the deduplication cache. Deferred and withdrawn messages are left out: a repeat of them is
+    /// a new message.
+    pub(super) fn add_to_deduplication(
+        &mut self, context: &RequestContext, at: Nanos, completion: Completion,
+    ) {
         let delivered = match completion {
             Completion::Delivered => true,
             Completion::Undeliverable => false,
@@ -114,13 +121,13 @@
             Some(Effect::IdempotentByKey { window, .. }) => window,
             _ => Nanos(0),
         };
-        let until = context.deadline.max(at + window) + REMEMBER_AFTER_DEADLINE_S;
+        let until = context.deadline.max(at + window) + DEDUPLICATION_GRACE_S;
         let (name, idempotency_key) = (context.name.clone(), context.idempotency_key.clone());
         self.deduplication.expire(self.now);
         self.deduplication.insert(name, idempotency_key, until, delivered);
     }
 
-    /// Removes the message once neither a callback nor an attempt of it is left.
+    /// Removes the message if it waits neither for an acknowledgement nor for the end of an attempt.
     pub(super) fn remove_if_done(&mut self, id: MessageId) {
         let Some(message) = self.pending.get(id) else { return };
         if message.is_settled() && message.in_flight().is_none() {
@@ -128,7 +135,7 @@
         }
     }
 
-    /// Removes the message, whatever is left of it.
+    /// Removes the message and releases its ordering key.
     pub(super) fn remove(&mut self, id: MessageId) {
         if let Some(key) = self.pending.remove(id) {
             self.ordering.unblock(key);
--- a/src/core/endpoints.rs
+++ b/src/core/endpoints.rs
@@ -1,30 +1,30 @@
-//! The endpoint registry: the endpoints that discovery and the settings list, from their first entry to their last
-//! attempt, and those that operators have suspended.
+//! The endpoint registry: endpoints listed by discovery and the settings, removed endpoints that still have attempts in
+//! flight, and endpoints suspended by operators.
 use super::in_flight::InFlightCounts;
 use super::messages::{Endpoint, EndpointObservation, Output};
 use super::Core;
 use crate::interface::{DestinationId, EndpointEntry, EndpointId, EndpointState, Event, Nanos, Observation};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// Endpoints that are remembered after they were removed from the list. Bounds the memory of long days.
+/// Maximum number of remembered names of retired endpoints; bounds memory while endpoints come and go.
 const RETIRED_MAX: usize = 1024;
 
-/// All endpoints that are listed, or were and still have an attempt in flight.
+/// Listed endpoints, and removed endpoints that still have an attempt in flight.
 #[derive(Default)]
 pub(super) struct EndpointRegistry {
     by_id: BTreeMap<EndpointId, Endpoint>,
-    /// By discovery's name for them; the same endpoints as in `by_id`.
+    /// Ids of the endpoints in `by_id`, by their name in discovery.
     ids: HashMap<String, EndpointId>,
     last_id: u32,
-    /// Not listed any more, and still with an attempt in flight.
+    /// Endpoints that are no longer listed and not yet retired.
     removed: BTreeSet<EndpointId>,
-    /// Endpoints that discovery does not list; part of each complete list.
+    /// Endpoints from the settings, added to each complete list.
     static_endpoints: Vec<Endpoint>,
-    /// Every destination that an endpoint was ever listed for.
+    /// Destinations of all endpoints that were ever listed.
     destinations: BTreeSet<u64>,
-    /// Endpoints that operators suspended, until they resume them.
+    /// Names of endpoints that operators have suspended.
     suspended: BTreeSet<String>,
-    /// Endpoints that are not listed any more, the oldest first: an operator who names one has made no mistake.
+    /// Names of retired endpoints, oldest first: a suspension of one of these is accepted, as its name is not a mistake.
     retired: VecDeque<String>,
 }
 
@@ -49,7 +49,7 @@
         self.destinations.contains(&dest)
     }
 
-    /// Whether this endpoint was ever listed or suspended, as far as that is remembered.
+    /// Returns whether an endpoint of this name is listed, suspended or among the remembered retired ones.
     pub(super) fn is_known(&self, uid: &str) -> bool {
         self.ids.contains_key(uid)
             || self.suspended.contains(uid)
@@ -60,12 +60,12 @@
         self.suspended.contains(uid)
     }
 
-    /// In the order of their names.
+    /// Returns the names of suspended endpoints, in alphabetical order.
     pub(super) fn suspended(&self) -> &BTreeSet<String> {
         &self.suspended
     }
 
-    /// Suspends or resumes an endpoint, as an operator or the journal says.
+    /// Sets or clears the suspension of an endpoint.
     pub(super) fn set_suspended(&mut self, uid: String, suspended: bool) {
         if suspended {
             self.suspended.insert(uid);
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Takes in a list, or changes to one. Returns the entries for the module.
+    /// Applies a complete endpoint list or changes to it. Returns the entries for the decision module.
     fn update(&mut self, complete: bool, endpoints: Vec<Endpoint>) -> Vec<EndpointEntry> {
         let static_endpoints = if complete { self.static_endpoints.clone() } else { Vec::new() };
         let mut entries = Vec::new();
@@ -108,9 +108,9 @@
         id
     }
 
-    /// An endpoint as the module is shown it.
+    /// Returns the decision module's entry for an endpoint.
     pub(super) fn entry(&self, host: EndpointId, endpoint: &Endpoint) -> EndpointEntry {
-        // To the module a suspension is a drain: it starts nothing there, and lets attempts in flight finish.
+        // The decision module treats a suspended endpoint as draining: no new attempts, and those in flight finish.
         let is_drained = endpoint.state == EndpointState::Running && self.suspended.contains(&endpoint.uid);
         let state = if is_drained { EndpointState::Draining } else { endpoint.state };
         EndpointEntry {
@@ -123,13 +123,13 @@
         }
     }
 
-    /// The endpoints that are in the list now, as the module is shown them.
+    /// Returns the entries of the currently listed endpoints.
     pub(super) fn listed(&self) -> impl Iterator<Item = EndpointEntry> + '_ {
         let listed = self.by_id.iter().filter(|(_, e)| e.state != EndpointState::Removed);
         listed.map(|(host, endpoint)| self.entry(*host, endpoint))
     }
 
-    /// Drops the removed endpoints that have no attempt in flight, and returns them.
+    /// Drops removed endpoints without an attempt in flight, and returns them.
     fn retire_idle(&mut self, in_flight: &InFlightCounts) -> Vec<(EndpointId, Endpoint)> {
         let idle: Vec<EndpointId> =
             self.removed.extract_if(.., |host| !in_flight.has_endpoint(*host)).collect();
@@ -157,7 +157,7 @@
 }
 
 impl Core {
-    /// What this forwarder itself has observed of the listed endpoints.
+    /// Returns this forwarder's own observations of the listed endpoints.
     pub fn observations(&self, now: Nanos) -> Vec<EndpointObservation> {
         let with_uid = |observation: Observation| {
             let Observation { host, finding, age } = observation;
@@ -167,8 +167,8 @@
         self.balancer.observations(now).into_iter().filter_map(with_uid).collect()
     }
 
-    /// Passes on to the module what peers observed of endpoints that are listed here; nothing is kept of others.
-    pub(super) fn peer_observations(&mut self, observations: Vec<EndpointObservation>) {
+    /// Passes peers' observations of listed endpoints to the decision module. Drops those of other endpoints.
+    pub(super) fn handle_peer_observations(&mut self, observations: Vec<EndpointObservation>) {
         for EndpointObservation { uid, finding, age } in observations {
             let Some(host) = self.endpoints.id(&uid) else { continue };
             log::debug!(host = uid, finding:?, age_s = age.secs(); "peer observation");
@@ -181,11 +181,11 @@
         self.events.push(Event::EndpointList { complete, entries });
     }
 
-    /// Guards memory on days when endpoints come and go: what is kept of one ends with its last attempt. If it is listed
-    /// again, it is a new endpoint, and no connection of the old one serves it.
+    /// Drops removed endpoints after their last attempt, which bounds memory while endpoints come and go, and closes their
+    /// connections: an endpoint that is listed again counts as new and must not use a connection of the old one.
     pub(super) fn retire_endpoints(&mut self) {
         for (host, endpoint) in self.endpoints.retire_idle(self.pending.in_flight()) {
-            log::debug!(host = endpoint.uid, dest = endpoint.dest; "retired");
+            log::debug!(host = endpoint.uid, dest = endpoint.dest; "endpoint retired");
             self.outputs.push(Output::CloseIdle(host));
         }
     }
--- a/src/core/in_flight.rs
+++ b/src/core/in_flight.rs
@@ -1,33 +1,33 @@
-//! One attempt that has not ended, and how many there are, in all and at each endpoint.
+//! Attempts that have not ended: the state of one, and their counts in total and by endpoint.
 use crate::interface::{EndpointId, Nanos};
 use std::collections::BTreeMap;
 
-/// How far an attempt has come.
+/// Progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Stage {
-    /// Waits for the end of the step, or for the callback of an earlier message with its ordering key; it has not been
-    /// handed to the transport.
+    /// Waits for the end of the step, or for the acknowledged callback of an earlier message with the same ordering key.
+    /// Not yet handed to the transport.
     Deferred,
-    /// Waits for its connection: no byte has been sent, and the journal does not have it.
+    /// Waits for its connection. No byte has been sent, and the journal has no record of the attempt.
     Connecting,
-    /// Its first byte may have been sent.
+    /// In the journal; its first byte may have been sent.
     Sent,
 }
 
 /// An attempt that has not ended.
 pub(super) struct InFlight {
-    /// The attempt's number within its message, from zero.
+    /// Number of the attempt within its message, from zero.
     pub(super) attempt: u32,
-    /// When it was decided on, and from `Connecting` on when it was handed to the transport.
+    /// Time of the decision; from stage `Connecting` on, time of the handover to the transport.
     pub(super) started: Nanos,
-    /// Zone of its endpoint, as an index in the settings.
+    /// Index of the endpoint's zone in the settings.
     pub(super) zone: usize,
     pub(super) stage: Stage,
     pub(super) host: EndpointId,
     pub(super) timeout: Nanos,
 }
 
-/// How many attempts are in flight, so that no event has to walk over the pending messages.
+/// Counts of attempts in flight, kept so that no event has to scan the pending messages.
 #[derive(Default)]
 pub(super) struct InFlightCounts {
     by_endpoint: BTreeMap<EndpointId, usize>,
--- a/src/core/journal_writer.rs
+++ b/src/core/journal_writer.rs
@@ -1,53 +1,53 @@
-//! Keeps the journal a step ahead of what the core does, also on a disk that fails. What must be in the journal
-//! before something happens is written or the thing does not happen; what has happened already is deferred and written
-//! later, in order, before anything else. What a record means is the core's.
+//! Write-ahead journalling on a disk that may fail. A record that must precede an effect is written, or the effect does not
+//! take place. A record of something that has already happened is deferred while the journal cannot be written, and written
+//! later, in order, before any other record.
 //!
-//! | record that is not written | what happens | a kill before it is |
+//! | record that cannot be written | what happens | if the process is killed before it is written |
 //! | --- | --- | --- |
 //! | `Accepted` | the client gets 503 | nothing was accepted |
-//! | `AttemptStarted` | the attempt does not start; the module gets `NotSent` | it never started |
+//! | `AttemptStarted` | the attempt does not start; the decision module gets `NotSent` | the attempt never started |
 //! | `AttemptEnded` | deferred | the attempt may have run: an at-most-once message ends as undeliverable |
-//! | `Completed` | deferred | the message completes once more; what may have run does not run again |
-//! | `CallbackAcknowledged` | deferred | the same callback is sent once more |
+//! | `Completed` | deferred | the message completes again; an at-most-once message that may have run does not run again |
+//! | `CallbackAcknowledged` | deferred | the same callback is sent again |
 //!
-//! The deferred records are bounded: while the journal cannot be written nothing is accepted and no attempt starts, so
-//! each pending message adds its outcome, its completion and its acknowledgement at the most.
+//! The number of deferred records is bounded: while the journal cannot be written, nothing is accepted and no attempt starts,
+//! so each pending message adds at most the end of its attempt, its completion and its acknowledgement.
 use super::messages::Output;
 use crate::journal::{Journal, JournalError, Record};
 use crate::Nanos;
 use std::collections::VecDeque;
 
-/// The first and the longest pause before a disk that failed is tried again, in seconds. The first is that of a
-/// passing error; the longest costs one failing call a second.
+/// First pause before a failed disk is retried, in seconds: short, for a transient error.
 const FIRST_BACKOFF_S: f64 = 0.02;
+/// Longest pause before a failed disk is retried, in seconds: one failing call a second.
 const MAX_BACKOFF_S: f64 = 1.0;
-/// For so long after it recovered, in seconds, a disk that fails again has the same fault: no second line at ERROR, and
-/// the backoff goes on from where it was.
-const SAME_FAULT_S: f64 = 10.0;
+/// A disk that fails again within this time after its recovery, in seconds, counts as having the same fault: no second
+/// line at level ERROR, and the backoff is not reset.
+const SAME_FAULT_WINDOW_S: f64 = 10.0;
 
-/// The journal did not take a record, so what the record announces must not happen. The cause is in the log.
+/// A record was not written to the journal, so the effect that it announces must not take place. The cause is in the log.
 #[derive(Debug, thiserror::Error)]
-#[error("not written to the journal; the cause is in the log: make room on its disk, or wait for messages to complete")]
+#[error("record not written to the journal (see the log for the cause): free space on its disk, or wait until messages complete")]
 pub(super) struct NotWritten;
 
-/// A record that waits for the journal, and what is to be done once it is written.
+/// A record that waits until the journal can be written, and the output to release once it is written.
 struct DeferredRecord {
     record: Record,
     then: Option<Output>,
 }
 
-/// The journal, with the records that it could not take.
+/// The journal, and the records that could not be written to it yet.
 pub(super) struct JournalWriter {
     journal: Journal,
     deferred: VecDeque<DeferredRecord>,
-    /// When the journal is tried again; set while it cannot be written.
+    /// Time of the next retry; set while the journal cannot be written.
     retry_at: Option<Nanos>,
-    /// When a rewrite may be tried again; set while the last one failed.
+    /// Earliest time of the next rewrite; set after a rewrite failed, until one succeeds.
     rewrite_retry_at: Option<Nanos>,
-    /// The next pause, in seconds.
+    /// Next pause before a retry, in seconds.
     backoff_s: f64,
     recovered_at: Option<Nanos>,
-    /// The journal is another process's.
+    /// Whether the journal has been released to another process.
     released: bool,
 }
 
@@ -64,59 +64,59 @@
         }
     }
 
-    /// Whether the journal cannot be written at present.
+    /// Returns whether the last write failed and the journal has not recovered since.
     pub(super) fn is_unavailable(&self) -> bool {
         self.retry_at.is_some()
     }
 
-    /// The journal is another process's from now on: nothing is written any more.
+    /// Releases the journal to another process: this one writes nothing from now on.
     pub(super) fn release(&mut self) {
         self.released = true;
     }
 
-    /// When `retry` is to be called.
+    /// Returns the time of the next call to `retry`; `None` while the journal can be written.
     pub(super) fn next_wake(&self) -> Option<Nanos> {
         self.retry_at
     }
 
-    /// Bytes that all that must be kept may take.
+    /// Returns the capacity for pending messages and the deduplication cache, in bytes.
     pub(super) fn capacity(&self) -> u64 {
         self.journal.pending_capacity()
     }
 
-    /// Whether the journal should be rewritten before a record of so many bytes is added.
-    pub(super) fn needs_rewrite(&self, now: Nanos, more: u64) -> bool {
+    /// Returns whether the journal should be rewritten before `additional` bytes are accepted.
+    pub(super) fn needs_rewrite(&self, now: Nanos, additional: u64) -> bool {
         !self.is_unavailable()
             && !self.released
             && self.rewrite_retry_at.is_none_or(|at| now >= at)
-            && self.journal.needs_compaction(more)
+            && self.journal.needs_compaction(additional)
     }
 
-    /// Writes what must be in the journal before it happens.
+    /// Writes a record that must be in the journal before the effect that it announces.
     ///
     /// # Errors
     ///
-    /// The journal cannot be written, has no room for another message, or is another process's.
+    /// The journal cannot be written, has no room for another message, or has been released to another process.
     pub(super) fn append(&mut self, now: Nanos, record: &Record) -> Result<(), NotWritten> {
         if self.is_unavailable() || self.released {
             return Err(NotWritten);
         }
         match self.journal.append(record) {
             Ok(()) => Ok(()),
-            // The journal's own limit says nothing of the disk. What has been accepted has its reserve behind it.
+            // A full journal is no disk fault: later records of accepted messages still fit into its reserve.
             Err(JournalError::CapacityExceeded) if matches!(record, Record::Accepted(_)) => {
-                log::warn!("rejected: no capacity left in the journal");
+                log::warn!("request rejected: no capacity left in the journal");
                 Err(NotWritten)
             }
             Err(error) => {
-                self.failed(now, &error);
+                self.handle_failure(now, &error);
                 Err(NotWritten)
             }
         }
     }
 
-    /// Writes what has happened. Where it cannot be written it is deferred, and `retry` returns `then` once it is; the
-    /// caller gets `then` back where the record is written at once.
+    /// Writes a record of something that has already happened. Returns `then` if the record is written at once; otherwise
+    /// defers both, and `retry` returns `then` once the record is written.
     pub(super) fn append_or_defer(
         &mut self, now: Nanos, record: Record, then: Option<Output>,
     ) -> Option<Output> {
@@ -127,11 +127,13 @@
         None
     }
 
-    fn failed(&mut self, now: Nanos, error: &JournalError) {
-        let is_same_fault = self.recovered_at.is_some_and(|at| (now - at).secs() < SAME_FAULT_S);
+    fn handle_failure(&mut self, now: Nanos, error: &JournalError) {
+        let is_same_fault = self.recovered_at.is_some_and(|at| (now - at).secs() < SAME_FAULT_WINDOW_S);
         if !is_same_fault {
             self.backoff_s = FIRST_BACKOFF_S;
-            log::error!("journal cannot be written: {error}; nothing is accepted or sent until it can");
+            log::error!(
+                "journal cannot be written: {error}; no message is accepted or sent until the disk recovers"
+            );
         }
         self.back_off(now);
     }
@@ -141,8 +143,8 @@
         self.backoff_s = (self.backoff_s * 2.0).min(MAX_BACKOFF_S);
     }
 
-    /// Tries a journal that could not be written again, when its time has come. `all_records` gives all that the journal
-    /// must hold. Returns what was to be done once its record was written; none where nothing was tried.
+    /// Retries an unavailable journal when its backoff is over. `all_records` returns the records for a rewrite. Returns the
+    /// outputs of the deferred records that are now written; `None` if no retry was due.
     pub(super) fn retry<I: Iterator<Item = Record>>(
         &mut self, now: Nanos, all_records: impl FnOnce() -> I,
     ) -> Option<Vec<Output>> {
@@ -169,7 +171,8 @@
     ) -> Result<(), JournalError> {
         match self.append_deferred(outputs) {
             Ok(()) => Ok(()),
-            // Another file helps where this one is at its limit or cannot be repaired; it holds all that was deferred.
+            // A rewrite helps if the file is at its limit or its incomplete record cannot be truncated. The new file includes
+            // the effect of all deferred records.
             Err(JournalError::CapacityExceeded) => self.replace(all_records(), outputs),
             Err(_) if self.journal.has_partial_record() => self.replace(all_records(), outputs),
             Err(error) => Err(error),
@@ -177,7 +180,7 @@
     }
 
     fn append_deferred(&mut self, outputs: &mut Vec<Output>) -> Result<(), JournalError> {
-        // A record without a meaning: whether the disk takes anything is seen before a message depends on it.
+        // Tests the disk with a record that has no effect, before writing one that a message depends on.
         self.journal.append(&Record::CallbackAcknowledged { id: 0 })?;
         while let Some(next) = self.deferred.front() {
             self.journal.append(&next.record)?;
@@ -195,7 +198,7 @@
         Ok(())
     }
 
-    /// Rewrites the journal. Where this fails, the old one goes on, and this is not tried again at once.
+    /// Rewrites the journal. On failure the old journal stays in use, and the next rewrite is tried after a pause.
     pub(super) fn rewrite(&mut self, now: Nanos, all_records: impl Iterator<Item = Record>) {
         match self.journal.compact(all_records) {
             Ok(()) => {
@@ -206,7 +209,7 @@
                 let failed_before = self.rewrite_retry_at.is_some();
                 self.rewrite_retry_at = Some(now + MAX_BACKOFF_S);
                 if !failed_before {
-                    log::error!("journal not rewritten, the old one goes on: {error}");
+                    log::error!("journal not rewritten, the old one stays in use: {error}");
                 }
             }
         }
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -1,4 +1,4 @@
-//! What the core takes in and what it gives out: inputs, answers, attempts, callbacks. Knows no wire.
+//! Input and output types of the core, independent of any protocol.
 use crate::interface::{
     DestinationId, EndpointId, EndpointState, Finding, LoadReport, MessageId, Nanos, Outcome,
 };
@@ -9,81 +9,81 @@
 /// The answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
-    /// The journal has the message, and its completion will be reported.
+    /// The message is in the journal, and its completion will be reported.
     Accepted,
     /// A repeat of a message that was delivered.
     Delivered,
-    /// Not accepted: a retry is harmless, after this time if one is given.
+    /// Not accepted. A retry is harmless, after the given time if there is one.
     Reject(Option<Nanos>),
-    /// No endpoint was ever listed for its destination.
+    /// No endpoint was ever listed for the destination.
     UnknownDestination,
-    /// Its deadline has passed, or it is a repeat of a message that failed.
+    /// The deadline has passed, or the request repeats a message that failed.
     Failed,
 }
 
-/// One endpoint of the endpoint list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// Discovery's name for the endpoint, the same for all forwarders.
+    /// Name of the endpoint in discovery, the same for all forwarders.
     pub uid: String,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: String,
     /// Index of its zone in the settings.
     pub zone: usize,
     /// Index of its endpoint kind in the settings.
     pub kind: usize,
-    /// The destination that it serves.
+    /// Destination that it serves.
     pub dest: u64,
-    /// Its state in the list.
+    /// State in the list.
     pub state: EndpointState,
-    /// Its rate as listed, in messages a second.
+    /// Listed rate, in messages per second.
     pub rate: f64,
 }
 
-/// What was observed of an endpoint, by this forwarder or by a peer.
+/// An observation of an endpoint, made by this forwarder or by a peer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointObservation {
-    /// Discovery's name for the endpoint, the same for all forwarders. One that is replaced has another, also at the
-    /// same address.
+    /// Name of the endpoint in discovery, the same for all forwarders. A replacement has another name, even at the same
+    /// address.
     pub uid: String,
-    /// What was observed.
+    /// What was found.
     pub finding: Finding,
-    /// How long ago.
+    /// Age of the observation.
     pub age: Nanos,
 }
 
-/// What happened.
+/// An event that the core handles in a step.
 pub enum Input {
-    /// The endpoint list, or changes to it.
+    /// The endpoint list was received, or changes to it.
     Endpoints {
-        /// Whether endpoints that are not named here are removed.
+        /// Whether this is the whole list: endpoints missing from it are removed.
         complete: bool,
         /// The endpoints.
         endpoints: Vec<Endpoint>,
     },
     /// A client submitted a request.
     Submitted {
-        /// The message's number, from [`Core::next_id`](super::Core::next_id).
+        /// Id of the message, from [`Core::next_id`](super::Core::next_id).
         id: MessageId,
         /// The request.
         context: RequestContext,
     },
-    /// The client went away before its answer.
+    /// The client disconnected before its answer.
     Withdrawn(MessageId),
-    /// An attempt ended. Each attempt of [`Output::Call`] ends once.
+    /// An attempt ended. Each attempt of an [`Output::Call`] ends exactly once.
     AttemptEnded {
-        /// Its message.
+        /// The message.
         id: MessageId,
-        /// Its number within the message.
+        /// Number of the attempt within the message.
         attempt: u32,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// Whether the endpoint says that nothing more is owed.
+        /// Whether the endpoint reported that the message needs no further delivery and no callback.
         over: bool,
-        /// What the response said of its destination's limit.
+        /// Load report of the response on the destination's rate limit.
         report: Option<LoadReport>,
     },
-    /// A partner's `Retry-After` (RFC 9110, section 10.2.3), received from this endpoint.
+    /// An endpoint sent a `Retry-After` (RFC 9110, section 10.2.3).
     RetryAfter {
         /// The endpoint.
         host: EndpointId,
@@ -94,61 +94,61 @@
     },
     /// The client acknowledged the callback of this message.
     CallbackAcknowledged(MessageId),
-    /// What peers observed.
+    /// Peers sent observations of endpoints.
     PeerObservations(Vec<EndpointObservation>),
-    /// What the process that had the journal before reports of its calls and of endpoints.
+    /// The predecessor reported outcomes of its calls, or observations of endpoints.
     PredecessorRecords(Vec<Record>),
-    /// That process has ended, or has no call in flight any more.
+    /// The predecessor has exited, or has no call in flight any more.
     PredecessorExited,
 }
 
-/// One attempt at delivery.
+/// One delivery of one message to an endpoint.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Its message.
+    /// The message.
     pub id: MessageId,
-    /// Its number within the message, from zero.
+    /// Number of the attempt within the message, from zero.
     pub attempt: u32,
     /// The endpoint.
     pub host: EndpointId,
-    /// Where the endpoint listens.
+    /// Address of the endpoint.
     pub address: String,
-    /// How long the attempt may take, with its connect.
+    /// Time limit of the attempt, including its connect.
     pub timeout: Nanos,
-    /// The message must not run twice: giving the attempt up forfeits the message.
+    /// Whether the message must not run twice. If such an attempt is cancelled after its first byte, it is not retried.
     pub at_most_once: bool,
     /// The request.
     pub context: Arc<RequestContext>,
 }
 
-/// What a client is notified of after its message was accepted.
+/// The notification of a client that its accepted message is complete.
 #[derive(Clone, Debug)]
 pub struct Callback {
     /// The message.
     pub id: MessageId,
-    /// The id that the client gave it.
+    /// Name that the client gave the message.
     pub name: String,
-    /// The client side that is to pass it on; empty for the platform's own.
+    /// Data of the client interface that delivers the callback; empty for the platform interface.
     pub origin: String,
-    /// How the message ended.
+    /// How the message completed.
     pub completion: Completion,
 }
 
-/// What is to be done.
+/// An effect that the caller of the core carries out.
 pub enum Output {
     /// Answer a request.
     Answer(MessageId, Answer),
-    /// Start one call: a single message, or several for one endpoint.
+    /// Start a call to one endpoint, with one attempt or a batch.
     Call(Vec<Attempt>),
-    /// Give an attempt up; it still ends with an [`Input::AttemptEnded`].
+    /// Cancel an attempt; it still ends with an [`Input::AttemptEnded`].
     CancelAttempt {
-        /// Its message.
+        /// The message.
         id: MessageId,
-        /// Its number within the message.
+        /// Number of the attempt within the message.
         attempt: u32,
     },
     /// Close the idle connections to this endpoint.
     CloseIdle(EndpointId),
-    /// Notify the client, again and again until it acknowledges.
+    /// Send a callback to the client, repeatedly until it is acknowledged.
     Callback(Callback),
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,10 +1,19 @@
-//! Pending messages, attempts, completions and deadlines, without I/O. Drives the decision module with all that happened
-//! in a step, keeps the journal ahead of what is done, and returns what is to be done. Knows no wire.
+//! Pending messages with their attempts, completions and deadlines, without network I/O. Each step feeds inputs to the
+//! decision module, writes the journal before any effect, and returns the outputs that the caller carries out.
 //!
-//! By concern: `admission` requests and their answers, `pending` the table of messages, `attempts` and `in_flight` what is
-//! sent, `ordering` attempts that wait behind their ordering key, `completions` what is over, `endpoints` the endpoint
-//! registry, `suspensions` what operators change in it, `journal_writer` what must be written first, `restart` what the
-//! journal says at a start, `takeover` a journal that goes from one process to the next.
+//! | module | concern |
+//! | --- | --- |
+//! | `admission` | requests and their answers |
+//! | `pending` | the table of pending messages |
+//! | `attempts`, `in_flight` | attempts and their state |
+//! | `ordering` | attempts that wait for their ordering key |
+//! | `completions` | complete messages and their callbacks |
+//! | `endpoints` | the endpoint registry |
+//! | `suspensions` | operators' suspensions, and the metrics of the endpoint list |
+//! | `journal_writer` | journal writes on a disk that may fail |
+//! | `restart` | replay of the journal at startup |
+//! | `takeover` | handover of the journal to another process |
+//! | `messages` | input and output types |
 #![warn(missing_docs)]
 mod admission;
 mod attempts;
@@ -39,39 +48,39 @@
 use std::sync::Arc;
 use takeover::PredecessorCalls;
 
-/// Nanoseconds in a millisecond, the unit in which a completion tells a wait.
+/// Nanoseconds in a millisecond, the unit of the wait in a [`Completion`].
 const NANOS_PER_MILLI: u64 = 1_000_000;
 
-/// What a core needs to start.
+/// Parameters of [`Core::new`].
 pub struct CoreOptions {
-    /// Settings of the decision module, and the names of classes, tenants, zones and endpoint kinds.
+    /// Settings of the decision module, and the the names of classes, tenants, zones and endpoint kinds.
     pub deployment: Arc<DeploymentSettings>,
     /// Seed of the decision module's random numbers.
     pub seed: u64,
-    /// Endpoints that discovery does not list; they are added to each complete endpoint list.
+    /// Endpoints from the settings rather than from discovery; added to each complete endpoint list.
     pub static_endpoints: Vec<Endpoint>,
-    /// Scripts that see each request and each outcome.
+    /// Scripts that inspect each request and each outcome.
     pub plugins: Plugins,
     /// The journal, open for appending.
     pub journal: Journal,
-    /// The records that the journal held when it was opened.
+    /// The records read from the journal when it was opened.
     pub records: Vec<Record>,
     /// Whether the process that wrote the journal may still have calls in flight.
     pub predecessor: Predecessor,
-    /// Unix time of the start.
+    /// Unix time at startup.
     pub now: Nanos,
 }
 
-/// The process that wrote the journal before this one.
+/// State of the process that wrote the journal before this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Predecessor {
-    /// It has ended: whatever it had in flight may have run.
+    /// The predecessor has exited. Attempts that it had in flight may have run.
     None,
-    /// It released the journal in a takeover and may still have calls in flight, whose outcomes it reports.
+    /// The predecessor released the journal in a takeover. It reports the outcomes of calls that it still has in flight.
     MayHaveCalls,
 }
 
-/// Pending messages, their attempts and their completions: drives the decision module and the journal.
+/// The table of pending messages; drives the decision module and writes the journal.
 pub struct Core {
     settings: Settings,
     deployment: Arc<DeploymentSettings>,
@@ -84,28 +93,28 @@
     deduplication: DeduplicationCache,
     endpoints: EndpointRegistry,
     predecessor_calls: PredecessorCalls,
-    /// The number of the next message.
+    /// Id of the next message.
     next_id: u64,
-    /// Time of the present step.
+    /// Time of the current step.
     now: Nanos,
-    /// When the module is to be called at the latest.
+    /// Latest time of the next call to the decision module.
     wake_at: Option<Nanos>,
-    /// What the module is told next.
+    /// Events for the next call to the decision module.
     events: Vec<Event>,
-    /// What the present step returns.
+    /// Outputs of the current step.
     outputs: Vec<Output>,
-    /// No new attempt starts, and the module is not called any more.
+    /// Set on shutdown: no new attempt starts, and the decision module is no longer called.
     draining: bool,
-    /// The module has been told that no attempt can start.
+    /// Whether the decision module was last sent `Event::Paused(true)`.
     paused: bool,
-    /// When the next warning of a journal without capacity may be logged.
+    /// Earliest time of the next warning that the journal has no capacity left.
     capacity_warning_at: Nanos,
-    /// When the endpoints are counted next; none while nobody is shown the metrics.
+    /// Time of the next count of listed endpoints; `None` until [`Core::enable_metrics`] is called.
     endpoint_count_at: Option<Nanos>,
 }
 
 impl Core {
-    /// Creates a core that resumes all messages of the journal that are not complete.
+    /// Creates a core and resumes the pending messages of the journal.
     pub fn new(options: CoreOptions) -> Core {
         let CoreOptions { deployment, seed, static_endpoints, plugins, journal, records, predecessor, now } =
             options;
@@ -139,49 +148,49 @@
         core
     }
 
-    /// Takes the number for the next message that is submitted.
+    /// Allocates the id of the next submitted message.
     pub fn next_id(&mut self) -> MessageId {
         let id = MessageId(self.next_id);
         self.next_id += 1;
         id
     }
 
-    /// The shortest time between two steps, from the settings.
+    /// Returns the shortest time between two steps, from the settings.
     pub fn tick(&self) -> Nanos {
         self.settings.tick
     }
 
-    /// When [`step`](Core::step) is to be called at the latest; none where nothing is due.
+    /// Returns the latest time of the next call to [`step`](Core::step); `None` if nothing is scheduled.
     pub fn next_wake(&self) -> Option<Nanos> {
-        let module = self.wake_at.filter(|_| !self.draining);
-        module.into_iter().chain(self.journal.next_wake()).min()
+        let decision = self.wake_at.filter(|_| !self.draining);
+        decision.into_iter().chain(self.journal.next_wake()).min()
     }
 
-    /// Attempts that have not ended.
+    /// Returns the number of attempts that have not ended, including those not yet handed to the transport.
     pub fn attempts_in_flight(&self) -> usize {
         self.pending.in_flight().total()
     }
 
-    /// From now on no new attempt starts; what is submitted is kept for the next process.
+    /// Stops starting attempts. Messages accepted from now on stay in the journal for the next process.
     pub fn start_draining(&mut self) {
         self.draining = true;
     }
 
-    /// Takes in all that happened, lets the module decide once, and returns what is to be done, in order.
+    /// Processes the inputs, calls the decision module once, and returns the outputs to carry out, in order.
     pub fn step(&mut self, now: Nanos, inputs: Vec<Input>) -> Vec<Output> {
         self.now = now;
         self.retry_journal();
         let mut submitted = Vec::new();
         for input in inputs {
-            submitted.extend(self.take_in(input));
+            submitted.extend(self.handle_input(input));
         }
-        // The journal may have failed since the last step, when an attempt was about to start.
+        // `may_send` writes to the journal between steps, and that write may have failed.
         self.pause_if_journal_unavailable();
         self.advance_predecessor_calls();
         let actions = self.decide();
         self.answer_submitted(&submitted, &actions);
         for action in actions {
-            self.carry_out(action);
+            self.execute_action(action);
         }
         self.start_deferred_attempts();
         self.retire_endpoints();
@@ -193,10 +202,10 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Takes in one input. Returns the id of a message that the module decides on in this step.
-    fn take_in(&mut self, input: Input) -> Option<MessageId> {
+    /// Handles one input. Returns the id of a submitted message that the decision module decides on in this step.
+    fn handle_input(&mut self, input: Input) -> Option<MessageId> {
         match input {
-            Input::Submitted { id, context } => return self.submitted(id, context),
+            Input::Submitted { id, context } => return self.handle_submitted(id, context),
             Input::Endpoints { complete, endpoints } => self.update_endpoints(complete, endpoints),
             Input::Withdrawn(id) => self.withdraw(id),
             Input::AttemptEnded { id, attempt, outcome, over, report } => {
@@ -211,14 +220,14 @@
                 log::debug!(dest = dest.0, wait_s = wait.secs(); "Retry-After received");
                 self.events.push(Event::RetryAfter { host, dest, wait });
             }
-            Input::PeerObservations(observations) => self.peer_observations(observations),
-            Input::PredecessorRecords(records) => self.predecessor_records(records),
-            Input::PredecessorExited => self.predecessor_exited(),
+            Input::PeerObservations(observations) => self.handle_peer_observations(observations),
+            Input::PredecessorRecords(records) => self.handle_predecessor_records(records),
+            Input::PredecessorExited => self.handle_predecessor_exit(),
         }
         None
     }
 
-    /// Lets the module decide on all events so far; nothing while draining.
+    /// Passes the collected events to the decision module and returns its actions; none while draining.
     fn decide(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
         if self.draining {
@@ -233,7 +242,7 @@
         actions
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute_action(&mut self, action: Action) {
         match action {
             Action::Send { id, host, timeout } => self.defer_attempt(id, host, timeout),
             Action::Cancel { id, attempt } => self.outputs.push(Output::CancelAttempt { id, attempt }),
@@ -244,25 +253,25 @@
             Action::Fail(id) => self.complete(id, Completion::Undeliverable),
             Action::WakeAt(at) => self.wake_by(at),
             Action::CloseIdle(host) => self.outputs.push(Output::CloseIdle(host)),
-            // The watch on the endpoint list renews itself.
+            // The discovery module keeps up its watch on the endpoint list by itself.
             Action::WatchEndpointList => {}
-            Action::Log { text, host } => self.log_of_module(text, host),
+            Action::Log { text, host } => self.log_for_module(text, host),
         }
     }
 
-    fn log_of_module(&self, text: &str, host: Option<EndpointId>) {
+    fn log_for_module(&self, text: &str, host: Option<EndpointId>) {
         match host.and_then(|host| self.endpoints.get(host)) {
             Some(endpoint) => log::info!(host = endpoint.uid, dest = endpoint.dest; "{text}"),
             None => log::info!("{text}"),
         }
     }
 
-    /// Wakes at this time, or earlier where that is due already.
+    /// Schedules a wake-up at `at`, unless an earlier one is scheduled.
     fn wake_by(&mut self, at: Nanos) {
-        self.wake_at = Some(self.wake_at.map_or(at, |due| due.min(at)));
+        self.wake_at = Some(self.wake_at.map_or(at, |scheduled| scheduled.min(at)));
     }
 
-    /// Where the journal could not be written, tries whether it can be again.
+    /// Retries an unavailable journal once its backoff is over.
     fn retry_journal(&mut self) {
         let now = self.now;
         let (pending, deduplication) = (&self.pending, &self.deduplication);
@@ -277,8 +286,8 @@
         }
     }
 
-    /// Tells the module that no attempt can start. Without this it would decide on attempts of all its messages again and
-    /// again while a disk fails.
+    /// Pauses the decision module while the journal cannot be written. Without the pause it would decide on new attempts
+    /// for all its messages in every step while the disk fails.
     fn pause_if_journal_unavailable(&mut self) {
         if self.journal.is_unavailable() && !self.paused {
             self.paused = true;
@@ -295,7 +304,7 @@
     }
 }
 
-/// All that the journal must hold, in the fewest records.
+/// Returns the records of a compacted journal: the smallest set that restores the current state.
 fn journal_records<'a>(
     pending: &'a PendingMessages, deduplication: &'a DeduplicationCache, endpoints: &'a EndpointRegistry,
     now: Nanos,
--- a/src/core/ordering.rs
+++ b/src/core/ordering.rs
@@ -1,17 +1,17 @@
-//! Ordering keys: an attempt whose key has an unacknowledged callback waits until that callback is acknowledged.
+//! Ordering keys: an attempt waits while another message of its key has an unacknowledged callback.
 //!
-//! An attempt is in one place: deferred until the end of the step, parked behind its key, or with the transport.
+//! Each attempt is in one of three states: deferred to the end of the step, parked behind its key, or handed to the transport.
 use crate::interface::MessageId;
 use std::collections::hash_map::Entry;
 use std::collections::{BTreeSet, HashMap};
 
 #[derive(Default)]
 pub(super) struct OrderingKeys {
-    /// For each key, how many of its messages are complete with a callback that is not acknowledged; never zero.
+    /// By key, the number of its complete messages with an unacknowledged callback; never zero.
     unacknowledged: HashMap<u64, usize>,
-    /// Messages whose attempt is handed to the transport at the end of this step, unless their key is blocked.
+    /// Messages whose attempt is handed to the transport at the end of the step, unless their key is blocked.
     deferred: BTreeSet<MessageId>,
-    /// Messages whose attempt waits for its key to be free; looked at when that happens, and not before.
+    /// By key, messages whose attempt waits until the key is unblocked.
     parked: HashMap<u64, Vec<MessageId>>,
 }
 
@@ -21,28 +21,28 @@
         self.deferred.insert(id);
     }
 
-    /// The messages with a deferred attempt, in the order of their ids.
+    /// Removes and returns the messages with a deferred attempt, ordered by id.
     pub(super) fn take_deferred(&mut self) -> BTreeSet<MessageId> {
         std::mem::take(&mut self.deferred)
     }
 
-    /// Whether a message of this key has an unacknowledged callback.
+    /// Returns whether a message of this key has an unacknowledged callback.
     pub(super) fn is_blocked(&self, key: u64) -> bool {
         self.unacknowledged.contains_key(&key)
     }
 
-    /// Parks the attempt of this message until its key is free.
+    /// Parks the attempt of this message until its key is unblocked.
     pub(super) fn park(&mut self, key: u64, id: MessageId) {
         self.parked.entry(key).or_default().push(id);
     }
 
-    /// A message of this key is complete, and its callback is not acknowledged.
+    /// Blocks the key for a complete message with an unacknowledged callback.
     pub(super) fn block(&mut self, key: u64) {
         *self.unacknowledged.entry(key).or_default() += 1;
     }
 
-    /// One of the key's callbacks is acknowledged. With the last one, attempts that are parked behind the key are deferred
-    /// to the end of the step.
+    /// Releases one of the key's blocks, for an acknowledged callback. With the last one, defers the parked attempts of the
+    /// key to the end of the step.
     pub(super) fn unblock(&mut self, key: u64) {
         let Entry::Occupied(mut count) = self.unacknowledged.entry(key) else { return };
         *count.get_mut() -= 1;
--- a/src/core/pending.rs
+++ b/src/core/pending.rs
@@ -1,5 +1,5 @@
-//! Pending messages: each with its attempts, what may have run, its completion, and the records that the journal needs
-//! of it. The table keeps its counts and its index by name in step with the messages.
+//! The table of pending messages: for each its attempts, its first possible run, its completion and its journal records.
+//! The table keeps its counts and its index by name consistent with the messages.
 use super::in_flight::{InFlight, InFlightCounts, Stage};
 use super::messages::Callback;
 use crate::interface::{DestinationId, Message, MessageId, Nanos};
@@ -8,20 +8,20 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// A message that is not complete, or whose attempt or callback is not over.
+/// A message that is open, or complete with an attempt in flight or an unacknowledged callback.
 pub(super) struct PendingMessage {
     pub(super) context: Arc<RequestContext>,
-    /// Attempts so far, with the one in flight.
+    /// Number of attempts so far, including the one in flight.
     pub(super) attempts: u32,
     in_flight: Option<InFlight>,
-    /// When, and in which zone, the first attempt started that may have run.
+    /// Start and zone of the first attempt that may have run.
     pub(super) first_possible_run: Option<(Nanos, usize)>,
-    /// Set once; the message then remains for its attempt and its callback.
+    /// Set once. A complete message stays in the table until its attempt has ended and its callback is acknowledged.
     completion: Option<Completion>,
     callback_acknowledged: bool,
-    /// Whether the journal has it.
+    /// Whether the message is in the journal.
     pub(super) in_journal: bool,
-    /// Bytes that the journal reserves for it.
+    /// Bytes reserved in the journal for the message.
     journal_bytes: u64,
 }
 
@@ -30,12 +30,12 @@
         self.in_flight.as_ref()
     }
 
-    /// The attempt in flight with this number; none once it has ended.
+    /// Returns the attempt with this number if it is in flight.
     pub(super) fn attempt_mut(&mut self, attempt: u32) -> Option<&mut InFlight> {
         self.in_flight.as_mut().filter(|a| a.attempt == attempt)
     }
 
-    /// The attempt that has not been handed to the transport.
+    /// Returns the attempt in flight if it has not been handed to the transport.
     pub(super) fn deferred_attempt_mut(&mut self) -> Option<&mut InFlight> {
         self.in_flight.as_mut().filter(|a| a.stage == Stage::Deferred)
     }
@@ -48,13 +48,13 @@
         self.completion.is_none()
     }
 
-    /// Whether the message is complete and nobody is to be notified of it any more.
+    /// Returns whether the message is complete and needs no callback, or its callback is acknowledged.
     pub(super) fn is_settled(&self) -> bool {
         let Some(completion) = self.completion else { return false };
         self.callback_acknowledged || !needs_callback(&self.context, completion)
     }
 
-    /// The message as the decision module knows it.
+    /// Returns the message in the form that the decision module takes.
     pub(super) fn message(&self, id: MessageId) -> Message {
         let context = &self.context;
         Message {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// What its client is to be notified of, if anything.
+    /// Returns the callback for this completion; `None` if the client gets none.
     pub(super) fn callback(&self, id: MessageId, completion: Completion) -> Option<Callback> {
         needs_callback(&self.context, completion).then(|| Callback {
             id,
@@ -77,7 +77,7 @@
         })
     }
 
-    /// What the journal keeps of it.
+    /// Returns the message in the form that the journal stores.
     pub(super) fn accepted(&self, id: MessageId) -> AcceptedMessage {
         let context = &self.context;
         AcceptedMessage {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// All that the journal must hold of it, in the fewest records.
+    /// Returns the records of the message in a compacted journal.
     fn records(&self, id: MessageId, now: Nanos) -> Vec<Record> {
         let mut records = vec![Record::Accepted(self.accepted(id))];
         if let Some(completion) = self.completion {
@@ -119,14 +119,14 @@
     }
 }
 
-/// All pending messages. Only its methods change what its counts are about, so that these agree with the messages.
+/// All pending messages. The state behind the counts is changed only by methods that update the counts too.
 #[derive(Default)]
 pub(super) struct PendingMessages {
     messages: BTreeMap<MessageId, PendingMessage>,
     by_name: HashMap<String, MessageId>,
-    /// Messages that are not complete.
+    /// Number of messages that are not complete.
     open: usize,
-    /// Bytes that the journal reserves for all of them.
+    /// Bytes reserved in the journal for all messages.
     journal_bytes: u64,
     in_flight: InFlightCounts,
 }
@@ -140,7 +140,7 @@
         self.messages.get_mut(&id)
     }
 
-    /// The message, if it is not complete.
+    /// Returns the message if it is not complete.
     pub(super) fn get_open(&self, id: MessageId) -> Option<&PendingMessage> {
         self.get(id).filter(|m| m.is_open())
     }
@@ -149,7 +149,7 @@
         self.get(*self.by_name.get(name)?)
     }
 
-    /// In the order of their ids.
+    /// Iterates over the messages in the order of their ids.
     pub(super) fn iter(&self) -> impl Iterator<Item = (MessageId, &PendingMessage)> {
         self.messages.iter().map(|(id, message)| (*id, message))
     }
@@ -162,12 +162,12 @@
         self.messages.is_empty()
     }
 
-    /// Messages that are not complete.
+    /// Returns the number of messages that are not complete.
     pub(super) fn open(&self) -> usize {
         self.open
     }
 
-    /// Bytes that the journal reserves for all of them.
+    /// Returns the bytes reserved in the journal for all messages.
     pub(super) fn journal_bytes(&self) -> u64 {
         self.journal_bytes
     }
@@ -194,7 +194,7 @@
         self.messages.insert(id, message);
     }
 
-    /// The message has this attempt in flight, and no other.
+    /// Sets the attempt in flight of the message, in place of an earlier one.
     pub(super) fn set_in_flight(&mut self, id: MessageId, attempt: InFlight) {
         let Some(message) = self.messages.get_mut(&id) else { return };
         self.in_flight.add(attempt.host);
@@ -203,14 +203,14 @@
         }
     }
 
-    /// The message has no attempt in flight any more. Returns the one that it had.
+    /// Removes and returns the attempt in flight of the message.
     pub(super) fn take_in_flight(&mut self, id: MessageId) -> Option<InFlight> {
         let attempt = self.messages.get_mut(&id)?.in_flight.take()?;
         self.in_flight.remove(attempt.host);
         Some(attempt)
     }
 
-    /// The message's attempt has ended. Where it may have run, remembers the first such attempt.
+    /// Removes the attempt in flight of the message, and records its start if it is the first that may have run.
     pub(super) fn end_attempt(&mut self, id: MessageId, may_have_run: bool) {
         let Some(attempt) = self.take_in_flight(id) else { return };
         if !may_have_run || attempt.stage != Stage::Sent {
@@ -221,14 +221,15 @@
         }
     }
 
-    /// The message is complete. The caller sees to it that it was open.
+    /// Marks the message complete. The caller must make sure that it was open.
     pub(super) fn set_complete(&mut self, id: MessageId, completion: Completion) {
         let Some(message) = self.messages.get_mut(&id) else { return };
         message.completion = Some(completion);
         self.open -= 1;
     }
 
-    /// The callback of the message is acknowledged. Returns the message if it was complete and this is news.
+    /// Marks the callback of a complete message acknowledged, and returns the message. Returns `None` if the message is open
+    /// or its callback was already acknowledged.
     pub(super) fn acknowledge_callback(&mut self, id: MessageId) -> Option<&PendingMessage> {
         let message = self.messages.get_mut(&id)?;
         if message.is_open() || message.callback_acknowledged {
@@ -238,7 +239,7 @@
         Some(message)
     }
 
-    /// Removes a message with all that is counted of it. Returns its ordering key if the message still blocks that key.
+    /// Removes a message and updates all counts. Returns its ordering key if the message still blocks that key.
     pub(super) fn remove(&mut self, id: MessageId) -> Option<u64> {
         self.take_in_flight(id);
         let message = self.messages.remove(&id)?;
@@ -255,19 +256,19 @@
         message.context.ordering_key
     }
 
-    /// All that the journal must hold of the messages that it has, in the fewest records.
+    /// Returns the records of all journalled messages in a compacted journal.
     pub(super) fn records(&self, now: Nanos) -> impl Iterator<Item = Record> + '_ {
         let in_journal = self.messages.iter().filter(|(_, message)| message.in_journal);
         in_journal.flat_map(move |(id, message)| message.records(*id, now))
     }
 }
 
-/// Bytes that the journal reserves for a message.
+/// Returns the bytes to reserve in the journal for a message.
 pub(super) fn journal_bytes(context: &RequestContext) -> u64 {
     Journal::reserved_bytes(&context.name, &context.origin, &context.idempotency_key, context.body.len())
 }
 
-/// Whether somebody is to be notified of this completion.
+/// Returns whether a client is notified of this completion. The platform gets no callback on a delivery.
 fn needs_callback(context: &RequestContext, completion: Completion) -> bool {
     match completion {
         Completion::Withdrawn => false,
--- a/src/core/restart.rs
+++ b/src/core/restart.rs
@@ -1,4 +1,4 @@
-//! A start: what the journal says is pending, which attempts may have run, and what is still to be reported.
+//! Startup: restores pending messages, possible runs and unacknowledged callbacks from the journal.
 use super::in_flight::{InFlight, Stage};
 use super::messages::Output;
 use super::{Core, Predecessor};
@@ -7,7 +7,7 @@
 use crate::request::RequestContext;
 
 impl Core {
-    /// Takes in one record of the journal, in their order.
+    /// Applies one record of the journal. Records must be replayed in their order.
     pub(super) fn replay(&mut self, record: Record) {
         match record {
             Record::Accepted(message) => self.replay_accepted(message),
@@ -21,7 +21,7 @@
                 self.replay_completed(MessageId(id), Nanos(at), completion)
             }
             Record::CallbackAcknowledged { id } => self.acknowledge_callback(MessageId(id)),
-            // These are in the file of a takeover, never in the journal.
+            // These occur in the takeover file `late`, never in the journal.
             Record::LateOutcome { .. } | Record::Observed { .. } => {}
             Record::Suspended { uid, suspended } => self.endpoints.set_suspended(uid, suspended),
             Record::Deduplicated { name, idempotency_key, until, delivered } => {
@@ -56,7 +56,7 @@
         message.attempts += earlier_attempts;
         let attempt = message.attempts;
         message.attempts += 1;
-        // The journal does not say where the attempt went, nor for how long.
+        // The journal stores neither the endpoint nor the timeout of an attempt.
         let (host, timeout) = (EndpointId(0), Nanos(0));
         let stage = Stage::Sent;
         self.pending.set_in_flight(id, InFlight { attempt, started, zone, stage, host, timeout });
@@ -67,19 +67,19 @@
         let context = message.context.clone();
         self.pending.take_in_flight(id);
         self.set_complete(id, completion);
-        self.remember(&context, at, completion);
+        self.add_to_deduplication(&context, at, completion);
         self.remove_if_done(id);
     }
 
-    /// Resumes what is pending once all records are replayed.
+    /// Resumes pending messages after all records are replayed.
     pub(super) fn resume(&mut self, predecessor: Predecessor) {
         let with_attempt = self.pending.iter().filter(|(_, m)| m.in_flight().is_some());
         let in_flight: Vec<MessageId> = with_attempt.map(|(id, _)| id).collect();
         match predecessor {
-            Predecessor::MayHaveCalls => self.leave_to_predecessor(&in_flight),
+            Predecessor::MayHaveCalls => self.await_predecessor_calls(&in_flight),
             Predecessor::None => {
                 for id in in_flight {
-                    // Guards "no double effect" across restarts: an attempt that was in flight may have run.
+                    // An attempt that was in flight may have run: an at-most-once message must not run again.
                     self.pending.end_attempt(id, true);
                 }
             }
@@ -90,23 +90,23 @@
             self.resume_pending(id);
         }
         if predecessor == Predecessor::MayHaveCalls {
-            // Guards the journal against the predecessor: what it may still append goes to a file that is gone.
+            // The rewrite replaces the file, so anything that the predecessor still appends to the old one has no effect.
             self.rewrite_journal();
         }
         if !self.pending.is_empty() {
-            log::info!(messages = self.pending.len(); "resumed from the journal");
+            log::info!(messages = self.pending.len(); "messages resumed from the journal");
             self.wake_at = Some(self.now);
         }
     }
 
-    /// Reports a complete message again, or gives an open one to the module.
+    /// Sends the callback of a complete message again, or passes an open message to the decision module.
     fn resume_pending(&mut self, id: MessageId) {
         let Some(message) = self.pending.get(id) else { return };
         if let Some(completion) = message.completion() {
             self.outputs.extend(message.callback(id, completion).map(Output::Callback));
             return;
         }
-        if message.in_flight().is_none() && !self.wait_for_predecessor(id) {
+        if message.in_flight().is_none() && !self.queue_behind_predecessor(id) {
             self.resume_message(id);
         }
     }
--- a/src/core/suspensions.rs
+++ b/src/core/suspensions.rs
@@ -1,30 +1,30 @@
-//! Endpoints that operators suspend and resume, and the metrics of the endpoint list.
+//! Suspension of endpoints by operators, and the metrics of the endpoint list.
 use super::Core;
 use crate::interface::{EndpointState, Event, Finding, Nanos, Observation};
 use crate::journal::Record;
 use crate::metrics::Metrics;
 use std::sync::Arc;
 
-/// Endpoints that are suspended at once. Bounds what the journal keeps of them.
+/// Maximum number of suspended endpoints; bounds their records in the journal.
 const SUSPENDED_MAX: usize = 256;
-/// Avoided endpoints are counted this often, in seconds: metrics may be half a second old.
+/// Interval between counts of avoided endpoints, in seconds. Metrics may be up to half a second old.
 const COUNT_INTERVAL_S: f64 = 0.1;
 
-/// What came of an operator's request to suspend or resume an endpoint.
+/// Result of an operator's request to suspend or resume an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SuspensionResult {
-    /// It is in force, and the journal has it.
+    /// The change is in force and in the journal, or was so before.
     Applied,
-    /// No such endpoint was ever listed here.
+    /// No such endpoint is known from the endpoint list.
     UnknownEndpoint,
-    /// As many endpoints are suspended as may be: resume one first.
+    /// The maximum number of endpoints is suspended: resume one first.
     LimitReached,
-    /// The journal could not be written: what was in force stays. See the log, and ask again.
+    /// The journal could not be written, so nothing changed. See the log for the cause, and retry.
     NotPersisted,
 }
 
 impl Core {
-    /// Suspends an endpoint by its name in discovery's list, or resumes it. A suspended endpoint gets no new attempt, and
+    /// Suspends or resumes the endpoint with this name in the endpoint list. A suspended endpoint gets no new attempts, and
     /// stays suspended across restarts.
     pub fn set_suspended(&mut self, now: Nanos, uid: String, suspended: bool) -> SuspensionResult {
         if !self.endpoints.is_known(&uid) {
@@ -40,35 +40,36 @@
         if self.journal.append(now, &record).is_err() {
             return SuspensionResult::NotPersisted;
         }
-        log::warn!(host = uid, suspended; "suspension changed by an operator");
+        log::warn!(host = uid, suspended; "operator changed the suspension of an endpoint");
         self.endpoints.set_suspended(uid.clone(), suspended);
-        self.suspension_changed(now, &uid, suspended);
+        self.apply_suspension(now, &uid, suspended);
         SuspensionResult::Applied
     }
 
-    /// Tells the module of a suspension that changed; nothing where the endpoint is not listed.
-    fn suspension_changed(&mut self, now: Nanos, uid: &str, suspended: bool) {
+    /// Passes a changed suspension to the decision module, if the endpoint is listed.
+    fn apply_suspension(&mut self, now: Nanos, uid: &str, suspended: bool) {
         let Some(host) = self.endpoints.id(uid) else { return };
         let Some(endpoint) = self.endpoints.get(host) else { return };
         let entries = vec![self.endpoints.entry(host, endpoint)];
         self.events.push(Event::EndpointList { complete: false, entries });
         if !suspended {
-            // Guards an endpoint that was restarted meanwhile: it returns through slow start, as after an outage.
+            // The endpoint may have been restarted while suspended: it returns through slow start, as after an outage.
             let finding = Finding::Recovering { since: Nanos(0) };
             self.events.push(Event::PeerObservation(Observation { host, finding, age: Nanos(0) }));
         }
-        // At once: an attempt that waits for its connection is checked again, against what the module knows by then.
+        // Runs the decision module at once, so that an attempt which still waits for its connection is checked against the
+        // new state before its first byte.
         self.wake_at = Some(now);
     }
 
-    /// Returns the metrics, and keeps those of the present state up to date from now on.
+    /// Returns the metrics, and from now on updates the gauges in each step.
     pub fn enable_metrics(&mut self, now: Nanos) -> Arc<Metrics> {
         self.endpoint_count_at = Some(now);
         self.wake_at = Some(now);
         self.metrics.clone()
     }
 
-    /// Updates the metrics of the present state, once somebody is shown them.
+    /// Updates the gauges: open requests in each step, endpoints at an interval. Does nothing until metrics are enabled.
     pub(super) fn update_metrics(&mut self) {
         let Some(at) = self.endpoint_count_at else { return };
         self.metrics.set_open_requests(self.pending.open());
--- a/src/core/takeover.rs
+++ b/src/core/takeover.rs
@@ -1,6 +1,6 @@
-//! A takeover: the journal goes from one process to the next while calls are in flight. The process that releases the
-//! journal (the predecessor) reports the outcomes of its calls. The one that takes it over holds back those messages, and
-//! all later ones with the same ordering key, until it has the outcomes.
+//! Takeover of the journal by another process while calls are in flight. The process that releases the journal (the
+//! predecessor) reports the outcomes of its calls. The process that takes the journal over keeps back the messages of these
+//! calls, and all later messages with the same ordering key, until it has the outcomes.
 use super::in_flight::Stage;
 use super::messages::EndpointObservation;
 use super::Core;
@@ -10,11 +10,11 @@
 use crate::journal::{Completion, LateOutcome, Record};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A message of which the predecessor has reported nothing is given up this long after its deadline, in seconds: the
-/// predecessor's own time-out, and the way of its report through the file, come first.
+/// How long after a message's deadline its late outcome is still awaited, in seconds. Leaves time for the predecessor's own
+/// timeout and for the transfer of its report through the file.
 const REPORT_GRACE_S: f64 = 0.08;
 
-/// Codes of findings in the journal's `Observed` records. They are read by the next version too, so they stay.
+/// Codes of findings in `Observed` records. They must not change, because another version may read them.
 mod finding_code {
     pub(super) const OUTAGE: u8 = 0;
     pub(super) const RECOVERING: u8 = 1;
@@ -24,16 +24,16 @@
     pub(super) const CONNECTION_CAPACITY: u8 = 5;
 }
 
-/// What a process that has taken the journal over knows of its predecessor's calls.
+/// The predecessor's calls and the messages that wait for them, in the process that has taken the journal over.
 #[derive(Default)]
 pub(super) struct PredecessorCalls {
-    /// Messages that the predecessor may still have a call in flight for.
+    /// Messages for which the predecessor may still have a call in flight.
     in_flight: BTreeSet<MessageId>,
-    /// Messages whose call there has ended without a delivery, and when they may go on.
+    /// Messages whose call has ended without a delivery, and the time at which they resume.
     resume_at: BTreeMap<MessageId, Nanos>,
-    /// Messages that wait for one of those by their ordering key, in their order; the module does not have them yet.
+    /// By ordering key, messages that wait for one of those above, in order. The decision module does not have them yet.
     waiting: HashMap<u64, Vec<MessageId>>,
-    /// The ordering keys of the messages in `in_flight` and `resume_at`.
+    /// Ordering keys of the messages in `in_flight` and `resume_at`.
     keys: HashMap<MessageId, u64>,
 }
 
@@ -42,19 +42,19 @@
         self.in_flight.is_empty() && self.resume_at.is_empty() && self.waiting.is_empty()
     }
 
-    /// All messages that wait by their ordering key.
+    /// Returns all messages that wait because of their ordering key.
     fn waiting(&self) -> impl Iterator<Item = MessageId> + '_ {
         self.waiting.values().flatten().copied()
     }
 
-    /// Nothing of this message is left there: the messages that waited for it, in their order.
+    /// Releases the ordering key of this message, and returns the messages that waited for it, in order.
     fn release(&mut self, id: MessageId) -> Vec<MessageId> {
         let Some(key) = self.keys.remove(&id) else { return Vec::new() };
         self.waiting.remove(&key).unwrap_or_default()
     }
 }
 
-/// A finding as the journal's records hold it: its code and its values. Times are Unix nanoseconds.
+/// Encodes a finding for an `Observed` record as its code and values. Times are Unix nanoseconds.
 fn encode_finding(finding: Finding, now: Nanos) -> (u8, [u64; 2]) {
     match finding {
         Finding::Outage { since, risky } => (finding_code::OUTAGE, [since.0, risky.into()]),
@@ -66,7 +66,7 @@
     }
 }
 
-/// The finding of a record; none where its code is unknown or a value makes no sense.
+/// Decodes the finding of a record; `None` if its code is unknown or a number is not finite or is negative.
 fn decode_finding(code: u8, [first, second]: [u64; 2], now: Nanos) -> Option<Finding> {
     let finding = match code {
         finding_code::OUTAGE => Finding::Outage { since: Nanos(first), risky: second == 1 },
@@ -86,34 +86,35 @@
     Some(f64::from_bits(bits)).filter(|value| value.is_finite() && *value >= 0.0)
 }
 
-/// The process that releases the journal.
+/// Operations of the process that releases the journal.
 impl Core {
-    /// Whether the journal cannot be released now: it cannot be written, or calls of an earlier takeover are unresolved.
+    /// Returns whether the journal cannot be released now, because it cannot be written or because calls of an earlier takeover
+    /// are unresolved.
     pub fn is_release_blocked(&self) -> bool {
         self.journal.is_unavailable() || !self.predecessor_calls.is_empty()
     }
 
-    /// Releases the journal. From now on nothing is accepted and no attempt starts; calls in flight go on. Returns what the
-    /// next process should know of endpoints, with the waits of `Retry-After` that are in force.
+    /// Releases the journal. From now on nothing is accepted and no attempt starts; calls in flight continue. Returns this
+    /// forwarder's observations of endpoints for the next process, including the `Retry-After` waits in force.
     pub fn release_journal(&mut self, now: Nanos) -> Vec<Record> {
-        let observed = |observation: EndpointObservation| {
+        let to_record = |observation: EndpointObservation| {
             let EndpointObservation { uid, finding, age } = observation;
             let (kind, values) = encode_finding(finding, now);
             Record::Observed { uid, at: (now - age).0, kind, values }
         };
-        let records = self.observations(now).into_iter().map(observed).collect();
+        let records = self.observations(now).into_iter().map(to_record).collect();
         self.draining = true;
         self.journal.release();
         records
     }
 
-    /// Attempts whose first byte may have been sent, and that have not ended.
+    /// Returns the number of attempts in flight whose first byte may have been sent.
     pub fn calls_in_flight(&self) -> usize {
         let attempts = self.pending.iter().filter_map(|(_, message)| message.in_flight());
         attempts.filter(|attempt| attempt.stage == Stage::Sent).count()
     }
 
-    /// The record of an outcome that came after the journal was released; none where the attempt was never sent.
+    /// Ends an attempt after the release of the journal. Returns the record of its outcome; `None` if it was never sent.
     pub fn late_outcome(
         &mut self, id: MessageId, attempt: u32, outcome: Outcome, over: bool,
     ) -> Option<Record> {
@@ -121,16 +122,16 @@
         let sent = in_flight.stage == Stage::Sent;
         let at = in_flight.started.0;
         self.pending.take_in_flight(id);
-        let how = match outcome {
+        let late_outcome = match outcome {
             Outcome::Ok => LateOutcome::Delivered,
             _ if over => LateOutcome::Final,
             outcome if outcome.never_ran() => LateOutcome::NeverRan,
             _ => LateOutcome::MayHaveRun,
         };
-        sent.then_some(Record::LateOutcome { id: id.0, at, outcome: how })
+        sent.then_some(Record::LateOutcome { id: id.0, at, outcome: late_outcome })
     }
 
-    /// The record of a `Retry-After` that came after the journal was released; none for an unknown endpoint.
+    /// Returns the record of a `Retry-After` that arrived after the release of the journal; `None` for an unknown endpoint.
     pub fn late_retry_after(&self, now: Nanos, host: EndpointId, wait: Nanos) -> Option<Record> {
         let (kind, values) = encode_finding(Finding::RetryAfter { left: wait }, now);
         let uid = self.endpoints.get(host)?.uid.clone();
@@ -138,10 +139,10 @@
     }
 }
 
-/// The process that takes the journal over.
+/// Operations of the process that takes the journal over.
 impl Core {
-    /// The predecessor may still have calls in flight for these messages.
-    pub(super) fn leave_to_predecessor(&mut self, ids: &[MessageId]) {
+    /// Keeps back messages for which the predecessor may still have calls in flight.
+    pub(super) fn await_predecessor_calls(&mut self, ids: &[MessageId]) {
         self.predecessor_calls.in_flight.extend(ids);
         for id in ids {
             if let Some(key) = self.pending.get(*id).and_then(|m| m.context.ordering_key) {
@@ -152,8 +153,9 @@
         log::info!(messages = ids.len(); "predecessor still has calls in flight");
     }
 
-    /// Whether the message waits for a predecessor's call by its ordering key; the module then gets it later.
-    pub(super) fn wait_for_predecessor(&mut self, id: MessageId) -> bool {
+    /// Queues the message if a predecessor's call has its ordering key; the decision module then gets it later. Returns whether
+    /// it was queued.
+    pub(super) fn queue_behind_predecessor(&mut self, id: MessageId) -> bool {
         let key = self.pending.get(id).and_then(|m| m.context.ordering_key);
         let waiting = key.and_then(|key| self.predecessor_calls.waiting.get_mut(&key));
         let Some(waiting) = waiting else { return false };
@@ -161,68 +163,68 @@
         true
     }
 
-    /// Takes in what the predecessor reports.
-    pub(super) fn predecessor_records(&mut self, records: Vec<Record>) {
+    /// Processes the records that the predecessor reports.
+    pub(super) fn handle_predecessor_records(&mut self, records: Vec<Record>) {
         for record in records {
             match record {
                 Record::LateOutcome { id, at, outcome } => {
                     self.predecessor_call_reported(MessageId(id), Nanos(at), outcome);
                 }
                 Record::Observed { uid, at, kind, values } => {
-                    self.predecessor_observed(&uid, Nanos(at), kind, values);
+                    self.handle_predecessor_observation(&uid, Nanos(at), kind, values);
                 }
-                // Only these two belong there.
-                other => log::warn!("ignored a record of the predecessor: {other:?}"),
+                // A predecessor reports only these two kinds.
+                other => log::warn!("unexpected record from the predecessor ignored: {other:?}"),
             }
         }
     }
 
-    /// The predecessor reports nothing more: what it had in flight may have run.
-    pub(super) fn predecessor_exited(&mut self) {
+    /// Ends all unreported calls once the predecessor has exited: they may have run.
+    pub(super) fn handle_predecessor_exit(&mut self) {
         for id in self.predecessor_calls.in_flight.clone() {
             self.predecessor_call_ended(id, LateOutcome::MayHaveRun);
         }
     }
 
-    /// Takes in the outcome of the predecessor's call that started at `at`. Guards "no double effect" against the report of
-    /// an earlier takeover: that is about another attempt.
-    fn predecessor_call_reported(&mut self, id: MessageId, at: Nanos, how: LateOutcome) {
+    /// Processes the outcome of the predecessor's call that started at `at`. Ignores a report from an earlier takeover: it
+    /// is about another attempt, and with it the message could run twice.
+    fn predecessor_call_reported(&mut self, id: MessageId, at: Nanos, outcome: LateOutcome) {
         let in_flight = self.pending.get(id).and_then(|m| m.in_flight());
         if in_flight.is_some_and(|attempt| attempt.started == at) {
-            self.predecessor_call_ended(id, how);
+            self.predecessor_call_ended(id, outcome);
         }
     }
 
-    fn predecessor_call_ended(&mut self, id: MessageId, how: LateOutcome) {
+    fn predecessor_call_ended(&mut self, id: MessageId, outcome: LateOutcome) {
         if !self.predecessor_calls.in_flight.remove(&id) {
             return;
         }
         let Some(message) = self.pending.get(id) else { return self.resume_waiting(id) };
         let context = message.context.clone();
-        log::debug!(message = context.name, how:?; "outcome of a predecessor's call");
-        match how {
+        log::debug!(message = context.name, how:? = outcome; "outcome of a predecessor's call");
+        match outcome {
             LateOutcome::Delivered => {
                 self.pending.end_attempt(id, true);
                 let completion = self.completion_of_delivery(&context);
-                self.predecessor_call_completed(id, completion);
+                self.complete_predecessor_call(id, completion);
             }
             LateOutcome::Final => {
                 self.pending.end_attempt(id, true);
-                self.predecessor_call_completed(id, Completion::Withdrawn);
+                self.complete_predecessor_call(id, Completion::Withdrawn);
             }
-            // Guards "order by key": the key pauses after a call that may still run.
+            // The call may still run. The pause keeps later messages of its ordering key from overtaking it.
             LateOutcome::MayHaveRun => self.retry_predecessor_call(id, true, self.settings.ordering_pause),
             LateOutcome::NeverRan => self.retry_predecessor_call(id, false, Nanos(0)),
         }
     }
 
-    fn predecessor_call_completed(&mut self, id: MessageId, completion: Completion) {
+    fn complete_predecessor_call(&mut self, id: MessageId, completion: Completion) {
         self.complete(id, completion);
         self.remove_if_done(id);
         self.resume_waiting(id);
     }
 
-    /// The message goes on here, after this pause.
+    /// Schedules the message to resume in this process after a pause.
     fn retry_predecessor_call(&mut self, id: MessageId, may_have_run: bool, pause: Nanos) {
         self.pending.end_attempt(id, may_have_run);
         self.journal.append_or_defer(self.now, Record::AttemptEnded { id: id.0, may_have_run }, None);
@@ -230,10 +232,10 @@
         self.wake_at = Some(self.now);
     }
 
-    fn predecessor_observed(&mut self, uid: &str, at: Nanos, code: u8, values: [u64; 2]) {
+    fn handle_predecessor_observation(&mut self, uid: &str, at: Nanos, code: u8, values: [u64; 2]) {
         let Some(host) = self.endpoints.id(uid) else { return };
         match decode_finding(code, values, self.now) {
-            // The wait was told to this forwarder, whichever of its processes received it.
+            // The wait applies to the forwarder, no matter which of its processes received it.
             Some(Finding::RetryAfter { left }) => {
                 let dest = self.endpoints.get(host).map(|e| e.dest).unwrap_or_default();
                 self.events.push(Event::RetryAfter { host, dest: DestinationId(dest), wait: left });
@@ -242,11 +244,11 @@
                 let age = self.now - at;
                 self.events.push(Event::PeerObservation(Observation { host, finding, age }));
             }
-            None => log::warn!("ignored an observation of the predecessor: kind {code}"),
+            None => log::warn!("invalid observation from the predecessor ignored: kind {code}"),
         }
     }
 
-    /// Resumes messages whose pause is over, and completes those whose time is up.
+    /// Resumes messages whose pause is over, gives up unreported calls, and completes waiting messages at their deadline.
     pub(super) fn advance_predecessor_calls(&mut self) {
         if self.predecessor_calls.is_empty() {
             return;
@@ -280,7 +282,7 @@
         }
     }
 
-    /// Completes messages that wait for a call which takes longer than they have.
+    /// Completes messages that reached their deadline while they waited for a predecessor's call.
     fn complete_expired_waiting(&mut self) {
         let now = self.now;
         let is_expired =
@@ -294,7 +296,7 @@
         }
     }
 
-    /// Sets the wake-up for the next pause or deadline of these messages.
+    /// Schedules a wake-up for the next report limit, end of a pause, or deadline of these messages.
     fn schedule_predecessor_calls(&mut self) {
         let calls = &self.predecessor_calls;
         let in_flight = calls.in_flight.iter().filter_map(|id| self.pending.get(*id));
@@ -306,14 +308,14 @@
         self.wake_by(next.max(self.now + self.settings.tick));
     }
 
-    /// The predecessor has nothing left of this message: the module gets those that waited for it, in their order.
+    /// Passes the messages that waited for this one to the decision module, in order.
     fn resume_waiting(&mut self, id: MessageId) {
         for waiting in self.predecessor_calls.release(id) {
             self.resume_message(waiting);
         }
     }
 
-    /// Gives the module a message that was accepted before, if it is not complete.
+    /// Passes a previously accepted message to the decision module if it is not complete.
     pub(super) fn resume_message(&mut self, id: MessageId) {
         let Some(message) = self.pending.get_open(id) else { return };
         let prior =
