--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -168,7 +168,7 @@
         let record = Record::AttemptStarted { id: id.0, at, zone, earlier_attempts: 0 };
         // An attempt that is not in the journal must not start: after a restart the message could run twice.
         if !permitted || self.journal.append(now, &record).is_err() {
-            log::debug!(message = context.name, attempt, permitted; "attempt not sent: outdated or not journalled");
+            log::debug!(message = context.name, attempt, permitted; "attempt not sent: the decision no longer holds");
             return false;
         }
         in_flight.stage = Stage::Sent;
