--- a/src/journal/append_log.rs
+++ b/src/journal/append_log.rs
@@ -1,7 +1,7 @@
-//! The open journal: replay at the start, appending, and compaction.
+//! The open journal: replay at startup, appending, and compaction.
 //!
-//! A crash may leave an incomplete record at the end of the log, and a half-written compacted log beside it. The first is
-//! cut off before anything is appended, the second removed: the log that was in force stays in force.
+//! A crash may leave an incomplete record at the end of the log, and a half-written compacted log beside it. The journal
+//! truncates the incomplete record before it appends anything, and removes the compacted log: the old log stays in use.
 use super::codec::{encode, replay};
 use super::disk::{open_disk, Disk, FileWriter};
 use super::limits::{self, Limits};
@@ -9,21 +9,21 @@
 use std::io;
 use std::path::Path;
 
-/// The log in force.
-const LOG: &str = "journal";
-/// A compacted log while it is written.
-const COMPACTED_LOG: &str = "journal.new";
-/// Bytes that a compaction writes at once: some hundred records a system call, and little memory.
-const COMPACTION_BUFFER: usize = 64 * 1024;
+/// Name of the log in use.
+const LOG_FILE: &str = "journal";
+/// Name of a compacted log while it is written.
+const COMPACTED_LOG_FILE: &str = "journal.new";
+/// Size of the write buffer of a compaction: a few hundred records per system call at little memory.
+const COMPACTION_BUFFER_BYTES: usize = 64 * 1024;
 
 /// Why a record is not in the journal.
 #[derive(Debug, thiserror::Error)]
 pub enum JournalError {
-    /// The journal has reached its share of the lasting folder. It frees itself as messages complete; a larger
-    /// `limits.disk_mb` gives it more.
-    #[error("its share of the folder is used up")]
+    /// The journal has reached its share of the state folder. Compactions free space as messages complete; a larger
+    /// `limits.disk_mb` raises the share.
+    #[error("the journal's share of the state folder is used up: wait until messages complete, or raise limits.disk_mb")]
     CapacityExceeded,
-    /// The lasting folder cannot be written: see that it is writable and that its file system has space.
+    /// The state folder cannot be written: check its permissions and the free space of its file system.
     #[error(transparent)]
     Disk(#[from] io::Error),
 }
@@ -32,78 +32,79 @@
 pub struct Journal {
     disk: Box<dyn Disk>,
     writer: Box<dyn FileWriter>,
-    /// Bytes of the complete records.
+    /// Length of the complete records, in bytes.
     length: u64,
-    /// Bytes of an incomplete record may lie behind the complete ones.
+    /// Whether bytes of an incomplete record may follow the complete ones.
     has_partial_record: bool,
     limits: Limits,
 }
 
 impl Journal {
-    /// Opens the journal of a folder that may hold `capacity` bytes, and reads it up to the first incomplete record.
+    /// Opens the journal in a folder with a capacity of `capacity` bytes, and reads its records up to the first incomplete
+    /// one.
     ///
     /// # Errors
     ///
-    /// The folder cannot be made, or the journal in it cannot be read or opened for writing.
+    /// The folder cannot be created, or the journal in it cannot be read or opened for writing.
     pub fn open(folder: &Path, capacity: u64) -> io::Result<(Journal, Vec<Record>)> {
         Journal::open_on(open_disk(folder)?, capacity)
     }
 
-    /// Like [`Journal::open`], on any disk.
+    /// Opens the journal like [`Journal::open`], on any [`Disk`].
     ///
     /// # Errors
     ///
     /// The journal cannot be read or opened for writing.
     pub fn open_on(disk: Box<dyn Disk>, capacity: u64) -> io::Result<(Journal, Vec<Record>)> {
-        // A kill may have cut a compaction short; the log in force is still the old one.
-        let _ = disk.remove(COMPACTED_LOG);
-        let bytes = disk.read(LOG)?.unwrap_or_default();
+        // The process may have been killed during a compaction; the old log is still in use.
+        let _ = disk.remove(COMPACTED_LOG_FILE);
+        let bytes = disk.read(LOG_FILE)?.unwrap_or_default();
         let replayed = replay(&bytes);
         let has_partial_record = replayed.length < bytes.len();
         if has_partial_record {
-            log::warn!("journal: torn tail of {} bytes passed over", bytes.len() - replayed.length);
+            log::warn!("journal: ignored a torn tail of {} bytes", bytes.len() - replayed.length);
         }
-        let writer = disk.open_append(LOG)?;
+        let writer = disk.open_append(LOG_FILE)?;
         let length = replayed.length as u64;
         let limits = Limits::new(capacity);
         let mut journal = Journal { disk, writer, length, has_partial_record, limits };
         if let Err(error) = journal.truncate_partial_record() {
-            log::error!("journal: its torn tail cannot be cut off: {error}");
+            log::error!("journal: cannot truncate its torn tail: {error}");
         }
         Ok((journal, replayed.records))
     }
 
-    /// Bytes to reserve for a pending message with a body of `body` bytes: no less than its records take in a compacted
-    /// journal.
+    /// Returns the bytes to reserve for a pending message with a body of `body` bytes: at least the size of its records in a
+    /// compacted journal.
     pub fn reserved_bytes(name: &str, origin: &str, idempotency_key: &str, body: usize) -> u64 {
         limits::reserved_bytes(name, origin, idempotency_key, body)
     }
 
-    /// Bytes to reserve for a completed message in the deduplication cache.
+    /// Returns the bytes to reserve for a completed message in the deduplication cache.
     pub fn deduplicated_bytes(name: &str, idempotency_key: &str) -> u64 {
         limits::deduplicated_bytes(name, idempotency_key)
     }
 
-    /// Bytes that the reservations of all messages may add up to.
+    /// Returns the limit on the sum of all reservations, in bytes.
     pub fn pending_capacity(&self) -> u64 {
         self.limits.pending()
     }
 
-    /// Whether the journal should be compacted before it accepts a message whose record takes `additional` bytes.
+    /// Returns whether the journal should be compacted before it accepts a message whose record takes `additional` bytes.
     pub fn needs_compaction(&self, additional: u64) -> bool {
         self.length + additional > self.limits.accepting()
     }
 
-    /// Whether bytes of an incomplete record lie at the end of the log that could not be cut off.
+    /// Returns whether the log may end with an incomplete record that could not be truncated.
     pub fn has_partial_record(&self) -> bool {
         self.has_partial_record
     }
 
-    /// Appends a record; it outlives the process once this returns.
+    /// Appends a record. Once this returns, the record survives a kill of the process.
     ///
     /// # Errors
     ///
-    /// The journal is full, or the disk fails. The records before stay as they were.
+    /// The journal is full, or the disk fails. Earlier records are unaffected.
     pub fn append(&mut self, record: &Record) -> Result<(), JournalError> {
         let bytes = encode(record);
         let limit = match record {
@@ -116,7 +117,7 @@
         self.truncate_partial_record()?;
         if let Err(error) = self.writer.append(&bytes) {
             self.has_partial_record = true;
-            // What cannot be cut off now is cut off before the next record.
+            // If this fails too, the truncation is retried before the next append.
             let _ = self.truncate_partial_record();
             return Err(error.into());
         }
@@ -124,7 +125,7 @@
         Ok(())
     }
 
-    /// Guards against complete records behind an incomplete one, which no replay would reach.
+    /// Truncates an incomplete record at the end of the log: a replay stops there and would not reach records behind it.
     fn truncate_partial_record(&mut self) -> io::Result<()> {
         if self.has_partial_record {
             self.writer.truncate(self.length)?;
@@ -133,24 +134,24 @@
         Ok(())
     }
 
-    /// Replaces the log by one that holds these records alone.
+    /// Replaces the log with one that contains only these records.
     ///
     /// # Errors
     ///
-    /// The records take more than the journal's share of the folder, or the disk fails. The old log stays in force.
+    /// The records exceed the journal's share of the folder, or the disk fails. The old log stays in use.
     pub fn compact(&mut self, records: impl Iterator<Item = Record>) -> Result<(), JournalError> {
         let result = self.write_compacted(records);
         if result.is_err() {
-            // A half-written log takes space. Where even this fails, the next compaction starts with it.
-            let _ = self.disk.remove(COMPACTED_LOG);
+            // A half-written log takes up space. If this fails too, the next compaction removes the file first.
+            let _ = self.disk.remove(COMPACTED_LOG_FILE);
         }
         result
     }
 
     fn write_compacted(&mut self, records: impl Iterator<Item = Record>) -> Result<(), JournalError> {
         let mut compacted = CompactedLog {
-            writer: self.disk.create(COMPACTED_LOG)?,
-            buffer: Vec::with_capacity(COMPACTION_BUFFER),
+            writer: self.disk.create(COMPACTED_LOG_FILE)?,
+            buffer: Vec::with_capacity(COMPACTION_BUFFER_BYTES),
             length: 0,
             limit: self.limits.accepting(),
         };
@@ -158,8 +159,8 @@
             compacted.push(&record)?;
         }
         compacted.flush()?;
-        self.disk.rename(COMPACTED_LOG, LOG)?;
-        // The writer follows its file through the rename: nothing is opened here that could fail.
+        self.disk.rename(COMPACTED_LOG_FILE, LOG_FILE)?;
+        // The writer stays valid after the rename, so there is no reopening that could fail.
         self.writer = compacted.writer;
         self.length = compacted.length;
         self.has_partial_record = false;
@@ -171,16 +172,16 @@
 struct CompactedLog {
     writer: Box<dyn FileWriter>,
     buffer: Vec<u8>,
-    /// Bytes written, without those in the buffer.
+    /// Length of the written part in bytes, without the buffer.
     length: u64,
-    /// Bytes that it may take.
+    /// Maximum length, in bytes.
     limit: u64,
 }
 
 impl CompactedLog {
     fn push(&mut self, record: &Record) -> Result<(), JournalError> {
         self.buffer.extend(encode(record));
-        if self.buffer.len() < COMPACTION_BUFFER {
+        if self.buffer.len() < COMPACTION_BUFFER_BYTES {
             return Ok(());
         }
         self.flush()
--- a/src/journal/codec.rs
+++ b/src/journal/codec.rs
@@ -1,22 +1,23 @@
-//! The bytes of a record, in the journal and in the file `late`. Frozen: journals of earlier versions are read, and
-//! `tests/journal_compatibility.rs` compares with one of them.
+//! Encoding of records in the journal and in the file `late`. The format is frozen, because journals of earlier versions must
+//! stay readable; `tests/journal_compatibility.rs` checks it against such a journal.
 //!
 //! | bytes | content |
 //! | --- | --- |
 //! | 4 | length of the payload, little-endian |
 //! | 4 | CRC-32 of the payload, little-endian |
-//! | rest | payload: a tag of one byte, then the fields of that kind of record |
+//! | rest | payload: a one-byte tag, then the fields of that kind of record |
 //!
-//! Numbers are 8 bytes little-endian, flags one byte; texts and bodies have a length of 4 bytes before them.
+//! Numbers are 8 bytes little-endian, flags one byte. Texts and bodies are preceded by their length in 4 bytes,
+//! little-endian.
 use super::{AcceptedMessage, Completion, LateOutcome, Record};
 use bytes::Bytes;
 
-/// Bytes of the length and the checksum before each payload.
-const HEADER: usize = 8;
-/// Bytes of the length alone, at the start of the header.
-const LENGTH: usize = 4;
+/// Size of the header before each payload: the length and the checksum.
+const HEADER_BYTES: usize = 8;
+/// Size of the length field at the start of the header.
+const LENGTH_BYTES: usize = 4;
 
-/// The first byte of a payload: the kind of record.
+/// Tags of the kinds of record: the first byte of a payload.
 mod tag {
     pub(super) const ACCEPTED: u8 = 1;
     pub(super) const ATTEMPT_STARTED: u8 = 2;
@@ -29,7 +30,7 @@
     pub(super) const OBSERVED: u8 = 9;
 }
 
-/// How a `Completion` is encoded.
+/// Codes of a [`Completion`](super::Completion).
 mod completion_code {
     pub(super) const DELIVERED: u8 = 0;
     pub(super) const WITHDRAWN: u8 = 1;
@@ -38,7 +39,7 @@
     pub(super) const DEFERRED_WITH_WAIT: u8 = 4;
 }
 
-/// How a `LateOutcome` is encoded.
+/// Codes of a [`LateOutcome`](super::LateOutcome).
 mod late_outcome_code {
     pub(super) const DELIVERED: u8 = 0;
     pub(super) const FINAL: u8 = 1;
@@ -46,20 +47,20 @@
     pub(super) const NEVER_RAN: u8 = 3;
 }
 
-/// Bytes that a record takes in the journal.
+/// Returns the size of a record in the journal, in bytes.
 pub fn encoded_len(record: &Record) -> u64 {
     encode(record).len() as u64
 }
 
-/// A record with its header.
+/// Encodes a record with its header.
 pub(crate) fn encode(record: &Record) -> Vec<u8> {
-    let mut encoder = Encoder(vec![0; HEADER]);
+    let mut encoder = Encoder(vec![0; HEADER_BYTES]);
     encode_payload(&mut encoder, record);
     let mut bytes = encoder.0;
-    let length = (bytes.len() - HEADER) as u32;
-    let checksum = crc32fast::hash(&bytes[HEADER..]);
-    bytes[..LENGTH].copy_from_slice(&length.to_le_bytes());
-    bytes[LENGTH..HEADER].copy_from_slice(&checksum.to_le_bytes());
+    let length = (bytes.len() - HEADER_BYTES) as u32;
+    let checksum = crc32fast::hash(&bytes[HEADER_BYTES..]);
+    bytes[..LENGTH_BYTES].copy_from_slice(&length.to_le_bytes());
+    bytes[LENGTH_BYTES..HEADER_BYTES].copy_from_slice(&checksum.to_le_bytes());
     bytes
 }
 
@@ -67,7 +68,7 @@
     match record {
         Record::Accepted(message) => encode_accepted(encoder.byte(tag::ACCEPTED), message),
         Record::AttemptStarted { id, at, zone, earlier_attempts } => {
-            // One number holds both: programs older than `earlier_attempts` read the lower half alone.
+            // One number encodes both fields: versions older than `earlier_attempts` read the lower half only.
             let zone_and_earlier = u64::from(*zone) | u64::from(*earlier_attempts) << 32;
             encoder.byte(tag::ATTEMPT_STARTED).number(*id).number(*at).number(zone_and_earlier);
         }
@@ -105,7 +106,7 @@
     encoder.text(&message.idempotency_key).bytes(&message.body);
 }
 
-/// The code of a completion, and the milliseconds of its wait.
+/// Returns the code of a completion, and its wait in milliseconds.
 fn completion_to_code(completion: Completion) -> (u8, u64) {
     match completion {
         Completion::Delivered => (completion_code::DELIVERED, 0),
@@ -146,15 +147,15 @@
     }
 }
 
-/// What a log holds up to its first incomplete or altered record.
+/// Contents of a log up to its first incomplete or corrupt record.
 pub(crate) struct Replay {
-    /// Its records, in their order.
+    /// The records, in order.
     pub(crate) records: Vec<Record>,
-    /// Bytes that they take, from the start of the log.
+    /// Length of these records in bytes, from the start of the log.
     pub(crate) length: usize,
 }
 
-/// Reads a log up to the first record that is incomplete or altered: nothing behind it can be told from garbage.
+/// Reads a log up to the first incomplete or corrupt record. Data behind it cannot be told from garbage.
 pub(crate) fn replay(log: &[u8]) -> Replay {
     let mut replay = Replay { records: Vec::new(), length: 0 };
     while let Some(decoded) = decode_at(log, replay.length) {
@@ -164,7 +165,7 @@
     replay
 }
 
-/// A record, and where the next one begins.
+/// A record, and the position of the next one.
 struct Decoded {
     record: Record,
     end: usize,
@@ -172,8 +173,8 @@
 
 fn decode_at(log: &[u8], start: usize) -> Option<Decoded> {
     let length = read_u32(log, start)? as usize;
-    let checksum = read_u32(log, start + LENGTH)?;
-    let payload_start = start.checked_add(HEADER)?;
+    let checksum = read_u32(log, start + LENGTH_BYTES)?;
+    let payload_start = start.checked_add(HEADER_BYTES)?;
     let end = payload_start.checked_add(length)?;
     let payload = log.get(payload_start..end)?;
     if crc32fast::hash(payload) != checksum {
@@ -284,27 +285,27 @@
     }
 }
 
-/// Takes the fields of a payload one by one; `None` where it ends too early.
+/// Reads the fields of a payload one by one. Methods return `None` if the payload ends too early.
 struct Decoder<'a>(&'a [u8]);
 
 impl<'a> Decoder<'a> {
-    fn take(&mut self, length: usize) -> Option<&'a [u8]> {
-        let (taken, rest) = self.0.split_at_checked(length)?;
+    fn read(&mut self, length: usize) -> Option<&'a [u8]> {
+        let (bytes, rest) = self.0.split_at_checked(length)?;
         self.0 = rest;
-        Some(taken)
+        Some(bytes)
     }
     fn byte(&mut self) -> Option<u8> {
-        self.take(1).map(|bytes| bytes[0])
+        self.read(1).map(|bytes| bytes[0])
     }
     fn flag(&mut self) -> Option<bool> {
         self.byte().map(|byte| byte == 1)
     }
     fn number(&mut self) -> Option<u64> {
-        Some(u64::from_le_bytes(self.take(8)?.try_into().ok()?))
+        Some(u64::from_le_bytes(self.read(8)?.try_into().ok()?))
     }
     fn bytes(&mut self) -> Option<&'a [u8]> {
-        let length = u32::from_le_bytes(self.take(4)?.try_into().ok()?);
-        self.take(length as usize)
+        let length = u32::from_le_bytes(self.read(4)?.try_into().ok()?);
+        self.read(length as usize)
     }
     fn text(&mut self) -> Option<String> {
         String::from_utf8(self.bytes()?.to_vec()).ok()
--- a/src/journal/disk.rs
+++ b/src/journal/disk.rs
@@ -1,51 +1,51 @@
-//! The few file operations that the journal needs, behind traits: a test can make each of them fail.
+//! The file operations that the journal needs, behind traits, so that tests can make each of them fail.
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, ErrorKind, Write};
 use std::path::{Path, PathBuf};
 
-/// A folder of files, named by their file names alone.
+/// A folder of files, addressed by file name.
 pub trait Disk: Send {
-    /// Reads a whole file; `None` if there is no such file.
+    /// Reads a whole file; `None` if it does not exist.
     ///
     /// # Errors
     ///
-    /// The file is there and cannot be read.
+    /// The file exists and cannot be read.
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>>;
-    /// Opens a file for appending; creates it if it does not exist.
+    /// Opens a file for appending, and creates it if it does not exist.
     ///
     /// # Errors
     ///
     /// The file cannot be opened or created.
     fn open_append(&self, name: &str) -> io::Result<Box<dyn FileWriter>>;
-    /// Creates an empty file for appending, in place of one that may exist.
+    /// Creates an empty file for appending, and replaces an existing one.
     ///
     /// # Errors
     ///
-    /// The old file cannot be removed, or the new one not created.
+    /// The existing file cannot be removed, or the new one cannot be created.
     fn create(&self, name: &str) -> io::Result<Box<dyn FileWriter>>;
-    /// Renames a file, atomically replacing one that has the new name.
+    /// Renames a file, and atomically replaces an existing file of the new name.
     ///
     /// # Errors
     ///
-    /// The file cannot be renamed; both files are as before.
+    /// The file cannot be renamed; both files are unchanged.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
     ///
     /// # Errors
     ///
-    /// There is no such file, or it cannot be removed.
+    /// The file does not exist or cannot be removed.
     fn remove(&self, name: &str) -> io::Result<()>;
 }
 
-/// A file that is open for appending. It stays the same file when it is renamed.
+/// A file that is open for appending. It stays valid when the file is renamed.
 pub trait FileWriter: Send {
     /// Appends bytes.
     ///
     /// # Errors
     ///
-    /// The write failed; any part of the bytes may have been written.
+    /// The write failed. Any part of the bytes may have been written.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
-    /// Truncates the file to this many bytes.
+    /// Truncates the file to `size` bytes.
     ///
     /// # Errors
     ///
@@ -53,11 +53,11 @@
     fn truncate(&mut self, size: u64) -> io::Result<()>;
 }
 
-/// A folder of the file system, as a [`Disk`].
+/// A [`Disk`] backed by a folder of the file system.
 pub struct Folder(PathBuf);
 
 impl Folder {
-    /// Opens the folder; creates it if it does not exist.
+    /// Opens the folder, and creates it if it does not exist.
     ///
     /// # Errors
     ///
@@ -79,7 +79,7 @@
         Ok(Box::new(OpenOptions::new().create(true).append(true).open(self.0.join(name))?))
     }
     fn create(&self, name: &str) -> io::Result<Box<dyn FileWriter>> {
-        // `OpenOptions` does not allow truncating together with appending: an earlier file is removed first.
+        // `OpenOptions` rejects truncating together with appending, so an existing file is removed first.
         match self.remove(name) {
             Err(e) if e.kind() != ErrorKind::NotFound => Err(e),
             _ => self.open_append(name),
@@ -102,7 +102,7 @@
     }
 }
 
-/// Opens the lasting folder as a disk; in a debug build, one that a test can make fail.
+/// Opens the state folder as a disk. In a debug build tests can inject faults into it.
 ///
 /// # Errors
 ///
@@ -116,8 +116,8 @@
     Ok(disk)
 }
 
-/// A folder whose operations fail while a file names them (`append`, `cut`, `create`, `rename`, `remove`). For tests that
-/// start the real program: release builds do not contain it.
+/// A folder whose operations fail while a file lists them (`append`, `cut` for truncating, `create`, `rename`, `remove`).
+/// For tests that start the real program; not part of release builds.
 #[cfg(debug_assertions)]
 pub struct FaultyFolder {
     folder: Folder,
@@ -126,7 +126,7 @@
 
 #[cfg(debug_assertions)]
 impl FaultyFolder {
-    /// The folder itself, unless `MICALADDER_DISK_FAULTS` names a file of faults.
+    /// Wraps the folder if `MICALADDER_DISK_FAULTS` names a file with faults; otherwise returns the folder itself.
     pub fn wrap(folder: Folder) -> Box<dyn Disk> {
         match std::env::var("MICALADDER_DISK_FAULTS") {
             Ok(faults) => Box::new(FaultyFolder { folder, faults: faults.into() }),
@@ -139,8 +139,8 @@
 fn inject_fault(faults: &Path, operation: &str) -> io::Result<()> {
     let failing = fs::read_to_string(faults).unwrap_or_default();
     if failing.split_whitespace().any(|name| name == operation) {
-        let text = format!("a test lets {operation} fail");
-        return Err(io::Error::new(ErrorKind::StorageFull, text));
+        let message = format!("fault injected by a test: {operation} fails");
+        return Err(io::Error::new(ErrorKind::StorageFull, message));
     }
     Ok(())
 }
@@ -177,7 +177,7 @@
 impl FileWriter for FaultyWriter {
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         inject_fault(&self.faults, "append").inspect_err(|_| {
-            // As on a disk that fills up: the first bytes are still written.
+            // Like a disk that fills up, writes the first bytes before the error.
             let _ = self.writer.append(&bytes[..bytes.len() / 2]);
         })?;
         self.writer.append(bytes)
--- a/src/journal/limits.rs
+++ b/src/journal/limits.rs
@@ -1,66 +1,66 @@
-//! How much of the lasting folder the journal uses, and what for. Journal and compacted journal lie side by side during a
-//! compaction: `USABLE` and `ACCEPTING` together stay under the whole, whatever has failed before.
+//! The journal's shares of the state folder. During a compaction the folder holds the journal and its compacted copy, so
+//! `USABLE_SHARE` and `ACCEPTING_SHARE` together stay below the whole, even after earlier failures.
 
-/// Share of the folder that pending messages may take, and so may the compacted journal. The distance to `ACCEPTING` is
-/// the least that each compaction gains.
-const PENDING: f64 = 0.4;
-/// Beyond this share the journal is compacted before it accepts another message.
-const ACCEPTING: f64 = 0.45;
-/// The share above `ACCEPTING` is reserved for accepted messages: their attempts, outcomes and completions, for the time
-/// when the journal cannot be compacted.
-const USABLE: f64 = 0.52;
+/// Share of the folder for pending messages, and thus for the records of a compacted journal. The distance to
+/// `ACCEPTING_SHARE` is the least that a compaction gains.
+const PENDING_SHARE: f64 = 0.4;
+/// Share of the folder above which the journal is compacted before it accepts another message.
+const ACCEPTING_SHARE: f64 = 0.45;
+/// Share of the folder that the journal may use in total. The part above `ACCEPTING_SHARE` is a reserve for the attempts,
+/// outcomes and completions of accepted messages while the journal cannot be compacted.
+const USABLE_SHARE: f64 = 0.52;
 
-/// File systems count each file in whole blocks of so many bytes.
-const BLOCK: u64 = 512;
-/// The journal, the compacted journal that replaces it, and the three files of a takeover.
-const FILES: u64 = 5;
+/// Block size of the file system: each file takes whole blocks.
+const BLOCK_BYTES: u64 = 512;
+/// Number of files in the folder: the journal, the compacted journal that replaces it, and the three files of a takeover.
+const FILE_COUNT: u64 = 5;
 
-/// Bytes of an accepted message's record beside its texts and body.
-const ACCEPTED_RECORD: u64 = 76;
-/// Bytes of an attempt's records: its start and its outcome.
-const ATTEMPT_RECORDS: u64 = 52;
-/// Bytes of the records of a completion and of its acknowledged callback.
-const COMPLETION_RECORDS: u64 = 52;
-/// Bytes of an entry of the deduplication cache beside its texts.
-const DEDUPLICATED_RECORD: u64 = 28;
+/// Size of an accepted message's record without its texts and body.
+const ACCEPTED_RECORD_BYTES: u64 = 76;
+/// Size of the records of an attempt: its start and its end.
+const ATTEMPT_RECORDS_BYTES: u64 = 52;
+/// Size of the records of a completion and of its acknowledged callback.
+const COMPLETION_RECORDS_BYTES: u64 = 52;
+/// Size of a deduplication record without its texts.
+const DEDUPLICATED_RECORD_BYTES: u64 = 28;
 
-/// The sizes that follow from the capacity of the folder, in bytes.
+/// Size limits that follow from the capacity of the folder.
 pub(super) struct Limits {
-    /// Bytes of the folder that the contents of the journal's files may take together.
-    usable_folder: f64,
+    /// Bytes available for the contents of all files of the journal together.
+    available_bytes: f64,
 }
 
 impl Limits {
-    /// For a folder that may hold `capacity` bytes.
+    /// Creates the limits for a folder with a capacity of `capacity` bytes.
     pub(super) fn new(capacity: u64) -> Limits {
-        Limits { usable_folder: capacity.saturating_sub(FILES * BLOCK) as f64 }
+        Limits { available_bytes: capacity.saturating_sub(FILE_COUNT * BLOCK_BYTES) as f64 }
     }
 
-    /// What pending messages may take.
+    /// Returns the limit on the reservations of all messages, in bytes.
     pub(super) fn pending(&self) -> u64 {
-        (self.usable_folder * PENDING) as u64
+        (self.available_bytes * PENDING_SHARE) as u64
     }
 
-    /// Up to which size the journal accepts messages; also the limit of a compacted journal.
+    /// Returns the size up to which the journal accepts messages, in bytes. Also the limit of a compacted journal.
     pub(super) fn accepting(&self) -> u64 {
-        (self.usable_folder * ACCEPTING) as u64
+        (self.available_bytes * ACCEPTING_SHARE) as u64
     }
 
-    /// Up to which size the journal takes any other record.
+    /// Returns the size up to which the journal accepts all other records, in bytes.
     pub(super) fn usable(&self) -> u64 {
-        (self.usable_folder * USABLE) as u64
+        (self.available_bytes * USABLE_SHARE) as u64
     }
 }
 
-/// What is reserved for a pending message. A compacted journal has one record for all attempts that are over; and a
-/// completed message's entry in the deduplication cache takes the place of its attempts.
+/// Returns the bytes to reserve for a pending message. The records of at most two attempts are counted: a compacted journal
+/// combines all ended attempts, and has the one in flight. The deduplication record of a complete message replaces them.
 pub(super) fn reserved_bytes(name: &str, origin: &str, idempotency_key: &str, body: usize) -> u64 {
     let texts = (name.len() + idempotency_key.len() + origin.len() + body) as u64;
-    let attempts_or_entry = deduplicated_bytes(name, idempotency_key).max(2 * ATTEMPT_RECORDS);
-    texts + ACCEPTED_RECORD + COMPLETION_RECORDS + attempts_or_entry
+    let attempts_or_deduplication = deduplicated_bytes(name, idempotency_key).max(2 * ATTEMPT_RECORDS_BYTES);
+    texts + ACCEPTED_RECORD_BYTES + COMPLETION_RECORDS_BYTES + attempts_or_deduplication
 }
 
-/// What is reserved for an entry of the deduplication cache.
+/// Returns the bytes to reserve for an entry of the deduplication cache.
 pub(super) fn deduplicated_bytes(name: &str, idempotency_key: &str) -> u64 {
-    (name.len() + idempotency_key.len()) as u64 + DEDUPLICATED_RECORD
+    (name.len() + idempotency_key.len()) as u64 + DEDUPLICATED_RECORD_BYTES
 }
--- a/src/journal/mod.rs
+++ b/src/journal/mod.rs
@@ -1,8 +1,13 @@
-//! The journal: a checksummed append-only log in the lasting folder, from which a restart learns what is still owed.
-//! It keeps records; what they mean is the core's business.
+//! The journal: a checksummed append-only log in the state folder, from which a restarted process restores its pending
+//! messages. It stores records; the core interprets them.
 //!
-//! `record` has the records, `codec` their bytes, `limits` the shares of the folder, `disk` the files, and `append_log` the open
-//! journal with its compaction.
+//! | module | content |
+//! | --- | --- |
+//! | `record` | the records |
+//! | `codec` | their encoding |
+//! | `limits` | the journal's shares of the folder |
+//! | `disk` | file operations |
+//! | `append_log` | the open journal and its compaction |
 #![warn(missing_docs)]
 mod append_log;
 mod codec;
--- a/src/journal/record.rs
+++ b/src/journal/record.rs
@@ -1,7 +1,7 @@
-//! What the journal holds: one record for each step in the life of a message, and what a predecessor leaves behind.
+//! Records: the steps in the life of a message, suspensions, deduplication entries, and the reports of a predecessor.
 use bytes::Bytes;
 
-/// One entry of the journal. Times are Unix nanoseconds; `id` is the message's number, unique in one journal.
+/// An entry of the journal. Times are Unix nanoseconds; `id` identifies a message within one journal.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
     /// A message was accepted. The order of these records is the order of acceptance.
@@ -14,17 +14,17 @@
         at: u64,
         /// Index of the endpoint's zone.
         zone: u32,
-        /// Earlier attempts, all of them over, that a compacted journal has no records of their own for.
+        /// Number of earlier, ended attempts that have no records of their own, because the journal was compacted.
         earlier_attempts: u32,
     },
     /// An attempt ended without delivering.
     AttemptEnded {
         /// The message.
         id: u64,
-        /// The endpoint may have processed the message.
+        /// Whether the endpoint may have processed the message.
         may_have_run: bool,
     },
-    /// The message is complete: delivered, withdrawn, or its client is owed a callback.
+    /// A message completed. Its client may still need a callback, see [`Record::CallbackAcknowledged`].
     Completed {
         /// The message.
         id: u64,
@@ -33,57 +33,57 @@
         /// How it completed.
         completion: Completion,
     },
-    /// The platform acknowledged the callback on the message's completion.
+    /// The client acknowledged the callback for a completion.
     CallbackAcknowledged {
         /// The message.
         id: u64,
     },
-    /// A completed message in the deduplication cache: repeats of it get the same answer until the entry expires.
+    /// An entry of the deduplication cache: repeats of the message get the same answer until the entry expires.
     Deduplicated {
         /// The name that the client gave the message.
         name: String,
-        /// Its idempotency key; empty if it had none.
+        /// The message's idempotency key; empty if it had none.
         idempotency_key: String,
         /// When the entry expires.
         until: u64,
-        /// Whether it was delivered; otherwise it was undeliverable.
+        /// Whether the message was delivered; otherwise it was undeliverable.
         delivered: bool,
     },
-    /// An operator suspended an endpoint or resumed it. Programs older than this record stop reading at the first one.
+    /// An operator suspended or resumed an endpoint. Versions older than this record stop reading at the first one.
     Suspended {
-        /// The endpoint's identifier in discovery.
+        /// Name of the endpoint in discovery.
         uid: String,
         /// Whether the endpoint is suspended from now on.
         suspended: bool,
     },
-    /// How an attempt ended that the predecessor had in flight when it released the journal.
+    /// The outcome of an attempt that the predecessor had in flight when it released the journal.
     LateOutcome {
         /// The message.
         id: u64,
-        /// When the attempt started: tells it from an earlier attempt of the same message.
+        /// When the attempt started; distinguishes it from an earlier attempt of the same message.
         at: u64,
         /// How the attempt ended.
         outcome: LateOutcome,
     },
-    /// What the predecessor had observed of an endpoint, in the encoding of the core.
+    /// An observation of an endpoint by the predecessor. The core encodes its finding.
     Observed {
-        /// The endpoint's identifier in discovery.
+        /// Name of the endpoint in discovery.
         uid: String,
-        /// When it was observed.
+        /// When the observation was made.
         at: u64,
-        /// The kind of observation.
+        /// The kind of finding.
         kind: u8,
-        /// Its figures; their meaning depends on the kind.
+        /// The values of the finding; their meaning depends on the kind.
         values: [u64; 2],
     },
 }
 
-/// How an attempt ended after its process had released the journal.
+/// Outcome of an attempt that ended after its process had released the journal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LateOutcome {
     /// The endpoint confirmed delivery.
     Delivered,
-    /// The endpoint answered that nothing more is to be delivered.
+    /// The endpoint answered that the message needs no further delivery.
     Final,
     /// The attempt failed, and the endpoint may have processed the message.
     MayHaveRun,
@@ -91,28 +91,28 @@
     NeverRan,
 }
 
-/// An accepted message, with all that a restart needs to go on with it.
+/// An accepted message, with everything that a restart needs to resume it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AcceptedMessage {
-    /// Its number, unique in one journal.
+    /// Id, unique within one journal.
     pub id: u64,
-    /// The name that the client gave it.
+    /// Name that the client gave the message.
     pub name: String,
-    /// What its front needs to report the completion; empty for the platform's own front.
+    /// Data that the client interface needs to report the completion; empty for the platform interface.
     pub origin: String,
-    /// Index of its class.
+    /// Index of the class.
     pub class: u32,
-    /// Index of its tenant.
+    /// Index of the tenant.
     pub tenant: u32,
-    /// Its ordering key, if it has one.
+    /// Ordering key, if any.
     pub key: Option<u64>,
-    /// Its destination.
+    /// Destination.
     pub dest: u64,
-    /// When its time is up, in Unix nanoseconds.
+    /// Deadline, in Unix nanoseconds.
     pub deadline: u64,
-    /// Its idempotency key; empty if it has none.
+    /// Idempotency key; empty if there is none.
     pub idempotency_key: String,
-    /// Its body.
+    /// Body.
     pub body: Bytes,
 }
 
@@ -121,11 +121,11 @@
 pub enum Completion {
     /// An endpoint confirmed delivery.
     Delivered,
-    /// Its client withdrew it, or the endpoint answered that nothing more is to be delivered.
+    /// The client withdrew the message, or the endpoint answered that it needs no further delivery.
     Withdrawn,
-    /// It cannot be delivered any more, or may have been and must not be sent again.
+    /// The message can no longer be delivered, or it may have been delivered and must not be sent again.
     Undeliverable,
-    /// It was not delivered in time, and its client may send it again; with the milliseconds to wait before that, where
-    /// they are known.
+    /// The message was not delivered in time, and the client may submit it again, after this many milliseconds if they are
+    /// known.
     Deferred(Option<u64>),
 }
