--- a/src/core/journal_writer.rs
+++ b/src/core/journal_writer.rs
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Returns whether the last write failed and the journal has not recovered since.
+    /// Returns whether a write has failed and the journal has not recovered since.
     pub(super) fn is_unavailable(&self) -> bool {
         self.retry_at.is_some()
     }
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -115,7 +115,8 @@
     pub address: String,
     /// Time limit of the attempt, including its connect.
     pub timeout: Nanos,
-    /// Whether the message must not run twice. If such an attempt is cancelled after its first byte, it is not retried.
+    /// Whether the message must not run twice. Cancelling such an attempt after its first byte makes the message
+    /// undeliverable.
     pub at_most_once: bool,
     /// The request.
     pub context: Arc<RequestContext>,
