--- a/src/acme.rs
+++ b/src/acme.rs
@@ -1,4 +1,4 @@
-//! The TLS certificate of the AS2 listener: ordered from an ACME authority (RFC 8555), renewed, and replaced while the
+//! Orders the AS2 listener's TLS certificate from an ACME authority (RFC 8555), renews it, and replaces it while the
 //! listener runs.
 #![warn(missing_docs)]
 use crate::as2::AcmeSettings;
@@ -25,46 +25,49 @@
 use tokio_rustls::rustls::server::{ClientHello, ResolvesServerCert};
 use tokio_rustls::rustls::sign::CertifiedKey;
 
-/// The file in the state directory with the last certificate and its key (PEM).
+/// File in the state folder that holds the latest certificate and its key (PEM).
 const CERTIFICATE_FILE: &str = "certificate.pem";
 
-/// How long the authority may take to validate the challenge, and to issue the certificate.
+/// Time limit for the authority to validate the challenge, and again to issue the certificate.
 const POLL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The shortest pause between two orders. Guards the authority against a pause of 0 in the settings.
-const MIN_PAUSE: Duration = Duration::from_millis(100);
+/// Minimum delay between two orders, which protects the authority if the settings contain a delay of 0.
+const MIN_ORDER_DELAY: Duration = Duration::from_millis(100);
 
-/// Why there is no new certificate. The present one stays in use, and the order is repeated after `acme.retry_s`.
+/// An error that prevents a certificate from being ordered or used. The current certificate stays in use, and the order is
+/// repeated after `acme.retry_s`.
 #[derive(Debug, thiserror::Error)]
 pub enum AcmeError {
     /// The authority cannot be reached or has rejected a request: check `acme.directory` and `acme.domain`.
     #[error(transparent)]
     Protocol(#[from] instant_acme::Error),
-    /// The certificate's key cannot be used, or is not the certificate's: if it comes back, ask the authority's
+    /// The private key cannot be used or does not belong to the certificate: if the error recurs, contact the authority's
     /// operator.
     #[error(transparent)]
     Tls(#[from] rustls::Error),
-    /// The certificate or its key is not PEM: if it comes back, ask the authority's operator.
+    /// The certificate or its key is not valid PEM: if the error recurs, contact the authority's operator.
     #[error(transparent)]
     Pem(#[from] pem::Error),
-    /// The PEM text has no certificate: if it comes back, ask the authority's operator.
-    #[error("no certificate came")]
+    /// The PEM text contains no certificate: if the error recurs, contact the authority's operator.
+    #[error("the PEM text contains no certificate")]
     NoCertificate,
-    /// The authority does not validate by HTTP-01 (RFC 8555, section 8.3): choose another one in `acme.directory`.
-    #[error("the authority offers no HTTP-01")]
+    /// The authority does not offer HTTP-01 validation (RFC 8555, section 8.3): choose another one in `acme.directory`.
+    #[error("the authority does not offer the HTTP-01 challenge; choose another one in acme.directory")]
     NoHttp01Challenge,
     /// The authority did not validate the domain: check that it can reach `acme.challenge_listen` on port 80 of the
     /// domain.
-    #[error("the order is {0:?}")]
+    #[error(
+        "the order's status is {0:?} instead of Ready; check that port 80 of the domain leads to acme.challenge_listen"
+    )]
     OrderNotReady(OrderStatus),
 }
 
-/// The certificate in use. Each new connection gets the one that is stored at that time.
+/// The certificate in use. Each TLS handshake uses the certificate that is stored at that moment.
 #[derive(Debug, Default)]
 pub struct CertificateStore(RwLock<Option<Arc<CertifiedKey>>>);
 
 impl CertificateStore {
-    /// Replaces the certificate with the chain and the key in a PEM text.
+    /// Replaces the certificate with the chain and the private key in `pem`.
     fn replace(&self, pem: &str) -> Result<(), AcmeError> {
         let chain = CertificateDer::pem_slice_iter(pem.as_bytes()).collect::<Result<Vec<_>, _>>()?;
         if chain.is_empty() {
@@ -72,7 +75,7 @@
         }
         let key = any_supported_type(&PrivateKeyDer::from_pem_slice(pem.as_bytes())?)?;
         let certified = CertifiedKey::new(chain, key);
-        // Guards against a certificate for another key: every handshake would fail.
+        // With a key that does not belong to the certificate, every handshake would fail.
         certified.keys_match()?;
         if let Ok(mut current) = self.0.write() {
             *current = Some(Arc::new(certified));
@@ -87,11 +90,11 @@
     }
 }
 
-/// Key authorizations of the pending challenges, by token (RFC 8555, section 8.1).
+/// Key authorizations of the pending challenges by token (RFC 8555, section 8.1).
 type Challenges = Arc<RwLock<BTreeMap<String, String>>>;
 
-/// Orders a certificate, and renews it for as long as the process runs. The last one is saved in `state_dir`, so that a
-/// restart does not depend on the authority. If an order fails, the present certificate stays in use.
+/// Orders a certificate and renews it until the process ends. The latest certificate is saved in `state_dir`, so that a
+/// restart does not depend on the authority. If an order fails, the current certificate stays in use.
 pub async fn run(settings: AcmeSettings, state_dir: PathBuf, store: Arc<CertificateStore>) {
     let saved = state_dir.join(CERTIFICATE_FILE);
     if load_saved(&saved, &store) {
@@ -103,30 +106,30 @@
         return log::error!("ACME: cannot listen for challenges on {address}: {error}");
     }
     loop {
-        let pause = match renew(&settings, &challenges, &store).await {
+        let delay_secs = match renew(&settings, &challenges, &store).await {
             Ok(pem) => {
                 log::info!("ACME: a new certificate for {} is in use", settings.domain);
                 if let Err(error) = std::fs::write(&saved, pem) {
-                    log::warn!("ACME: the certificate is not saved: {error}");
+                    log::warn!("ACME: cannot save the certificate to {}: {error}", saved.display());
                 }
                 settings.renew_s
             }
             Err(error) => {
-                log::warn!("ACME: no new certificate, the present one stays in use: {error}");
+                log::warn!("ACME: certificate renewal failed, the current one stays in use: {error}");
                 settings.retry_s
             }
         };
-        tokio::time::sleep(Duration::from_secs_f64(pause.max(MIN_PAUSE.as_secs_f64()))).await;
+        tokio::time::sleep(Duration::from_secs_f64(delay_secs.max(MIN_ORDER_DELAY.as_secs_f64()))).await;
     }
 }
 
-/// Takes the saved certificate into use. Returns false if there is none that can be used.
+/// Loads the saved certificate into `store`. Returns false if there is no usable certificate.
 fn load_saved(path: &FilePath, store: &CertificateStore) -> bool {
     let Ok(pem) = std::fs::read_to_string(path) else { return false };
     store.replace(&pem).is_ok()
 }
 
-/// Listens for the authority's validation requests (RFC 8555, section 8.3) and answers them in a task of their own.
+/// Listens for the authority's validation requests (RFC 8555, section 8.3) and serves them in a separate task.
 async fn serve_challenges(address: &str, challenges: Challenges) -> std::io::Result<()> {
     let listener = TcpListener::bind(address).await?;
     let routes = Router::new()
@@ -143,7 +146,7 @@
     challenges.get(&token).cloned().ok_or(StatusCode::NOT_FOUND)
 }
 
-/// Orders a certificate and takes it into use. Returns its chain and key as PEM.
+/// Orders a certificate and stores it in `store`. Returns its chain and its private key as PEM.
 async fn renew(
     settings: &AcmeSettings, challenges: &Challenges, store: &CertificateStore,
 ) -> Result<String, AcmeError> {
@@ -152,9 +155,9 @@
     Ok(pem)
 }
 
-/// Goes through one order (RFC 8555, section 7.4). Returns the certificate's chain and its key as PEM.
+/// Completes one order (RFC 8555, section 7.4). Returns the certificate chain and its private key as PEM.
 async fn order_certificate(settings: &AcmeSettings, challenges: &Challenges) -> Result<String, AcmeError> {
-    let account = account(&settings.directory).await?;
+    let account = create_account(&settings.directory).await?;
     let names = [Identifier::Dns(settings.domain.clone())];
     let mut order = account.new_order(&NewOrder::new(&names)).await?;
     accept_challenges(&mut order, challenges).await?;
@@ -169,7 +172,7 @@
 }
 
 /// Creates an account for one order (RFC 8555, section 7.3).
-async fn account(directory: &str) -> Result<Account, AcmeError> {
+async fn create_account(directory: &str) -> Result<Account, AcmeError> {
     let connector = HttpsConnectorBuilder::new()
         .with_provider_and_webpki_roots(default_provider())?
         .https_or_http()
@@ -182,8 +185,7 @@
     Ok(account)
 }
 
-/// Publishes the key authorization of each pending challenge and asks the authority to validate it (RFC 8555, section
-/// 7.5.1).
+/// Publishes the key authorization of each pending challenge and requests its validation (RFC 8555, section 7.5.1).
 async fn accept_challenges(order: &mut Order, challenges: &Challenges) -> Result<(), AcmeError> {
     let mut authorizations = order.authorizations();
     while let Some(authorization) = authorizations.next().await {
@@ -195,7 +197,7 @@
         let mut challenge = challenge.ok_or(AcmeError::NoHttp01Challenge)?;
         let key_authorization = challenge.key_authorization().as_str().to_string();
         if let Ok(mut challenges) = challenges.write() {
-            // An order has one domain, so earlier tokens are no longer asked for.
+            // An order has one domain, so tokens of earlier challenges are no longer requested.
             challenges.clear();
             challenges.insert(challenge.token.clone(), key_authorization);
         }
--- a/src/callbacks.rs
+++ b/src/callbacks.rs
@@ -1,4 +1,4 @@
-//! Completion callbacks: tells the platform of accepted messages that were not delivered, and sends each callback again
+//! Completion callbacks: notifies the platform of accepted messages that were not delivered, and retries each callback
 //! until the platform acknowledges it.
 #![warn(missing_docs)]
 use crate::core::Callback;
@@ -17,25 +17,24 @@
 use tokio::task::{JoinError, JoinSet};
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// How long the first attempt is waited for before the same batch is sent once more, while the first is still listened to.
-/// A callback must arrive 300 ms after its message's deadline, and a connection may be dead: this leaves time for three of
-/// them in a row.
+/// Delay after the first attempt before the batch is sent again, while the first attempt stays in flight. A callback must
+/// arrive within 300 ms of its message's deadline; this delay leaves time for three dead connections in a row.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(40);
-/// The longest such delay. It doubles with each attempt, for a platform that is slow or down.
+/// Maximum delay between attempts. The delay doubles with each attempt, since the platform may be slow or down.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// After an answer that is no acknowledgement, the next attempt comes within the delay divided by this.
+/// After a failed attempt, the next one starts within the retry delay divided by this number.
 const FAILED_ATTEMPT_DIVISOR: u32 = 3;
-/// How long the answer to one attempt is waited for.
+/// Time limit for the response to one attempt.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Batches in flight at once. Guards later callbacks against a batch whose connections are dead: only when all batches are
-/// taken do callbacks wait, and then they travel together.
+/// Maximum number of batches in flight, so that one batch with dead connections does not block later callbacks. At the
+/// limit, new callbacks wait and are sent together in the next batch.
 const MAX_BATCHES_IN_FLIGHT: usize = 8;
 
 type PlatformClient = Client<HttpConnector, Full<Bytes>>;
 
-/// The HTTP clients for the platform. The first attempt of a batch takes the pooled connection, which costs nothing and works
-/// while new ones cannot be made; each retry opens a connection of its own. Guards against connections that died while they
-/// were idle: a pool would hand out one such after the other until the callback's time is up.
+/// HTTP clients for the platform. The first attempt of a batch uses the pooled connection, which needs no handshake and
+/// works even when no new connection can be opened. Each retry opens a new connection: a pool could hand out one dead idle
+/// connection after another until the callback is too late.
 #[derive(Clone)]
 struct PlatformClients {
     pooled: PlatformClient,
@@ -52,8 +51,8 @@
     Client::builder(TokioExecutor::new()).pool_max_idle_per_host(max_idle_connections).build_http()
 }
 
-/// Sends callbacks as they come, for as long as the process runs; those that come together travel in one batch. `address` is
-/// the platform's, which may change.
+/// Sends callbacks until the process ends. Callbacks that arrive together are sent in one batch. `address` is the address
+/// of the platform, which may change.
 pub async fn run(
     address: watch::Receiver<String>, exchange: Exchange, mut callbacks: UnboundedReceiver<Callback>,
 ) {
@@ -61,22 +60,23 @@
     let mut in_flight = JoinSet::new();
     while let Some(first) = callbacks.recv().await {
         let mut batch = vec![first];
-        take_available(&mut callbacks, &mut batch);
+        drain_available(&mut callbacks, &mut batch);
         while in_flight.len() >= MAX_BATCHES_IN_FLIGHT && in_flight.join_next().await.is_some() {}
-        // More may have come while the batch waited.
-        take_available(&mut callbacks, &mut batch);
+        // More callbacks may have arrived while the batch waited.
+        drain_available(&mut callbacks, &mut batch);
         while in_flight.try_join_next().is_some() {}
         in_flight.spawn(deliver(clients.clone(), address.clone(), exchange.clone(), batch));
     }
 }
 
-fn take_available(callbacks: &mut UnboundedReceiver<Callback>, batch: &mut Vec<Callback>) {
+/// Moves the callbacks that have already arrived into `batch`, without waiting for more.
+fn drain_available(callbacks: &mut UnboundedReceiver<Callback>, batch: &mut Vec<Callback>) {
     while let Ok(callback) = callbacks.try_recv() {
         batch.push(callback);
     }
 }
 
-/// Delivers one batch and acknowledges its callbacks to the exchange.
+/// Delivers one batch and reports its callbacks to the exchange as acknowledged.
 async fn deliver(
     clients: PlatformClients, address: watch::Receiver<String>, exchange: Exchange, batch: Vec<Callback>,
 ) {
@@ -94,10 +94,10 @@
     }
 }
 
-/// The delivery of one batch: attempts that may overlap, until one is answered for good.
+/// Delivery of one batch, by attempts that may overlap, until one of them has a final response.
 struct BatchDelivery {
     clients: PlatformClients,
-    /// The platform's address, which a reload changes.
+    /// Address of the platform, which a reload of the configuration may change.
     address: watch::Receiver<String>,
     current_address: Arc<String>,
     body: Bytes,
@@ -125,13 +125,13 @@
         }
     }
 
-    /// Runs until the platform has acknowledged the batch or says that it cannot read it.
+    /// Sends the batch until the platform acknowledges it or responds that it cannot parse it.
     async fn run(mut self) {
         loop {
             tokio::select! {
                 biased;
                 Some(response) = self.attempts.join_next() => {
-                    if self.is_final(response) {
+                    if self.handle_response(response) {
                         return;
                     }
                 }
@@ -141,27 +141,30 @@
         }
     }
 
-    /// Whether this response ends the delivery; otherwise the next attempt comes sooner.
-    fn is_final(&mut self, response: Result<CallbackResponse, JoinError>) -> bool {
+    /// Returns whether this response ends the delivery. After a failed attempt, schedules the next one earlier.
+    fn handle_response(&mut self, response: Result<CallbackResponse, JoinError>) -> bool {
         match response {
             Ok(CallbackResponse::Acknowledged) => true,
-            // It would be rejected again for ever.
-            Ok(CallbackResponse::Unreadable) => {
-                log::error!("callbacks: the platform cannot read {:?}; dropped", self.body);
+            // The platform would reject every retry as well.
+            Ok(CallbackResponse::Malformed) => {
+                log::error!(
+                    "callbacks: the platform rejected the batch as malformed, dropped: {:?}",
+                    self.body
+                );
                 true
             }
             Ok(CallbackResponse::Failed(reason)) => {
-                log::warn!("callbacks: {reason}; sending again");
+                log::warn!("callbacks: attempt failed, retrying: {reason}");
                 let soon = Instant::now() + self.retry_delay / FAILED_ATTEMPT_DIVISOR;
                 self.next_attempt_at = self.next_attempt_at.min(soon);
                 false
             }
-            // The attempt panicked; the next one follows by itself.
+            // The attempt panicked. The next one is already scheduled.
             Err(_) => false,
         }
     }
 
-    /// After a reload, a batch that is not acknowledged goes to the new address at once.
+    /// Sends the batch to the platform's new address immediately, after a reload of the configuration.
     fn address_changed(&mut self) {
         self.current_address = Arc::new(self.address.borrow_and_update().clone());
         self.retry_delay = INITIAL_RETRY_DELAY;
@@ -172,7 +175,7 @@
         let is_retry = self.next_attempt_at > self.started;
         if is_retry {
             let elapsed_ms = self.started.elapsed().as_millis();
-            log::warn!("callbacks: not acknowledged after {elapsed_ms} ms; sending once more");
+            log::warn!("callbacks: batch not acknowledged after {elapsed_ms} ms, retrying");
         }
         let client = if is_retry { &self.clients.unpooled } else { &self.clients.pooled };
         self.attempts.spawn(send(client.clone(), self.current_address.clone(), self.body.clone()));
@@ -183,11 +186,11 @@
 
 /// The platform's response to one attempt.
 enum CallbackResponse {
-    /// 204: the batch has been taken in.
+    /// 204: the platform has accepted the batch.
     Acknowledged,
-    /// 400: the platform cannot read the batch.
-    Unreadable,
-    /// Any other answer, or none: what went wrong.
+    /// 400: the platform cannot parse the batch.
+    Malformed,
+    /// Any other response, or no response; holds the reason.
     Failed(String),
 }
 
@@ -196,18 +199,20 @@
         .header("content-type", "application/x-ndjson")
         .body(Full::new(body));
     let Ok(request) = request else {
-        return CallbackResponse::Failed(format!("{address} is not a valid address"));
+        return CallbackResponse::Failed(format!("invalid platform address: {address}"));
     };
     match timeout(RESPONSE_TIMEOUT, client.request(request)).await {
-        Ok(Ok(answer)) if answer.status() == StatusCode::NO_CONTENT => CallbackResponse::Acknowledged,
-        Ok(Ok(answer)) if answer.status() == StatusCode::BAD_REQUEST => CallbackResponse::Unreadable,
-        Ok(Ok(answer)) => CallbackResponse::Failed(format!("answered {}", answer.status())),
+        Ok(Ok(response)) if response.status() == StatusCode::NO_CONTENT => CallbackResponse::Acknowledged,
+        Ok(Ok(response)) if response.status() == StatusCode::BAD_REQUEST => CallbackResponse::Malformed,
+        Ok(Ok(response)) => {
+            CallbackResponse::Failed(format!("unexpected response status {}", response.status()))
+        }
         Ok(Err(e)) => CallbackResponse::Failed(e.to_string()),
-        Err(_) => CallbackResponse::Failed("no answer".to_string()),
+        Err(_) => CallbackResponse::Failed(format!("no response within {RESPONSE_TIMEOUT:?}")),
     }
 }
 
-/// A callback as one line of the request's body (newline-delimited JSON).
+/// Formats a callback as one line of the request body (newline-delimited JSON).
 fn to_json_line(callback: &Callback) -> String {
     let id = miniserde::json::to_string(&callback.name);
     match callback.completion {
--- a/src/deduplication.rs
+++ b/src/deduplication.rs
@@ -1,16 +1,17 @@
-//! The deduplication cache: what is remembered of complete messages, so that repeats have the same answer. Found by name
-//! and by idempotency key, and expired in time: the cost of a request does not grow with the past.
+//! Deduplication cache: the results of complete messages, so that repeated requests receive the same answer. Entries are
+//! found by name and by idempotency key, and expire, so that the cost of a request does not grow with the number of past
+//! messages.
 #![warn(missing_docs)]
 use crate::journal::{Journal, Record};
 use crate::Nanos;
 use std::collections::{BTreeMap, HashMap};
 
-/// How a message ended that is asked for again.
+/// Result of a complete message whose request is repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PriorResult {
-    /// It was delivered.
+    /// The message was delivered.
     Delivered,
-    /// It failed for good.
+    /// The message failed permanently.
     Failed,
 }
 
@@ -21,22 +22,22 @@
     delivered: bool,
 }
 
-/// Until when a message is remembered, and a number that no other has: several may expire at one time.
+/// Expiry time of an entry and a unique number, since several entries may expire at the same time.
 type Expiry = (Nanos, u64);
 
-/// Complete messages, until their repeats need not be known any more.
+/// Cache of complete messages. Each entry is kept until repeated requests for its message need no longer be recognized.
 #[derive(Default)]
 pub struct DeduplicationCache {
     by_expiry: BTreeMap<Expiry, CompleteMessage>,
     by_name: HashMap<String, Expiry>,
-    /// Delivered messages, by their idempotency key.
+    /// Delivered messages by idempotency key.
     by_idempotency_key: HashMap<String, Expiry>,
     last_number: u64,
     journal_bytes: u64,
 }
 
 impl DeduplicationCache {
-    /// Remembers a message until this Unix time. `idempotency_key` is empty where the message has none.
+    /// Adds a message that expires at the Unix time `until`. `idempotency_key` is empty if the message has none.
     pub fn insert(&mut self, name: String, idempotency_key: String, until: Nanos, delivered: bool) {
         self.last_number += 1;
         let expiry = (until, self.last_number);
@@ -48,19 +49,20 @@
         self.by_expiry.insert(expiry, CompleteMessage { name, idempotency_key, delivered });
     }
 
-    /// How the message of this name ended, or else the delivered one of this key; none if neither is remembered.
+    /// Returns the result of the message with this name or, if the cache has none, of the delivered message with this
+    /// idempotency key.
     pub fn get(&self, name: &str, idempotency_key: &str) -> Option<PriorResult> {
         let expiry = self.by_name.get(name).or_else(|| self.by_idempotency_key.get(idempotency_key))?;
         let message = self.by_expiry.get(expiry)?;
         Some(if message.delivered { PriorResult::Delivered } else { PriorResult::Failed })
     }
 
-    /// Forgets the messages that are remembered until `now` or an earlier Unix time.
+    /// Removes the messages whose expiry time is `now` or earlier.
     pub fn expire(&mut self, now: Nanos) {
         while let Some(entry) = self.by_expiry.first_entry().filter(|e| e.key().0 <= now) {
             let (expiry, message) = entry.remove_entry();
             self.journal_bytes -= Journal::deduplicated_bytes(&message.name, &message.idempotency_key);
-            // A later message of the same name or key remains.
+            // Keep the index entries of a later message with the same name or key.
             if self.by_name.get(&message.name) == Some(&expiry) {
                 self.by_name.remove(&message.name);
             }
@@ -70,12 +72,12 @@
         }
     }
 
-    /// Bytes that the journal reserves for the cache.
+    /// Returns the number of bytes that the journal reserves for the cache.
     pub fn journal_bytes(&self) -> u64 {
         self.journal_bytes
     }
 
-    /// The records from which a restart fills the cache again, by the time of expiry.
+    /// Returns the journal records that restore the cache after a restart, ordered by expiry time.
     pub fn records(&self) -> impl Iterator<Item = Record> + '_ {
         self.by_expiry.iter().map(|((until, _), message)| Record::Deduplicated {
             name: message.name.clone(),
--- a/src/flags.rs
+++ b/src/flags.rs
@@ -1,5 +1,5 @@
-//! The command line: flags and environment variables, each defined once. A flag takes precedence over its variable. The
-//! settings in the platform's own files belong to `settings`.
+//! Command line and environment variables. A flag takes precedence over its environment variable. The platform's
+//! configuration files are read by `settings`.
 //!
 //! The doc comments of flags and commands are the help texts that users see: editing one changes the program's output.
 #![warn(missing_docs)]
@@ -11,22 +11,21 @@
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
 
-/// The AS2 front's file, relative to the folder that the program is started in.
+/// Default path of the AS2 settings, relative to the working directory.
 const DEFAULT_AS2_FILE: &str = "deploy/as2.json";
-/// The folder of scripts, relative to the folder that the program is started in.
+/// Default path of the plug-in folder, relative to the working directory.
 const DEFAULT_PLUGINS_FOLDER: &str = "deploy/plugins";
-/// The shortest and the longest pause of `fleet watch`, in seconds.
-const WATCH_PAUSE_SECS: RangeInclusive<f64> = 0.1..=3600.0;
-/// The flags that stand before a key of the configuration, by the name of their field.
+/// The allowed polling intervals of `fleet watch`, in seconds.
+const WATCH_INTERVAL_SECS: RangeInclusive<f64> = 0.1..=3600.0;
+/// Flags that override a key of the configuration file, by the name of their field in [`RunFlags`].
 const OVERRIDING_FLAGS: [&str; 4] = ["name", "listen", "discovery", "mgmt"];
 
-/// Forwards messages to partners' endpoints: in time, at most as often as allowed, with one final answer.
+/// Forwards messages to partners' endpoints: before the deadline, at most as often as allowed, with one final answer.
 #[derive(Parser, Debug)]
 #[command(
     name = "micaladder",
     version,
-    after_help = "Without a command it runs, and takes the flags of run. Exit codes: 0 done, 1 cannot go on, 2 wrong \
-        flags."
+    after_help = "The default command is run. Exit codes: 0 success, 1 error, 2 invalid flags."
 )]
 struct CommandLine {
     #[command(subcommand)]
@@ -35,63 +34,63 @@
 
 #[derive(Subcommand, Debug)]
 enum Subcommands {
-    /// Takes messages and delivers them, until SIGTERM. The usual command.
+    /// Accepts and delivers messages until SIGTERM. This is the default command.
     Run(RunFlags),
-    /// Reads every file that `run` would read and says what is wrong in them, by file and key; starts nothing.
+    /// Checks every file that `run` would read and reports each error with its file and key; starts nothing.
     Check(FileFlags),
-    /// Asks a running member for its view of the fleet.
+    /// Queries a running member for its view of the fleet.
     #[command(
         subcommand,
-        after_help = "Exit codes of show, and of watch once its output is closed: 0 all have the same view, 1 they have \
-            not (yet), 2 wrong flags or files, 3 nobody answers."
+        after_help = "Exit codes of show, and of watch once its output is closed: 0 all members have the same view, \
+            1 they do not (yet), 2 invalid flags or files, 3 no member responds."
     )]
     Fleet(FleetCommand),
-    /// Writes a script by which a shell completes this command line.
+    /// Prints the completion script of a shell.
     Completions {
-        /// The shell.
+        /// Shell to print the script for.
         shell: clap_complete::Shell,
     },
 }
 
-/// What the command line asks for.
+/// A parsed command line.
 #[derive(Debug)]
 pub enum Command {
     /// Run the forwarder.
     Run(RunFlags),
-    /// Read all files and say what is wrong.
+    /// Check all files and report the errors.
     Check(FileFlags),
     /// Show a member's view of the fleet.
     Fleet(FleetCommand),
-    /// Write the completions of a shell.
+    /// Print the completion script of a shell.
     Completions(clap_complete::Shell),
 }
 
-/// The files that are read.
+/// Paths of the files to read.
 #[derive(Args, Debug, Clone)]
 pub struct FileFlags {
-    /// The configuration, JSON.
+    /// Configuration file (JSON).
     #[arg(long, env = "RELAY_CONFIG", value_name = "FILE")]
     pub config: PathBuf,
-    /// The AS2 front's file; there need not be one at the usual place.
+    /// AS2 settings (JSON); optional.
     #[arg(long, env = "MICALADDER_AS2", value_name = "FILE", default_value = DEFAULT_AS2_FILE)]
     pub as2: PathBuf,
-    /// The folder of scripts; there need not be one.
+    /// Folder of plug-in scripts; optional.
     #[arg(long, env = "MICALADDER_PLUGINS", value_name = "FOLDER", default_value = DEFAULT_PLUGINS_FOLDER)]
     pub plugins: PathBuf,
-    /// The flags of the peers.
+    /// Flags of the peer protocol.
     #[command(flatten)]
     pub peers: PeerFlags,
 }
 
-/// Learning from running neighbours; off without an address.
+/// Flags of the peer protocol, which is off without a listen address.
 #[derive(Args, Debug, Clone)]
 pub struct PeerFlags {
-    /// Where neighbours reach this forwarder, by UDP and by TCP; without it there are none.
+    /// Address on which this forwarder listens for its peers (UDP and TCP); without it, the peer protocol is off.
     #[arg(id = "neighbours-listen", long, env = "MICALADDER_NEIGHBOURS_LISTEN", value_name = "IP:PORT",
         requires_all = ["neighbours-certificate", "neighbours-key", "neighbours-authority"])]
     pub listen: Option<SocketAddr>,
-    /// What the others are told as its address, where they reach it by another than it listens on: behind address
-    /// translation, say.
+    /// Address that is advertised to peers, if it differs from the listen address, for instance behind network address
+    /// translation.
     #[arg(
         id = "neighbours-advertise",
         long,
@@ -100,7 +99,7 @@
         requires = "neighbours-listen"
     )]
     pub advertise: Option<SocketAddr>,
-    /// Some of the others, by the same kind of address.
+    /// Peer addresses of other members, through which this forwarder joins the fleet.
     #[arg(
         id = "neighbours-seeds",
         long,
@@ -109,21 +108,21 @@
         value_delimiter = ','
     )]
     pub seeds: Vec<SocketAddr>,
-    /// About how many there are.
+    /// Approximate number of members in the fleet.
     #[arg(id = "neighbours-size", long, env = "MICALADDER_NEIGHBOURS_SIZE", default_value_t = 10)]
     pub size: u32,
-    /// The group and the certificates.
+    /// Group and certificates of this forwarder.
     #[command(flatten)]
     pub identity: PeerIdentityFlags,
 }
 
-/// By what forwarders of one fleet know each other.
+/// How the forwarders of a fleet authenticate each other.
 #[derive(Args, Debug, Clone)]
 pub struct PeerIdentityFlags {
-    /// Forwarders of other groups are not learned from.
+    /// Group of this forwarder; observations from peers in other groups are rejected.
     #[arg(id = "neighbours-group", long, env = "MICALADDER_NEIGHBOURS_GROUP", default_value = "micaladder")]
     pub group: String,
-    /// This forwarder's certificate, PEM.
+    /// Certificate of this forwarder (PEM).
     #[arg(
         id = "neighbours-certificate",
         long,
@@ -131,105 +130,106 @@
         value_name = "FILE"
     )]
     pub certificate: Option<PathBuf>,
-    /// Its key, PEM.
+    /// Private key of the certificate (PEM).
     #[arg(id = "neighbours-key", long, env = "MICALADDER_NEIGHBOURS_KEY", value_name = "FILE")]
     pub key: Option<PathBuf>,
-    /// The certificate of the authority whose certificates are believed, PEM.
+    /// Certificate of the authority that signs the certificates of trusted peers (PEM).
     #[arg(id = "neighbours-authority", long, env = "MICALADDER_NEIGHBOURS_AUTHORITY", value_name = "FILE")]
     pub authority: Option<PathBuf>,
 }
 
-/// Whom to ask for the fleet.
+/// Which members to query for their view of the fleet, and how to print it.
 #[derive(Args, Debug, Clone)]
 pub struct FleetQueryFlags {
-    /// Members to ask, by the addresses on which they listen for neighbours: the first that answers.
+    /// Peer addresses of the members to query, in this order until one responds.
     #[arg(long, env = "MICALADDER_FLEET_ASK", value_name = "IP:PORT,...", value_delimiter = ',', required = true,
         requires_all = ["neighbours-certificate", "neighbours-key", "neighbours-authority"])]
     pub ask: Vec<SocketAddr>,
-    /// JSON, an object a line, and not a table.
+    /// Print JSON, one object per line, instead of a table.
     #[arg(long)]
     pub json: bool,
-    /// The group and the certificates.
+    /// Group and certificates for the connection.
     #[command(flatten)]
     pub identity: PeerIdentityFlags,
 }
 
-/// What to do with the fleet's view.
+/// Commands that show a member's view of the fleet.
 #[derive(Subcommand, Debug)]
 pub enum FleetCommand {
-    /// Shows it once: who is there, since when, with which versions, and whether all have the same view.
+    /// Prints the view once: the members, their age, their versions, and whether all members have the same view.
     Show(FleetQueryFlags),
-    /// Shows it, and again each time that it has changed.
+    /// Prints the view, and prints it again after each change.
     Watch {
-        /// Whom to ask, and how the answer is printed.
+        /// Members to query and output format.
         #[command(flatten)]
         query: FleetQueryFlags,
-        /// Seconds between two questions.
-        #[arg(long, value_name = "SECONDS", default_value_t = 1.0, value_parser = parse_watch_pause)]
+        /// Seconds between two queries.
+        #[arg(long, value_name = "SECONDS", default_value_t = 1.0, value_parser = parse_watch_interval)]
         every: f64,
     },
 }
 
-fn parse_watch_pause(text: &str) -> Result<f64, String> {
+fn parse_watch_interval(text: &str) -> Result<f64, String> {
     let seconds = text.parse::<f64>().map_err(|error| error.to_string())?;
-    if !WATCH_PAUSE_SECS.contains(&seconds) {
-        return Err("between 0.1 and 3600 seconds".into());
+    if !WATCH_INTERVAL_SECS.contains(&seconds) {
+        return Err("must be between 0.1 and 3600 seconds".into());
     }
     Ok(seconds)
 }
 
-/// What a forwarder is told at its start.
+/// Flags of `run`.
 #[derive(Args, Debug, Clone)]
 pub struct RunFlags {
-    /// The files that are read.
+    /// Paths of the files to read.
     #[command(flatten)]
     pub files: FileFlags,
-    /// The folder that lasts: the journal lies there.
+    /// State folder, which holds the journal and must persist across restarts.
     #[arg(long, env = "RELAY_STATE", value_name = "FOLDER")]
     pub state: PathBuf,
-    /// Its name, the same after a restart; else the configuration's.
+    /// Name of this forwarder, the same after each restart; defaults to the configuration's name.
     #[arg(long, env = "RELAY_NAME")]
     pub name: Option<String>,
-    /// Where clients connect; else the configuration's.
+    /// Address on which the forwarder listens for clients; defaults to the configuration's address.
     #[arg(long, env = "RELAY_LISTEN", value_name = "IP:PORT")]
     pub listen: Option<SocketAddr>,
-    /// Where discovery is; else the configuration's.
+    /// Address of the discovery service; defaults to the configuration's address.
     #[arg(long, env = "RELAY_DISCOVERY", value_name = "HOST:PORT")]
     pub discovery: Option<String>,
-    /// Where operators call; else the configuration's, and without that nobody listens for them.
+    /// Management address for operators; defaults to the configuration's address. Without either, there is no management
+    /// listener.
     #[arg(long, env = "RELAY_MGMT", value_name = "IP:PORT")]
     pub mgmt: Option<SocketAddr>,
-    /// The flags of the log.
+    /// Flags of the log.
     #[command(flatten)]
     pub log: LogFlags,
-    /// Which of the settings that stand before keys were flags, and not variables.
+    /// Those of [`OVERRIDING_FLAGS`] that were given on the command line rather than by an environment variable.
     #[arg(skip)]
     pub given_as_flags: Vec<String>,
 }
 
-/// What is logged, and how.
+/// Flags of the log.
 #[derive(Args, Debug, Clone)]
 pub struct LogFlags {
-    /// `LEVEL`, or `MODULE=LEVEL`, or several with commas: `info,core=debug,upstream=trace`.
+    /// Comma-separated list of `LEVEL` and `MODULE=LEVEL`, for instance `info,core=debug,upstream=trace`.
     #[arg(long = "log-filter", env = "MICALADDER_LOG", value_name = "FILTER", default_value = "info")]
     pub filter: Filter,
-    /// `text`, or `json` with an object a line.
+    /// Format of a log line: `text`, or `json` with one object per line.
     #[arg(long = "log-format", env = "MICALADDER_LOG_FORMAT", value_name = "FORMAT", default_value = "text")]
     pub format: Format,
-    /// So many lines from one place in the program at once, then one a second that says how many were kept back;
-    /// 0 writes all.
+    /// Number of lines that one call site may log in a burst. Beyond it, a call site logs one line per second, with the
+    /// number of suppressed lines. 0 disables the limit.
     #[arg(long = "log-burst", env = "MICALADDER_LOG_BURST", value_name = "LINES", default_value_t = 20)]
     pub burst: u32,
 }
 
-/// Reads the command line and the environment.
+/// Parses the command line and the environment variables.
 ///
 /// # Errors
 ///
-/// What is wrong with a flag or a variable, named, as clap puts it; also the texts of `--help` and `--version`.
+/// A flag or variable is invalid. clap also returns the texts of `--help` and `--version` as errors.
 pub fn parse<I: IntoIterator<Item = T>, T: Into<OsString>>(arguments: I) -> Result<Command, clap::Error> {
     let mut arguments: Vec<OsString> = arguments.into_iter().map(Into::into).collect();
-    if is_bare_run(&arguments) {
+    if omits_command(&arguments) {
         arguments.insert(1.min(arguments.len()), "run".into());
     }
     let matches = CommandLine::command().try_get_matches_from(arguments)?;
@@ -246,11 +246,11 @@
     })
 }
 
-/// Whether there is no command, or only flags of `run`: so the deploy file starts the daemon.
-fn is_bare_run(arguments: &[OsString]) -> bool {
+/// Returns whether the arguments contain no command, which means `run`: the deploy file starts the daemon in this way.
+fn omits_command(arguments: &[OsString]) -> bool {
     let Some(first) = arguments.get(1) else { return true };
-    let asks_for_text = matches!(first.to_str(), Some("-h" | "--help" | "-V" | "--version"));
-    first.to_string_lossy().starts_with('-') && !asks_for_text
+    let is_help_or_version = matches!(first.to_str(), Some("-h" | "--help" | "-V" | "--version"));
+    first.to_string_lossy().starts_with('-') && !is_help_or_version
 }
 
 fn flags_on_command_line(matches: &ArgMatches) -> Vec<String> {
@@ -258,15 +258,16 @@
     OVERRIDING_FLAGS.into_iter().filter(is_flag).map(str::to_string).collect()
 }
 
-/// Writes the completions to standard output.
+/// Writes the completion script of `shell` to standard output.
 pub fn write_completions(shell: clap_complete::Shell) {
     clap_complete::generate(shell, &mut CommandLine::command(), "micaladder", &mut std::io::stdout());
 }
 
 impl RunFlags {
-    /// The value that overrides `key` of the configuration: that of a flag always, that of a variable only where it
-    /// differs. The platform sets the variables to what the file says; one that only repeats its key must not keep the
-    /// key's old value in force after a reload. `id` is the name of the flag's field.
+    /// Returns the value that overrides `key`, the value in the configuration file. A flag always overrides the file; an
+    /// environment variable does so only if its value differs. The platform sets the variables to the values in the file,
+    /// and a variable that only repeats its key must not keep the old value in force after a reload of the file. `id` is
+    /// the name of the flag's field.
     pub fn override_for(&self, id: &str, value: Option<String>, key: &str) -> Option<String> {
         let is_flag = self.given_as_flags.iter().any(|flag| flag == id);
         value.filter(|value| value != key || is_flag)
--- a/src/logger.rs
+++ b/src/logger.rs
@@ -1,5 +1,5 @@
-//! The log: lines on standard error, as text or as JSON, with the key-value fields of the `log` macros. Each call site
-//! is limited to one line per second beyond a burst; the next line says how many were suppressed.
+//! Logger: writes lines to standard error, as text or as JSON, with the key-value fields of the `log` macros. Beyond a
+//! burst, each call site is limited to one line per second, which holds the number of suppressed lines.
 #![warn(missing_docs)]
 use crate::clock;
 use crate::interface::Nanos;
@@ -14,7 +14,7 @@
 mod tests;
 
 const CRATE: &str = "micaladder";
-/// The modules that a filter may name, with any path below each.
+/// Modules that a filter may name. A filter may also name any path below them.
 const MODULES: [&str; 24] = [
     "acme",
     "as2",
@@ -41,7 +41,7 @@
     "takeover",
     "upstream",
 ];
-/// Former paths of modules, and the present ones. Guards filters in use: they go on working after a rename.
+/// Former and current paths of renamed modules. Filters with the former paths keep working.
 const RENAMED_MODULES: [(&str, &str); 32] = [
     ("fault", "config_error"),
     ("handover", "takeover"),
@@ -76,28 +76,28 @@
     ("fleet::sides", "fleet::partition"),
     ("upstream::tap", "upstream::monitored_stream"),
 ];
-/// Lines per second and call site once the burst is used up.
+/// Lines per second that a call site may log once its burst is used up.
 const LINES_PER_SECOND: f64 = 1.0;
 
-/// What is logged: a level for each module path; the first entry is for the whole crate.
+/// Log filter: a level for each module path. The first entry applies to the whole crate.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Filter(Vec<(String, LevelFilter)>);
 
-/// Why a text is not a filter: correct `--log-filter` or `MICALADDER_LOG`.
+/// An error in the text of a filter: correct `--log-filter` or `MICALADDER_LOG`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FilterError {
-    /// The level is not known.
-    #[error("no level {0:?}; there are error, warn, info, debug, trace and off")]
+    /// The level is unknown.
+    #[error("unknown log level {0:?}; the levels are error, warn, info, debug, trace and off")]
     UnknownLevel(String),
-    /// The module is not known, neither by its present nor by its former path.
-    #[error("no module {module:?}; there are {known}", known = MODULES.join(", "))]
+    /// The module is unknown, both as a current and as a former path.
+    #[error("unknown module {module:?}; the modules are {known}", known = MODULES.join(", "))]
     UnknownModule {
-        /// The path, by its present name.
+        /// Path of the module, with a former name replaced by the current one.
         module: String,
     },
 }
 
-/// The format of a line.
+/// Format of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, clap::ValueEnum)]
 pub enum Format {
     /// Unix time, level, module, text, fields.
@@ -109,7 +109,7 @@
 impl FromStr for Filter {
     type Err = FilterError;
 
-    /// Parses `LEVEL` and `MODULE=LEVEL` items with commas between them. Other crates' lines are never logged.
+    /// Parses a comma-separated list of `LEVEL` and `MODULE=LEVEL`. Lines of other crates are never logged.
     fn from_str(text: &str) -> Result<Filter, FilterError> {
         let mut crate_level = LevelFilter::Info;
         let mut module_levels = Vec::new();
@@ -117,7 +117,7 @@
             match item.split_once('=') {
                 None => crate_level = parse_level(item)?,
                 Some((module, level)) => {
-                    let path = known_path(module)?;
+                    let path = full_path(module)?;
                     module_levels.push((path, parse_level(level)?));
                 }
             }
@@ -132,42 +132,42 @@
     text.trim().parse().map_err(|_| FilterError::UnknownLevel(text.to_string()))
 }
 
-/// The full path of a module that a filter names.
-fn known_path(name: &str) -> Result<String, FilterError> {
-    let path = present_path(name);
-    let package = path.split("::").next().unwrap_or(&path);
-    if !MODULES.contains(&package) {
+/// Returns the full path of a module that a filter names, or an error if the module is unknown.
+fn full_path(name: &str) -> Result<String, FilterError> {
+    let path = current_path(name);
+    let top_module = path.split("::").next().unwrap_or(&path);
+    if !MODULES.contains(&top_module) {
         return Err(FilterError::UnknownModule { module: path });
     }
     Ok(format!("{CRATE}::{path}"))
 }
 
-/// The present path of a module, which a filter may name by its former one.
-fn present_path(name: &str) -> String {
-    for (former, present) in RENAMED_MODULES {
+/// Returns the current path of a module, which a filter may name by its current or its former path.
+fn current_path(name: &str) -> String {
+    for (former, current) in RENAMED_MODULES {
         match name.strip_prefix(former) {
-            Some("") => return present.to_string(),
-            Some(below) if below.starts_with("::") => return format!("{present}{below}"),
+            Some("") => return current.to_string(),
+            Some(rest) if rest.starts_with("::") => return format!("{current}{rest}"),
             _ => {}
         }
     }
     name.to_string()
 }
 
-/// File and line of a call that logs.
+/// File and line of a `log` macro call.
 type CallSite = (&'static str, u32);
 
-/// The lines that a call site may still write: a token bucket.
+/// Token bucket of a call site. Each token allows one line.
 struct Bucket {
     tokens: f64,
     refilled_at: Nanos,
-    /// Lines suppressed since the last one that was written.
+    /// Number of lines suppressed since the last written line.
     suppressed: u64,
 }
 
-/// Limits the lines of each call site. The table is bounded by the number of call sites in the program.
+/// Rate limiter for the lines of each call site. The number of buckets is bounded by the call sites in the program.
 struct RateLimiter {
-    /// Capacity of each bucket, in lines; 0: no limit.
+    /// Capacity of each bucket in lines; 0 means no limit.
     burst: f64,
     buckets: HashMap<CallSite, Bucket>,
 }
@@ -177,8 +177,8 @@
         RateLimiter { burst: f64::from(burst), buckets: HashMap::new() }
     }
 
-    /// Takes a token for a line of this call site. Returns how many lines were suppressed before it; `None` if this one
-    /// has to be suppressed too.
+    /// Takes a token for a line of this call site. Returns how many lines have been suppressed since its last written line,
+    /// or `None` if this line must be suppressed as well.
     fn admit(&mut self, file: &'static str, line: u32, now: Nanos) -> Option<u64> {
         if self.burst == 0.0 {
             return Some(0);
@@ -197,7 +197,7 @@
     }
 }
 
-/// Writes fields as ` key=value`.
+/// Visitor that writes fields as ` key=value`.
 struct TextFields<'a>(&'a mut dyn Write);
 
 impl<'kvs> VisitSource<'kvs> for TextFields<'_> {
@@ -206,7 +206,7 @@
     }
 }
 
-/// Collects fields as JSON values: numbers as numbers, all else as text.
+/// Visitor that collects fields as JSON values: numbers as numbers, all other values as strings.
 struct JsonFields(serde_json::Map<String, serde_json::Value>);
 
 impl<'kvs> VisitSource<'kvs> for JsonFields {
@@ -262,7 +262,7 @@
 
 const NANOS_PER_SECOND: f64 = 1e9;
 
-/// The record's module path without the crate's name.
+/// Returns the record's module path without the crate's name.
 fn module<'a>(record: &'a Record) -> &'a str {
     let target = record.target();
     let path = target.strip_prefix(CRATE).unwrap_or(target).trim_start_matches("::");
@@ -272,8 +272,8 @@
     path
 }
 
-/// Installs the logger of the process. `burst` is the number of lines that a call site may write at once; 0: no limit.
-/// Only the first call in a process has an effect.
+/// Installs the logger of the process. `burst` is the number of lines that a call site may log in a burst; 0 means no
+/// limit. Only the first call in a process has an effect.
 pub fn install(filter: &Filter, format: Format, burst: u32) {
     let limiter = Mutex::new(RateLimiter::new(burst));
     let mut builder = env_logger::Builder::new();
@@ -290,6 +290,6 @@
     for (module, level) in &filter.0 {
         builder.filter_module(module, *level);
     }
-    // An error only says that there is a logger already, which stays in use.
+    // The only error is that a logger is already installed; that logger stays in use.
     let _ = builder.try_init();
 }
--- a/src/mgmt.rs
+++ b/src/mgmt.rs
@@ -1,6 +1,6 @@
-//! The management address for operators: readiness, metrics, and endpoints that are suspended by hand. It runs on a thread
-//! of its own, so that load on the request path delays no answer here, and no caller here delays a message. Where the
-//! configuration names no address, there is neither a listener nor a thread.
+//! Management server for operators: readiness, metrics, and manual suspension of endpoints. It runs on a separate thread,
+//! so that load on the request path does not delay its responses, and its callers do not delay messages. Without a
+//! management address in the configuration, neither the listener nor the thread is created.
 #![warn(missing_docs)]
 use crate::core::SuspensionResult;
 use crate::exchange::{Exchange, Suspension};
@@ -26,46 +26,47 @@
 use tokio::time::timeout;
 use tower::ServiceExt;
 
-/// Connections at once. Guards the file descriptors: beyond it, the oldest connection is closed.
+/// Maximum number of open connections, which bounds the use of file descriptors. A connection beyond it closes the oldest.
 const MAX_CONNECTIONS: usize = 32;
-/// How long a caller may take for the head of its request. It writes it at once.
+/// Time limit for a request's head.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a connection may last, from its accept to the end of its answer.
+/// Time limit for a connection, from its accept to the end of the response.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(4);
-/// Bytes of a request's head, which has a request line and a few short headers.
+/// Size limit of a request's head, which has a request line and a few short headers.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// How long the exchange may take to suspend or resume an endpoint, before the caller is told that it has not answered.
+/// Time limit for the exchange to suspend or resume an endpoint, after which the caller receives a 504 response.
 const SUSPENSION_TIMEOUT: Duration = Duration::from_millis(900);
-/// Pause after an accept that failed, for descriptors to become free.
+/// Delay after a failed accept, in which file descriptors may become free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What the management address works on while this process serves clients.
+/// The exchange and the metrics of a process that serves clients.
 #[derive(Clone)]
 struct Serving {
     exchange: Exchange,
     metrics: Arc<Metrics>,
 }
 
-/// The management address.
+/// Handle to the management server.
 #[derive(Clone)]
 pub struct ManagementServer {
-    /// Nothing while this process does not serve clients.
+    /// `None` while this process does not serve clients, for instance as a standby.
     serving: Arc<Mutex<Option<Serving>>>,
-    /// What is shown while it does not.
+    /// Metrics that are reported while this process does not serve clients, all zero.
     empty_metrics: Arc<Metrics>,
 }
 
 impl ManagementServer {
-    /// Listens at this address, for a forwarder with these message classes. The listener ends with the process.
+    /// Starts the management server of a forwarder with these message classes. It listens on `address` until the process
+    /// ends.
     ///
     /// # Errors
     ///
-    /// The address cannot be bound, or no thread or runtime can be created.
+    /// The address cannot be bound, or the thread or the runtime cannot be created.
     pub fn start(address: SocketAddr, classes: &[String]) -> io::Result<ManagementServer> {
         let server =
             ManagementServer { serving: Arc::default(), empty_metrics: Arc::new(Metrics::new(classes)) };
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        // Bound before the thread starts, so that the caller learns of an address that is in use.
+        // Bind before the thread starts, so that the caller receives the error if the address is in use.
         let listener = std::net::TcpListener::bind(address)?;
         listener.set_nonblocking(true)?;
         let routes = routes(server.clone());
@@ -76,7 +77,7 @@
         Ok(server)
     }
 
-    /// Sets the exchange by which this process serves clients from now on, or that it serves them no longer.
+    /// Sets the exchange through which this process serves clients, or `None` once it no longer serves them.
     pub fn set_serving(&self, exchange: Option<Exchange>) {
         let serving = exchange.map(|exchange| {
             let metrics = exchange.metrics();
@@ -129,33 +130,37 @@
 
 async fn set_suspension(server: &ManagementServer, uid: String, suspension: Suspension) -> Response {
     let Some(Serving { exchange, .. }) = server.serving() else {
-        let text = "this process does not serve; ask the one that does\n";
+        let text = "this process does not serve clients; send the request to the process that does\n";
         return (StatusCode::SERVICE_UNAVAILABLE, text).into_response();
     };
     let Ok(result) = timeout(SUSPENSION_TIMEOUT, exchange.set_suspension(uid, suspension)).await else {
-        let text = "no answer in time; it may hold: ask again\n";
+        let text = "timed out; the change may still take effect: send the request again\n";
         return (StatusCode::GATEWAY_TIMEOUT, text).into_response();
     };
     match result {
         Ok(SuspensionResult::Applied) => StatusCode::NO_CONTENT.into_response(),
-        Ok(SuspensionResult::UnknownEndpoint) => {
-            (StatusCode::NOT_FOUND, "no such endpoint was ever listed here\n").into_response()
-        }
+        Ok(SuspensionResult::UnknownEndpoint) => (
+            StatusCode::NOT_FOUND,
+            "unknown endpoint id: it has never been in this forwarder's endpoint list\n",
+        )
+            .into_response(),
         Ok(SuspensionResult::LimitReached) => {
-            (StatusCode::CONFLICT, "too many are out by hand; call one back first\n").into_response()
-        }
-        Ok(SuspensionResult::NotPersisted) | Err(_) => {
-            (StatusCode::SERVICE_UNAVAILABLE, "not written; see the log, ask again\n").into_response()
+            (StatusCode::CONFLICT, "too many endpoints are suspended; resume one first\n").into_response()
         }
+        Ok(SuspensionResult::NotPersisted) | Err(_) => (
+            StatusCode::SERVICE_UNAVAILABLE,
+            "the change was not persisted; see the log and send the request again\n",
+        )
+            .into_response(),
     }
 }
 
-/// Accepts connections for as long as the process runs.
+/// Accepts connections until the process ends.
 async fn serve(listener: std::net::TcpListener, routes: Router) {
     let listener = match TcpListener::from_std(listener) {
         Ok(listener) => listener,
         Err(e) => {
-            log::error!("the management address cannot be served: {e}; restart the process");
+            log::error!("management server: cannot use the listener: {e}; restart the process");
             return;
         }
     };
@@ -164,7 +169,7 @@
         match listener.accept().await {
             Ok((socket, _)) => connections.add(socket, routes.clone()),
             Err(e) => {
-                log::warn!("management connection not accepted: {e}");
+                log::warn!("management server: cannot accept a connection: {e}");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -175,7 +180,7 @@
 #[derive(Default)]
 struct Connections {
     tasks: JoinSet<Result<(), tokio::time::error::Elapsed>>,
-    /// The oldest first.
+    /// Handles of the tasks, the oldest connection first.
     by_age: VecDeque<AbortHandle>,
 }
 
@@ -193,13 +198,13 @@
     }
 }
 
-/// Serves the one request of a connection.
+/// Serves one request on a connection and closes the connection.
 async fn serve_connection(socket: TcpStream, routes: Router) {
-    // Without it answers come later, and that is all.
+    // A failure only delays responses.
     let _ = socket.set_nodelay(true);
     let service = service_fn(move |request: Request<_>| {
-        let answer = routes.clone().oneshot(request);
-        async move { Ok::<_, Infallible>(answer.await.into_response()) }
+        let response = routes.clone().oneshot(request);
+        async move { Ok::<_, Infallible>(response.await.into_response()) }
     });
     let mut server = http1::Builder::new();
     server
--- a/tests/acme.rs
+++ b/tests/acme.rs
@@ -139,7 +139,7 @@
     assert!(first.starts_with("serial="), "the handshake is good: {first:?}");
     ca.wait("a renewal", |all| all.iter().filter(|h| h.first.contains("/cert")).count() >= 2);
     fails.store(true, Ordering::SeqCst);
-    daemon.wait_log("no new certificate, the present one stays in use");
+    daemon.wait_log("certificate renewal failed, the current one stays in use");
     let second = serial();
     assert!(
         second.starts_with("serial=") && second != first,
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -132,8 +132,8 @@
 #[case::flag(&["--listen", "here"], &[], "invalid value 'here' for '--listen <IP:PORT>'")]
 #[case::variable(&[], &[("RELAY_LISTEN", "here")], "invalid value 'here' for '--listen <IP:PORT>'")]
 #[case::unknown(&["--listne", "127.0.0.1:1"], &[], "unexpected argument '--listne'")]
-#[case::filter(&["--log-filter", "loud"], &[], "no level \"loud\"")]
-#[case::module(&["--log-filter", "kore=debug"], &[], "no module \"kore\"")]
+#[case::filter(&["--log-filter", "loud"], &[], "unknown log level \"loud\"")]
+#[case::module(&["--log-filter", "kore=debug"], &[], "unknown module \"kore\"")]
 #[case::format(&["--log-format", "xml"], &[], "[possible values: text, json]")]
 #[case::missing(&[], &[], "--config <FILE>")]
 fn a_wrong_flag_is_named_and_nothing_starts(
