--- a/src/backoff.rs
+++ b/src/backoff.rs
@@ -1,38 +1,39 @@
-//! Backoff for a server that all forwarders poll: exponential, with full jitter and a cap. Reads no clock; its random
-//! numbers come from a seed.
+//! Backoff for a server that all forwarders poll: exponential, with full jitter and a maximum. The module reads no clock
+//! and derives its random numbers from a seed.
 #![warn(missing_docs)]
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 
-/// The window of the first delay: short, for two or three forwarders.
+/// Window of the first delay, short enough for a fleet of two or three forwarders.
 const INITIAL_WINDOW: Duration = Duration::from_millis(200);
-/// Polls a second that all forwarders together make of a server that answers none of them. Far below what a server of lists
-/// can answer, so that it recovers under them.
+/// Maximum rate at which all forwarders together poll a server that does not respond. It is far below the capacity of a
+/// discovery server, so that an overloaded server can recover.
 const MAX_POLLS_PER_SEC: f64 = 20.0;
-/// The longest window where there are few forwarders: shorter ones are of no use.
+/// Lower bound of the longest window. With few forwarders, a shorter limit has no benefit.
 const MIN_LONGEST_WINDOW: Duration = Duration::from_secs(1);
 
-/// The delays of one forwarder.
+/// Delays between the polls of one forwarder.
 #[derive(Debug)]
 pub struct Backoff {
     random: StdRng,
-    /// The next delay is a random part of this.
+    /// Upper bound of the next delay after a failure, which is a random fraction of it.
     window: Duration,
     longest_window: Duration,
-    /// The time in which all forwarders poll once, as far as this one knows what the server bears.
+    /// Estimate of the shortest period in which the server can bear one poll from every forwarder.
     shared_window: Duration,
     max_delay: Duration,
-    /// The time in which all forwarders poll once, at [`MAX_POLLS_PER_SEC`].
+    /// Period in which every forwarder polls once, at [`MAX_POLLS_PER_SEC`].
     poll_period: Duration,
 }
 
 impl Backoff {
-    /// The delays of one of this many forwarders that poll the same server, none longer than `max_delay`. One forwarder alone
-    /// does not wait for others.
+    /// Creates the backoff of one of `forwarders` forwarders that poll the same server. No delay exceeds `max_delay`. The
+    /// poll period of a single forwarder is zero, as it shares the server with no other forwarder.
     pub fn new(forwarders: usize, max_delay: Duration, seed: u64) -> Backoff {
-        let others = forwarders.saturating_sub(1) as f64;
-        let poll_period = Duration::from_secs_f64((others / MAX_POLLS_PER_SEC).min(max_delay.as_secs_f64()));
+        let other_forwarders = forwarders.saturating_sub(1) as f64;
+        let poll_period =
+            Duration::from_secs_f64((other_forwarders / MAX_POLLS_PER_SEC).min(max_delay.as_secs_f64()));
         Backoff {
             random: StdRng::seed_from_u64(seed),
             window: INITIAL_WINDOW,
@@ -43,42 +44,44 @@
         }
     }
 
-    /// The delay before the first poll of a server that has not failed: after a start, or when its address has changed. Guards
-    /// a server that all forwarders would overload: those that start together poll one by one, within `max_delay`.
+    /// Returns the delay before the first poll of a server that has not failed, at most `max_delay`: after a start or a change
+    /// of the server's address. Forwarders that start together spread their polls over the poll period, so that they do not
+    /// overload the server.
     pub fn initial_delay(&mut self, max_delay: Duration) -> Duration {
-        self.random_part_of(self.poll_period.min(max_delay))
+        self.random_fraction_of(self.poll_period.min(max_delay))
     }
 
-    /// The delay after a failure. Guards against a thundering herd: any time in the window is as likely, so forwarders that
-    /// failed at the same moment come back spread over it.
+    /// Returns the delay after a failure. Delays are uniformly distributed over the window, so that forwarders that failed at
+    /// the same moment do not retry as a thundering herd.
     pub fn next_delay(&mut self) -> Duration {
-        let delay = self.random_part_of(self.window);
+        let delay = self.random_fraction_of(self.window);
         self.window = (self.window * 2).min(self.longest_window);
         delay
     }
 
-    /// The delay after a connect that failed, never longer than `max_delay`: nobody is served there, so a poll costs the server
-    /// nothing until it is back. All forwarders find it back within that time, spread over half of it at least.
+    /// Returns the delay after a failed connect, at most `max_delay`. Such a poll costs the server nothing while it is down.
+    /// Once the server is up again, all forwarders find it within `max_delay`, spread over at least half of their window.
     pub fn probe_delay(&mut self, max_delay: Duration) -> Duration {
         let window = self.shared_window.min(max_delay);
         self.shared_window = (window * 2).min(max_delay);
-        window / 2 + self.random_part_of(window / 2)
+        window / 2 + self.random_fraction_of(window / 2)
     }
 
-    /// The delay after an answer of overload. All forwarders together poll half as often after each of them.
+    /// Returns the delay after a response that indicates overload. Each such response halves the polling rate of the
+    /// forwarders that receive it.
     pub fn overload_delay(&mut self) -> Duration {
         self.shared_window = (self.shared_window * 2).min(self.max_delay);
-        self.random_part_of(self.shared_window)
+        self.random_fraction_of(self.shared_window)
     }
 
-    /// The server has answered: the next delay is short again.
+    /// Resets the delays to their initial length after the server has responded.
     pub fn reset(&mut self) {
         self.window = INITIAL_WINDOW;
         self.shared_window = self.poll_period.max(INITIAL_WINDOW);
     }
 
-    fn random_part_of(&mut self, time: Duration) -> Duration {
-        time.mul_f64(self.random.random::<f64>())
+    fn random_fraction_of(&mut self, duration: Duration) -> Duration {
+        duration.mul_f64(self.random.random::<f64>())
     }
 }
 
--- a/src/backoff/tests.rs
+++ b/src/backoff/tests.rs
@@ -1,11 +1,12 @@
-//! Delays of many forwarders that poll the same server.
+//! Tests of the delays of many forwarders that poll the same server.
 use super::*;
 use rstest::rstest;
 
-/// A bound that no number of forwarders here reaches.
+/// Maximum delay that the poll periods of these tests do not reach.
 const MAX_DELAY: Duration = Duration::from_secs(30);
 
-/// Polls a second over `secs` seconds of forwarders that fail together, each poll refused at once.
+/// Returns the number of polls in each of `secs` seconds, for forwarders that fail at the same moment and whose polls are
+/// all refused immediately.
 fn refused_polls(forwarders: usize, max_delay: Duration, secs: usize) -> Vec<usize> {
     let mut polls = vec![0; secs];
     for n in 0..forwarders {
@@ -22,31 +23,33 @@
 #[rstest]
 #[case::of_100(100, 10)]
 #[case::of_300(300, 30)]
-fn polls_of_many_that_are_refused_together_thin_out(#[case] forwarders: usize, #[case] after_secs: usize) {
+fn the_polling_rate_of_many_refused_forwarders_decreases(
+    #[case] forwarders: usize, #[case] after_secs: usize,
+) {
     let polls = refused_polls(forwarders, MAX_DELAY, after_secs + 50);
     let later = &polls[after_secs..];
     assert!(later.iter().all(|count| *count < 50), "{polls:?}");
     let mean = later.iter().sum::<usize>() / later.len();
-    assert!((10..=40).contains(&mean), "{mean} a second: neither a flood nor silence");
+    assert!((10..=40).contains(&mean), "{mean} polls per second is outside 10..=40");
 }
 
 #[test]
-fn two_forwarders_poll_again_soon() {
+fn two_forwarders_retry_after_short_delays() {
     let polls = refused_polls(2, MAX_DELAY, 60);
     assert!(polls.iter().sum::<usize>() > 100, "{polls:?}");
     assert!(polls.iter().all(|count| *count < 30), "{polls:?}");
 }
 
 #[test]
-fn a_hundred_that_start_together_poll_one_by_one() {
+fn a_hundred_forwarders_that_start_together_spread_their_first_polls() {
     let mut polls = [0; 100];
     for n in 0..100 {
         polls[Backoff::new(100, MAX_DELAY, n).initial_delay(MAX_DELAY).as_millis() as usize / 50] += 1;
     }
-    assert!(polls.iter().all(|count| *count <= 8), "at most so many in 50 ms: {polls:?}");
+    assert!(polls.iter().all(|count| *count <= 8), "more than 8 polls within 50 ms: {polls:?}");
     assert!(
         Backoff::new(2, MAX_DELAY, 7).initial_delay(MAX_DELAY) <= Duration::from_millis(50),
-        "two hardly wait"
+        "two forwarders wait for at most 50 ms"
     );
     assert_eq!(Backoff::new(1, MAX_DELAY, 7).initial_delay(MAX_DELAY), Duration::ZERO);
 }
@@ -64,9 +67,10 @@
     }
 }
 
-/// The list has to be known a fixed time after discovery can be reached: no delay is longer than the bound.
+/// A forwarder must receive the endpoint list within a fixed time after discovery becomes reachable, so no delay may exceed
+/// the maximum.
 #[test]
-fn no_delay_is_longer_than_its_bound() {
+fn no_delay_exceeds_the_maximum() {
     let max_delay = Duration::from_millis(2600);
     for seed in 0..300 {
         let mut backoff = Backoff::new(300, max_delay, seed);
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,12 +1,12 @@
-//! The daemon's clock: nanoseconds of Unix time that only move forward while the process runs.
+//! Clock of the daemon: Unix time in nanoseconds, monotonic while the process runs.
 #![warn(missing_docs)]
 use crate::Nanos;
 use std::sync::OnceLock;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The two clocks at the first reading.
+/// Wall clock and monotonic clock at the first call of [`now`].
 struct Origin {
-    /// Wall time since 1970; zero where the system's clock is before that.
+    /// Unix time; zero if the system clock is set to a time before 1970.
     wall: Duration,
     monotonic: Instant,
 }
@@ -18,15 +18,15 @@
     }
 }
 
-/// The present, in Unix nanoseconds. Wall time is read once and then carried on by the monotonic clock: setting the
-/// system's clock moves no deadline.
+/// Returns the current Unix time. The wall clock is read once and advanced by the monotonic clock, so that setting the system
+/// clock does not move deadlines.
 pub fn now() -> Nanos {
     static ORIGIN: OnceLock<Origin> = OnceLock::new();
     let origin = ORIGIN.get_or_init(Origin::read);
     Nanos((origin.wall + origin.monotonic.elapsed()).as_nanos() as u64)
 }
 
-/// The runtime's instant for a point in time; the present for one that has passed.
+/// Converts a Unix time to an instant of the tokio runtime. Times in the past become the current instant.
 pub fn instant(at: Nanos) -> tokio::time::Instant {
     tokio::time::Instant::now() + Duration::from_nanos((at - now()).0)
 }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,23 +1,23 @@
-//! Metrics shown to operators: counts since the start of the process. Each event is counted with an atomic at the one
-//! place where it happens, so that showing the metrics costs the request path nothing and never walks over the pending
-//! messages. Decides nothing.
+//! Metrics for operators: counters since the start of the process, and gauges. Each event increments an atomic counter
+//! where it happens, so that reading the metrics costs the request path nothing and never iterates over the pending
+//! messages. No decision depends on the metrics.
 #![warn(missing_docs)]
 use miniserde::Serialize;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// How a message ended, as operators count it.
+/// Result of a message as the metrics classify it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageResult {
-    /// Delivered.
+    /// The message was delivered.
     Fulfilled,
-    /// Rejected at admission, or accepted and handed back later: a retry by the client is harmless.
+    /// The message was rejected at admission, or accepted and deferred later; the client can safely retry it.
     Throttled,
-    /// Failed.
+    /// The message failed.
     Faulted,
 }
 
-/// Counters of one class.
+/// Counters of a class.
 #[derive(Default)]
 struct ClassCounters {
     fulfilled: AtomicU64,
@@ -28,36 +28,36 @@
 
 /// All counters and gauges of a process.
 pub struct Metrics {
-    /// By the class's index in the settings, with its name.
+    /// Name and counters of each class, by its index in the settings.
     classes: Vec<(String, ClassCounters)>,
     open_requests: AtomicU64,
     listed_endpoints: AtomicU64,
     avoided_endpoints: AtomicU64,
 }
 
-/// The metrics at one moment. Field names are keys of the JSON document that operators read, and stay as they are.
+/// Snapshot of the metrics. The field names are keys of the JSON document that operators read and must not change.
 #[derive(Serialize, Debug)]
 pub struct MetricsSnapshot {
-    /// Messages that ended, and calls, by the name of the class.
+    /// Counts of completed messages and of attempts by class name.
     pub operations: BTreeMap<String, ClassMetrics>,
-    /// Messages that are accepted and not complete.
+    /// Number of messages that are accepted and not complete.
     pub open_requests: u64,
-    /// Endpoints in the endpoint list.
+    /// Number of endpoints in the endpoint list.
     pub registry_entries: u64,
-    /// Those of them that nothing new is sent to, because they are suspended, draining or avoided.
+    /// Number of listed endpoints that receive no new messages because they are suspended, draining or avoided.
     pub out_of_rotation: u64,
 }
 
-/// One class's counts. Field names are keys of the JSON document that operators read, and stay as they are.
+/// Counts of a class. The field names are keys of the JSON document that operators read and must not change.
 #[derive(Serialize, Debug, PartialEq, Eq)]
 pub struct ClassMetrics {
-    /// Messages delivered.
+    /// Number of messages delivered.
     pub fulfilled: u64,
-    /// Messages rejected or handed back.
+    /// Number of messages rejected or deferred.
     pub throttled: u64,
-    /// Messages failed.
+    /// Number of messages failed.
     pub faulted: u64,
-    /// Messages written to endpoints; each attempt counts.
+    /// Number of attempts written to endpoints.
     pub relayed: u64,
 }
 
@@ -73,7 +73,7 @@
 }
 
 impl Metrics {
-    /// Metrics for classes of these names, in the order of the settings, all at zero.
+    /// Creates metrics that are all zero. `classes` holds the class names in the order of the settings.
     pub fn new(classes: &[String]) -> Metrics {
         Metrics {
             classes: classes.iter().map(|name| (name.clone(), ClassCounters::default())).collect(),
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Counts a message of this class that has ended. A class that the settings do not have is not counted.
+    /// Counts a completed message of this class. Classes that are not in the settings are ignored.
     pub fn record_result(&self, class: usize, result: MessageResult) {
         let Some((_, counters)) = self.classes.get(class) else { return };
         let counter = match result {
@@ -94,25 +94,25 @@
         counter.fetch_add(1, Relaxed);
     }
 
-    /// Counts a message of this class that is being written to an endpoint.
+    /// Counts an attempt at a message of this class that is being written to an endpoint.
     pub fn record_relayed(&self, class: usize) {
         if let Some((_, counters)) = self.classes.get(class) {
             counters.relayed.fetch_add(1, Relaxed);
         }
     }
 
-    /// Sets how many messages are accepted and not complete.
+    /// Sets the number of messages that are accepted and not complete.
     pub fn set_open_requests(&self, open: usize) {
         self.open_requests.store(open as u64, Relaxed);
     }
 
-    /// Sets how many endpoints are listed, and how many of them are avoided.
+    /// Sets the number of listed endpoints, and the number of those that receive no new messages.
     pub fn set_endpoints(&self, listed: usize, avoided: usize) {
         self.listed_endpoints.store(listed as u64, Relaxed);
         self.avoided_endpoints.store(avoided as u64, Relaxed);
     }
 
-    /// The metrics at this moment.
+    /// Returns the current metrics.
     pub fn snapshot(&self) -> MetricsSnapshot {
         let operations = self.classes.iter().map(|(name, counters)| (name.clone(), counters.snapshot()));
         MetricsSnapshot {
--- a/src/plugins.rs
+++ b/src/plugins.rs
@@ -1,57 +1,60 @@
-//! Plug-ins: scripts (rhai) that see each request context and each outcome. `docs/plugins.md` tells how.
+//! Plug-ins: rhai scripts that inspect each request and each outcome of an attempt. `docs/plugins.md` documents their
+//! interface.
 use crate::config_error::ConfigError;
 use crate::interface::Outcome;
 use crate::request::{RequestContext, RequestDetails};
 use rhai::{CallFnOptions, Dynamic, Engine, Map, Scope, AST};
 use std::path::{Path, PathBuf};
 
-/// What one call of a script may use. A call takes well under a millisecond at the most.
-const STEPS_MOST: u64 = 10_000;
-const DEPTH_MOST: usize = 16;
-const TEXT_MOST: usize = 4096;
-const ITEMS_MOST: usize = 128;
-const TAGS_MOST: usize = 8;
+/// Maximum number of rhai operations in one call of a script. Within this and the following limits, a call takes well under
+/// a millisecond.
+const MAX_OPERATIONS: u64 = 10_000;
+const MAX_CALL_DEPTH: usize = 16;
+const MAX_STRING_BYTES: usize = 4096;
+const MAX_COLLECTION_ITEMS: usize = 128;
+/// Maximum number of tags that all scripts together can add to a request.
+const MAX_TAGS: usize = 8;
 
 struct Script {
     name: String,
     ast: AST,
 }
 
-/// The scripts, in the order of their names.
+/// The loaded scripts, ordered by name, and the engine that runs them.
 pub struct Plugins {
     engine: Engine,
     scripts: Vec<Script>,
 }
 
-/// What the scripts make of a request.
+/// Decision of the scripts on a request.
 pub enum Verdict {
-    /// It goes on, with these tags.
+    /// The request is processed further, with these tags.
     Pass(Vec<String>),
-    /// It is rejected; a retry is harmless.
+    /// The request is rejected; the client can safely retry it.
     Reject,
 }
 
 impl Plugins {
-    /// No scripts.
+    /// Creates an engine without scripts.
     pub fn none() -> Plugins {
         let mut engine = Engine::new();
         engine
-            .set_max_operations(STEPS_MOST)
-            .set_max_call_levels(DEPTH_MOST)
+            .set_max_operations(MAX_OPERATIONS)
+            .set_max_call_levels(MAX_CALL_DEPTH)
             .set_max_expr_depths(32, 16)
             .set_max_variables(64)
-            .set_max_string_size(TEXT_MOST)
-            .set_max_array_size(ITEMS_MOST)
-            .set_max_map_size(ITEMS_MOST)
+            .set_max_string_size(MAX_STRING_BYTES)
+            .set_max_array_size(MAX_COLLECTION_ITEMS)
+            .set_max_map_size(MAX_COLLECTION_ITEMS)
             .on_print(|text| log::info!("script: {text:.200}"))
             .on_debug(|text, _, _| log::debug!("script: {text:.200}"));
         Plugins { engine, scripts: Vec::new() }
     }
 
-    /// Reads the scripts of the folder, if there is one. One that cannot be read is passed over.
+    /// Loads the scripts in `folder`, which may be missing. A script that cannot be compiled is logged and skipped.
     pub fn load(folder: &Path) -> Plugins {
         let mut plugins = Plugins::none();
-        files(folder).unwrap_or_default().iter().for_each(|f| plugins.add(f));
+        script_files(folder).unwrap_or_default().iter().for_each(|file| plugins.add(file));
         plugins
     }
 
@@ -59,48 +62,52 @@
         let name = file.file_name().unwrap_or_default().to_string_lossy().into_owned();
         match self.engine.compile_file(file.into()) {
             Ok(ast) => {
-                log::info!("script {name} is in use");
+                log::info!("script {name} loaded");
                 self.scripts.push(Script { name, ast });
             }
-            Err(e) => log::error!("script {name} passed over: {e}"),
+            Err(e) => log::error!("script {name} skipped: {e}"),
         }
     }
 
-    /// Shows the scripts a request; the first that rejects it decides.
+    /// Calls `on_request` in each script, in order, until one rejects the request. Otherwise collects the scripts' tags.
     pub fn on_request(&self, context: &RequestContext, details: RequestDetails) -> Verdict {
         let mut tags = Vec::new();
-        for said in self.call("on_request", |_| vec![Dynamic::from(facts(context, details))]) {
-            if said.clone().try_cast::<String>().is_some_and(|s| s == "reject") {
+        for result in self.call("on_request", |_| vec![Dynamic::from(script_request(context, details))]) {
+            if result.clone().try_cast::<String>().is_some_and(|text| text == "reject") {
                 return Verdict::Reject;
             }
-            let tag = said.try_cast::<Map>().and_then(|m| m.get("tag").cloned());
-            tags.extend(tag.map(|t| t.to_string()).filter(|_| tags.len() < TAGS_MOST));
+            let tag = result.try_cast::<Map>().and_then(|map| map.get("tag").cloned());
+            tags.extend(tag.map(|tag| tag.to_string()).filter(|_| tags.len() < MAX_TAGS));
         }
         Verdict::Pass(tags)
     }
 
-    /// Shows the scripts how an attempt ended. What they say to that changes nothing.
+    /// Calls `on_outcome` in each script with the outcome of an attempt. The scripts' return values are ignored.
     pub fn on_outcome(&self, context: &RequestContext, details: RequestDetails, outcome: &str) {
-        let facts = |_: &Script| vec![facts(context, details).into(), outcome.to_string().into()];
-        self.call("on_outcome", facts).for_each(drop);
+        let arguments =
+            |_: &Script| vec![script_request(context, details).into(), outcome.to_string().into()];
+        self.call("on_outcome", arguments).for_each(drop);
     }
 
-    /// Guards the rules against scripts: one that fails, or uses too much, is logged and passed over.
+    /// Calls `function` lazily in each script that defines it and returns the results. A script that fails or exceeds a
+    /// limit is logged and yields no result, so that it cannot disturb delivery.
     fn call<'a>(
-        &'a self, function: &'a str, facts: impl Fn(&Script) -> Vec<Dynamic> + 'a,
+        &'a self, function: &'a str, arguments: impl Fn(&Script) -> Vec<Dynamic> + 'a,
     ) -> impl Iterator<Item = Dynamic> + 'a {
-        let has = move |s: &&Script| s.ast.iter_functions().any(|f| f.name == function);
-        self.scripts.iter().filter(has).filter_map(move |s| {
+        let defines_function =
+            move |script: &&Script| script.ast.iter_functions().any(|defined| defined.name == function);
+        self.scripts.iter().filter(defines_function).filter_map(move |script| {
             let options = CallFnOptions::new().eval_ast(false);
-            let said =
-                self.engine.call_fn_with_options(options, &mut Scope::new(), &s.ast, function, facts(s));
-            said.inspect_err(|e| log::warn!("script {}: {function} passed over: {e}", s.name)).ok()
+            let (mut scope, arguments) = (Scope::new(), arguments(script));
+            let result =
+                self.engine.call_fn_with_options(options, &mut scope, &script.ast, function, arguments);
+            result.inspect_err(|e| log::warn!("script {}: {function} failed: {e}", script.name)).ok()
         })
     }
 }
 
-/// The text by which scripts know an outcome. Scripts in use compare these texts (`docs/plugins.md`), so they outlive any
-/// renaming of the variants.
+/// Returns the text that represents an outcome in scripts. Existing scripts compare these texts (`docs/plugins.md`), so a
+/// text stays the same when its variant is renamed.
 pub fn outcome_text(outcome: Outcome) -> String {
     match outcome {
         Outcome::Ok => "Ok".into(),
@@ -117,31 +124,34 @@
     }
 }
 
-/// All that is wrong with the scripts of the folder; nothing where there is none.
+/// Returns the errors in the scripts in `folder`, or none if the folder is missing.
 pub fn check(folder: &Path) -> Vec<ConfigError> {
-    let files = match files(folder) {
+    let files = match script_files(folder) {
         Err(e) if e.kind() != std::io::ErrorKind::NotFound => {
             return vec![ConfigError { file: folder.into(), key: String::new(), message: e.to_string() }];
         }
         files => files.unwrap_or_default(),
     };
     let engine = Plugins::none().engine;
-    let fault = |file: PathBuf| {
+    let compile_error = |file: PathBuf| {
         let message = engine.compile_file(file.clone()).err()?.to_string();
         Some(ConfigError { file, key: String::new(), message })
     };
-    files.into_iter().filter_map(fault).collect()
+    files.into_iter().filter_map(compile_error).collect()
 }
 
-fn files(folder: &Path) -> std::io::Result<Vec<PathBuf>> {
-    let files = std::fs::read_dir(folder)?.flatten().map(|f| f.path());
-    let mut files: Vec<_> = files.filter(|p| p.extension().is_some_and(|e| e == "rhai")).collect();
+/// Returns the paths of the scripts in `folder`, ordered by name.
+fn script_files(folder: &Path) -> std::io::Result<Vec<PathBuf>> {
+    let files = std::fs::read_dir(folder)?.flatten().map(|entry| entry.path());
+    let mut files: Vec<_> =
+        files.filter(|path| path.extension().is_some_and(|extension| extension == "rhai")).collect();
     files.sort();
     Ok(files)
 }
 
-fn facts(context: &RequestContext, details: RequestDetails) -> Map {
-    let tags: Vec<Dynamic> = context.tags.iter().map(|t| t.clone().into()).collect();
+/// Returns the request as the map that scripts receive.
+fn script_request(context: &RequestContext, details: RequestDetails) -> Map {
+    let tags: Vec<Dynamic> = context.tags.iter().map(|tag| tag.clone().into()).collect();
     [
         ("name", context.name.clone().into()),
         ("class", details.class.to_string().into()),
@@ -152,6 +162,6 @@
         ("tags", tags.into()),
     ]
     .into_iter()
-    .map(|(k, v)| (k.into(), v))
+    .map(|(key, value)| (key.into(), value))
     .collect()
 }
--- a/src/request.rs
+++ b/src/request.rs
@@ -1,5 +1,5 @@
-//! A request as it stands between its client and its endpoint, and what plug-ins are shown beside it: types that all
-//! layers share. Holds no state and decides nothing.
+//! Types of a request that all layers share, from the client to the endpoint, and the details that plug-ins receive with
+//! it.
 #![warn(missing_docs)]
 use crate::interface::Nanos;
 use bytes::Bytes;
@@ -7,31 +7,31 @@
 /// A request for delivery, as a client submitted it.
 #[derive(Debug)]
 pub struct RequestContext {
-    /// The message's name: the id that its client gave it.
+    /// Message id that the client assigned.
     pub name: String,
-    /// What the client side that accepted the request needs to report its completion. If set, that side is notified of
-    /// every completion, also of a delivery. Empty for requests of the platform.
+    /// Data that the accepting client front-end needs to report the completion. If set, the front-end is notified of every
+    /// completion, including a delivery. Empty for requests of the platform.
     pub origin: String,
-    /// Index of its class in the settings.
+    /// Index of the class in the settings.
     pub class: usize,
-    /// Index of its tenant in the settings.
+    /// Index of the tenant in the settings.
     pub tenant: usize,
-    /// Messages with the same key are delivered in their order; none where the class has no order.
+    /// Messages with the same key are delivered in order; `None` if the class is unordered.
     pub ordering_key: Option<u64>,
-    /// The destination that it is for.
+    /// Destination of the message.
     pub dest: u64,
-    /// Unix time after which it must not run.
+    /// Unix time after which the message must not run.
     pub deadline: Nanos,
-    /// The key by which endpoints recognize repeats; empty where the class has none.
+    /// Key by which endpoints recognize repeated deliveries; empty if the class has none.
     pub idempotency_key: String,
-    /// The payload, passed on as it is.
+    /// Payload, forwarded unchanged.
     pub body: Bytes,
-    /// Set by plug-ins; not kept across a restart.
+    /// Tags that plug-ins have set; lost in a restart.
     pub tags: Vec<String>,
 }
 
 impl RequestContext {
-    /// Whether all that an endpoint would receive is the same.
+    /// Returns whether an endpoint would receive the same message for both requests.
     pub(crate) fn same_message(&self, other: &RequestContext) -> bool {
         self.class == other.class
             && self.tenant == other.tenant
@@ -42,13 +42,13 @@
     }
 }
 
-/// What plug-ins are shown of a request beside its context.
+/// Details of a request that plug-ins receive with its context.
 #[derive(Clone, Copy)]
 pub struct RequestDetails<'a> {
-    /// The name of its class; empty where the settings have no such class.
+    /// Name of the class; empty if the settings do not contain the class.
     pub class: &'a str,
-    /// The name of its tenant; empty where the settings have no such tenant.
+    /// Name of the tenant; empty if the settings do not contain the tenant.
     pub tenant: &'a str,
-    /// Time to its deadline.
+    /// Time left until the deadline.
     pub time_left: Nanos,
 }
--- a/tests/plugins.rs
+++ b/tests/plugins.rs
@@ -1,4 +1,4 @@
-//! Plug-ins in the real program: what they may decide, and that a faulty one breaks nothing.
+//! Plug-in scripts in the real program: their decisions take effect, and faulty scripts do not disturb it.
 mod stand;
 use stand::*;
 
@@ -16,32 +16,32 @@
 ];
 
 #[test]
-fn scripts_pass_reject_tag_and_observe_and_faulty_ones_are_passed_over() {
+fn scripts_pass_reject_tag_and_observe_requests_and_faulty_scripts_are_skipped() {
     let endpoint = Server::always("200 OK");
     let known = list(1, &[(7, endpoint.addr)]);
-    let disco = discovery(known.clone());
+    let discovery_server = discovery(known.clone());
     let folder = std::env::temp_dir().join(format!("plugins-{}-{}", std::process::id(), unique()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("the folder is created");
     for (name, text) in SCRIPTS {
-        std::fs::write(folder.join(name), text).expect("a script");
+        std::fs::write(folder.join(name), text).expect("the script is written");
     }
     let env = vec![("MICALADDER_PLUGINS".to_string(), folder.display().to_string())];
-    let mut daemon = Setup { env, ..setup(&disco, known) }.start();
-    let rejected = daemon.ask(&message("stats", "no", "20000m", "")).expect("an answer");
+    let mut daemon = Setup { env, ..setup(&discovery_server, known) }.start();
+    let rejected = daemon.ask(&message("stats", "no", "20000m", "")).expect("a response");
     assert_eq!((rejected.status(), rejected.header("retry-after").is_some()), (503, true));
     assert_eq!(daemon.submit("payout", "yes"), 202);
     endpoint.wait_request("yes");
     daemon.wait_log("script: yes ended Ok seen-7");
-    let log = daemon.wait_log("d_observe.rhai: on_outcome passed over");
-    assert!(log.contains("script b_broken.rhai passed over"), "{log}");
-    assert!(log.contains("script a_faulty.rhai: on_request passed over"), "{log}");
+    let log = daemon.wait_log("d_observe.rhai: on_outcome failed");
+    assert!(log.contains("script b_broken.rhai skipped"), "{log}");
+    assert!(log.contains("script a_faulty.rhai: on_request failed"), "{log}");
     assert!(daemon.runs() && endpoint.received().len() == 1);
     let _ = std::fs::remove_dir_all(folder);
 }
 
-/// Scripts in use compare these texts (`docs/plugins.md`): no renaming in the code may change one.
+/// Existing scripts compare these texts (`docs/plugins.md`), so a renamed variant must keep its text.
 #[test]
-fn scripts_know_each_outcome_by_its_documented_text() {
+fn each_outcome_has_its_documented_text() {
     use micaladder::plugins::outcome_text;
     use micaladder::{Nanos, Outcome};
     let documented = [
