--- a/benches/held.rs
+++ b/benches/held.rs
@@ -1,7 +1,7 @@
-//! What one event costs with few and with many pending messages: a message is submitted and the oldest call ends, over
-//! and over. Cost must not grow with the number of pending messages; compare the sizes of one run.
+//! Benchmark of the cost of one event with few and with many pending messages. Each iteration submits a message and ends
+//! the oldest call. The cost must not grow with the number of pending messages; compare the sizes of one run.
 //!
-//! `cargo bench --bench held` takes about a minute and 3 GB.
+//! `cargo bench --bench held` takes about a minute and uses 3 GB of memory.
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use micaladder::core::{Answer, Core, CoreOptions, Endpoint, Input, Output, Predecessor};
 use micaladder::journal::{Disk, FileWriter, Journal};
@@ -18,10 +18,10 @@
 
 const PARTNERS: u64 = 50;
 const SLOTS: usize = 16;
-/// Virtual time from one event to the next.
+/// Simulated time between two events.
 const STEP: Nanos = Nanos(100_000);
 
-/// A disk that discards what is written: the journal's own cost is not measured here.
+/// A disk that discards all writes, since the cost of journal I/O is not measured here.
 struct NullDisk;
 
 impl Disk for NullDisk {
@@ -56,7 +56,7 @@
     Class { latency_objective, deadline, priority_weight: 1.0, late_weight_share: 0.5, effect, fifo_by_key }
 }
 
-fn site(max_pending: usize) -> Arc<DeploymentSettings> {
+fn deployment(max_pending: usize) -> Arc<DeploymentSettings> {
     let window = Nanos::from_secs(1e6);
     let classes = vec![
         class(Effect::IdempotentByKey { scope: IdempotencyScope::AllEndpoints, window }, true),
@@ -85,9 +85,9 @@
 struct Simulation {
     core: Core,
     now: Nanos,
-    next: u64,
+    messages_submitted: u64,
     in_flight: VecDeque<(MessageId, u32)>,
-    notified: Vec<MessageId>,
+    unacknowledged: Vec<MessageId>,
 }
 
 impl Simulation {
@@ -96,7 +96,7 @@
         let (journal, records) = Journal::open_on(Box::new(NullDisk), 1 << 50)
             .expect("a disk that discards everything never fails");
         let core = Core::new(CoreOptions {
-            site: site(max_pending),
+            site: deployment(max_pending),
             seed: 7,
             static_endpoints: Vec::new(),
             plugins: Plugins::none(),
@@ -105,9 +105,14 @@
             predecessor: Predecessor::None,
             now,
         });
-        let mut simulation =
-            Simulation { core, now, next: 0, in_flight: VecDeque::new(), notified: Vec::new() };
-        let member = |dest: u64| Endpoint {
+        let mut simulation = Simulation {
+            core,
+            now,
+            messages_submitted: 0,
+            in_flight: VecDeque::new(),
+            unacknowledged: Vec::new(),
+        };
+        let endpoint = |dest: u64| Endpoint {
             uid: format!("s-{dest}"),
             address: "127.0.0.1:1".into(),
             zone: 0,
@@ -116,8 +121,10 @@
             state: EndpointState::Running,
             rate: 50.0,
         };
-        simulation
-            .step(vec![Input::Endpoints { complete: true, endpoints: (0..PARTNERS).map(member).collect() }]);
+        simulation.step(vec![Input::Endpoints {
+            complete: true,
+            endpoints: (0..PARTNERS).map(endpoint).collect(),
+        }]);
         for _ in 0..pending.div_ceil(1000) {
             let inputs = (0..1000.min(pending)).map(|_| simulation.submit()).collect();
             simulation.step(inputs);
@@ -127,10 +134,10 @@
 
     fn submit(&mut self) -> Input {
         let id = self.core.next_id();
-        self.next += 1;
-        let (name, class) = (format!("m{}", self.next), (self.next % 3) as usize);
-        // Ten messages share a key and wait for each other.
-        let ordering_key = (class == 0).then_some(self.next / 30);
+        self.messages_submitted += 1;
+        let (name, class) = (format!("m{}", self.messages_submitted), (self.messages_submitted % 3) as usize);
+        // Ten messages share an ordering key and are delivered one after another.
+        let ordering_key = (class == 0).then_some(self.messages_submitted / 30);
         let idempotency_key = if class == 0 { format!("key-{name}") } else { String::new() };
         let deadline = self.now + Nanos::from_secs(9e5);
         let context = RequestContext {
@@ -139,7 +146,7 @@
             class,
             tenant: 0,
             ordering_key,
-            dest: self.next % PARTNERS,
+            dest: self.messages_submitted % PARTNERS,
             deadline,
             idempotency_key,
             body: Vec::new().into(),
@@ -149,42 +156,48 @@
     }
 
     fn step(&mut self, mut inputs: Vec<Input>) {
-        inputs.extend(self.notified.drain(..).map(Input::CallbackAcknowledged));
+        inputs.extend(self.unacknowledged.drain(..).map(Input::CallbackAcknowledged));
         self.now = self.now + STEP;
         for output in self.core.step(self.now, inputs) {
             match output {
                 Output::Call(attempts) => {
-                    for one in attempts {
-                        assert!(self.core.may_send(self.now, one.id, one.attempt), "nothing has changed");
-                        self.in_flight.push_back((one.id, one.attempt))
+                    for attempt in attempts {
+                        assert!(
+                            self.core.may_send(self.now, attempt.id, attempt.attempt),
+                            "an attempt that was just decided may be sent"
+                        );
+                        self.in_flight.push_back((attempt.id, attempt.attempt))
                     }
                 }
-                Output::Callback(notice) => self.notified.push(notice.id),
+                Output::Callback(callback) => self.unacknowledged.push(callback.id),
                 Output::Answer(_, answer) => assert!(matches!(answer, Answer::Accepted | Answer::Reject(_))),
                 Output::CancelAttempt { .. } | Output::CloseIdle(_) => {}
             }
         }
     }
 
+    /// Submits a message and ends the oldest call.
     fn event(&mut self) {
         let mut inputs = vec![self.submit()];
-        let (id, attempt) = self.in_flight.pop_front().expect("calls are in flight all the time");
+        let (id, attempt) = self.in_flight.pop_front().expect("a call is in flight at all times");
         inputs.push(Input::AttemptEnded { id, attempt, outcome: Outcome::Ok, over: false, report: None });
         self.step(inputs);
     }
 }
 
-fn held(c: &mut Criterion) {
-    for (name, spare) in [("one in, one out", 1 << 30), ("one in, one out, one shed: the hold is full", 0)] {
+fn event_cost(c: &mut Criterion) {
+    for (name, spare_capacity) in
+        [("below the pending limit", 1 << 30), ("at the pending limit, with shedding", 0)]
+    {
         let mut group = c.benchmark_group(name);
         group.sample_size(20);
-        for held in [100, 10_000, 1_000_000] {
-            let mut simulation = Simulation::new(held, held + spare);
-            group.bench_function(BenchmarkId::from_parameter(held), |b| b.iter(|| simulation.event()));
+        for pending in [100, 10_000, 1_000_000] {
+            let mut simulation = Simulation::new(pending, pending + spare_capacity);
+            group.bench_function(BenchmarkId::from_parameter(pending), |b| b.iter(|| simulation.event()));
         }
         group.finish();
     }
 }
 
-criterion_group!(benches, held);
+criterion_group!(benches, event_cost);
 criterion_main!(benches);
--- a/examples/large-stats.rhai
+++ b/examples/large-stats.rhai
@@ -1,4 +1,5 @@
-// Turns away statistics that are too large, and tags the rest. Try it with --plugins examples.
+// Rejects messages of the class stats-push that exceed 20000 bytes, and tags all others with their destination.
+// Usage: micaladder --plugins examples
 fn on_request(request) {
     if request.class == "stats-push" && request.size > 20000 {
         return "reject";
--- a/src/bin/micaladder-benchlink/actions.rs
+++ b/src/bin/micaladder-benchlink/actions.rs
@@ -1,11 +1,10 @@
-//! Actions: from the module's words to the wire's.
+//! Conversion of the decision module's actions to the simulator's JSON lines.
 use micaladder::{Action, EndpointId, MessageId};
 use serde_json::{json, Value};
 
-/// An action of an instance as a line of the reply. `endpoints` holds the names of the endpoints by their
-/// ids.
-pub(crate) fn write(instance: &str, action: &Action, endpoints: &[String]) -> Value {
-    let name = |id: &EndpointId| endpoints.get(id.0 as usize);
+/// Converts an action of an instance to a line of the reply. `endpoint_names` holds the endpoint names by id.
+pub(crate) fn to_json(instance: &str, action: &Action, endpoint_names: &[String]) -> Value {
+    let name = |id: &EndpointId| endpoint_names.get(id.0 as usize);
     match action {
         Action::Send { id, host, timeout } => json!({"what": "issue", "relayId": instance,
             "req": hex(id), "patienceNs": timeout.0, "host": name(host)}),
@@ -28,7 +27,7 @@
     }
 }
 
-/// A message id in the 16 hex digits of the wire.
+/// Formats a message id as 16 hex digits, as the simulator expects it.
 fn hex(id: &MessageId) -> String {
     format!("{:016x}", id.0)
 }
--- a/src/bin/micaladder-benchlink/error.rs
+++ b/src/bin/micaladder-benchlink/error.rs
@@ -1,45 +1,45 @@
-//! Why the adapter ends: a line that breaks the wire's format, or a reply that cannot be written.
+//! Errors that end the adapter: a malformed line of the input, or a reply that cannot be written.
 use std::io;
 
-/// The adapter cannot go on.
+/// An error that ends the adapter.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum AdapterError {
-    /// A line of the input is malformed: the simulator and the adapter disagree on the wire.
+    /// A line of the input is malformed: the simulator and the adapter disagree on the format.
     #[error("line {number}: {error}")]
     Line {
         /// Number of the line, from 1.
         number: usize,
-        /// What is wrong with it.
+        /// Error in the line.
         error: LineError,
     },
-    /// The simulator has closed its end, or the disk behind a redirection is full.
+    /// The simulator has closed its end of the pipe, or standard output is redirected to a full disk.
     #[error("cannot write the reply: {0}")]
     Write(io::Error),
 }
 
-/// What is wrong with a line.
+/// An error in a line of the input.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum LineError {
-    /// It cannot be read, for instance since it is not UTF-8.
-    #[error("{0}")]
+    /// The line cannot be read, for instance because it is not UTF-8.
+    #[error("cannot read the line: {0}")]
     Read(io::Error),
-    /// It is not JSON.
+    /// The line is not JSON.
     #[error("not JSON: {0}")]
     NotJson(serde_json::Error),
-    /// It is JSON, but no object.
+    /// The line is JSON, but not an object.
     #[error("not a JSON object")]
     NotAnObject,
-    /// A field must hold a text.
-    #[error("field {0} is missing or not a text")]
-    NotText(&'static str),
-    /// A field must hold a whole number.
-    #[error("field {0} is missing or not a whole number")]
-    NotWholeNumber(&'static str),
+    /// A field that must hold a string is missing or has another type.
+    #[error("field {0} is missing or not a string")]
+    NotAString(&'static str),
+    /// A field that must hold a non-negative integer is missing or has another type.
+    #[error("field {0} is missing or not a non-negative integer")]
+    NotAnInteger(&'static str),
     /// A message id has the wrong length.
-    #[error("field req is not 16 hex digits: {0}")]
+    #[error("field req is not 16 hex digits long: {0}")]
     IdLength(String),
-    /// A message id holds other characters than hex digits.
-    #[error("field req is not hex: {0}")]
+    /// A message id contains characters other than hex digits.
+    #[error("field req is not hexadecimal: {0}")]
     IdNotHex(String),
     /// The settings of an instance are missing.
     #[error("field conf is missing or not an object")]
@@ -47,10 +47,10 @@
     /// An entry of an endpoint list is malformed.
     #[error("membersList: {0}")]
     Entries(serde_json::Error),
-    /// An event points at an endpoint list that was not defined.
-    #[error("no manifest numbered {0}")]
+    /// An event refers to an endpoint list that has not been defined.
+    #[error("field setId refers to manifest {0}, which has not been defined")]
     UnknownList(u64),
     /// The state of an endpoint is unknown.
-    #[error("lifecycle is none that is known: {0}")]
+    #[error("unknown lifecycle {0:?}; expected Running, Stopping or Deleted")]
     UnknownLifecycle(String),
 }
--- a/src/bin/micaladder-benchlink/events.rs
+++ b/src/bin/micaladder-benchlink/events.rs
@@ -1,24 +1,24 @@
-//! Events: from the wire's words to the module's.
+//! Conversion of the simulator's JSON lines to events of the decision module.
 use crate::error::LineError;
 use crate::instance::Instance;
 use crate::settings::nanos;
-use crate::wire::{text, whole_number, WireEntry};
+use crate::wire::{integer, text, WireEntry};
 use micaladder::{
     AttemptEnded, DestinationId, EndpointEntry, EndpointState, Event, Message, MessageId, Nanos, Outcome,
 };
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Nanoseconds in a millisecond, the unit of waits in notes.
-const MILLISECOND: u64 = 1_000_000;
+/// Nanoseconds in a millisecond, the unit of Retry-After in the field `note`.
+const NANOS_PER_MILLISECOND: u64 = 1_000_000;
 /// Hex digits of a message id.
 const ID_DIGITS: usize = 16;
 
-/// Reads an event for an instance. None for events that the module does not use, and for unknown ones.
+/// Parses an event for an instance. Returns `None` for unknown events and for those that the module does not use.
 ///
 /// # Errors
-/// A field that is missing or malformed.
-pub(crate) fn read(
+/// A field is missing or malformed.
+pub(crate) fn parse(
     kind: &str, value: &Value, instance: &mut Instance, lists: &BTreeMap<u64, Vec<WireEntry>>,
 ) -> Result<Option<Event>, LineError> {
     match kind {
@@ -27,12 +27,12 @@
         "reportBack" => attempt_ended(value, instance),
         "clientLeft" => Ok(Some(Event::Withdrawn(message_id(value)?))),
         "due" => Ok(Some(Event::Due)),
-        // Streams, probes and notes between instances are not used.
+        // The module does not use streams, probes and notes between instances.
         _ => Ok(None),
     }
 }
 
-/// A change of the endpoint list, or a failure to get it.
+/// Parses an update of the endpoint list, or the failure to obtain one.
 fn endpoint_list(
     value: &Value, instance: &mut Instance, lists: &BTreeMap<u64, Vec<WireEntry>>,
 ) -> Result<Event, LineError> {
@@ -40,7 +40,7 @@
     if form == "unavailable" {
         return Ok(Event::EndpointListFailed);
     }
-    let number = whole_number(value, "setId")?;
+    let number = integer(value, "setId")?;
     let list = lists.get(&number).ok_or(LineError::UnknownList(number))?;
     let mut entries = Vec::with_capacity(list.len());
     for entry in list {
@@ -49,7 +49,7 @@
     Ok(Event::EndpointList { complete: form != "update", entries })
 }
 
-/// One entry of an endpoint list.
+/// Converts an entry of an endpoint list.
 fn endpoint_entry(instance: &mut Instance, entry: &WireEntry) -> Result<EndpointEntry, LineError> {
     let state = match entry.lifecycle.as_str() {
         "Running" => EndpointState::Running,
@@ -67,25 +67,25 @@
     })
 }
 
-/// A new message.
+/// Parses a new message.
 fn message(value: &Value) -> Result<Event, LineError> {
     Ok(Event::Message(Message {
         id: message_id(value)?,
-        class: whole_number(value, "type")? as usize,
+        class: integer(value, "type")? as usize,
         tenant: value["customer"].as_u64().unwrap_or(0) as usize,
         key: value["key"].as_u64(),
-        dest: DestinationId(whole_number(value, "dest")?),
-        deadline: Nanos(whole_number(value, "notAfterNs")?),
+        dest: DestinationId(integer(value, "dest")?),
+        deadline: Nanos(integer(value, "notAfterNs")?),
     }))
 }
 
-/// The outcome of an attempt; none for an unknown code.
+/// Parses the end of an attempt. Returns `None` for an unknown outcome code.
 fn attempt_ended(value: &Value, instance: &Instance) -> Result<Option<Event>, LineError> {
     let note = value["note"].as_u64().unwrap_or(0);
-    let Some(outcome) = outcome(whole_number(value, "code")?, note) else { return Ok(None) };
+    let Some(outcome) = outcome(integer(value, "code")?, note) else { return Ok(None) };
     Ok(Some(Event::AttemptEnded(AttemptEnded {
         id: message_id(value)?,
-        attempt: whole_number(value, "sendNo")? as u32,
+        attempt: integer(value, "sendNo")? as u32,
         outcome,
         over: value["over"] == true,
         took: nanos(&value["rttNs"]),
@@ -93,12 +93,12 @@
     })))
 }
 
-/// The outcome of a code; `note` holds the Retry-After in milliseconds, 0 for none.
+/// Returns the outcome of a code. `note` holds the Retry-After in milliseconds, or 0 if there is none.
 fn outcome(code: u64, note: u64) -> Option<Outcome> {
     let outcome = match code {
         0 => Outcome::Ok,
         255 => Outcome::Error,
-        254 => Outcome::Rejected((note > 0).then(|| Nanos(note.saturating_mul(MILLISECOND)))),
+        254 => Outcome::Rejected((note > 0).then(|| Nanos(note.saturating_mul(NANOS_PER_MILLISECOND)))),
         253 => Outcome::Timeout,
         252 => Outcome::ConnectFailed,
         251 => Outcome::Reset,
@@ -109,7 +109,7 @@
     Some(outcome)
 }
 
-/// The id of a message.
+/// Parses the message id of an event.
 fn message_id(value: &Value) -> Result<MessageId, LineError> {
     let id = text(value, "req")?;
     if id.len() != ID_DIGITS {
--- a/src/bin/micaladder-benchlink/instance.rs
+++ b/src/bin/micaladder-benchlink/instance.rs
@@ -1,4 +1,4 @@
-//! One simulated forwarder: its decision module and the endpoints that it knows.
+//! A simulated forwarder: its decision module and its known endpoints.
 use crate::settings;
 use micaladder::{Action, Balancer, EndpointId, Event, LoadReport, Nanos};
 use serde_json::Value;
@@ -6,43 +6,43 @@
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// Where a load report holds the values that the module uses.
+/// Positions of the values that the module uses in a load report.
 struct ReportFields {
-    /// Index of the share of the limit that is left.
+    /// Index of the remaining share of the limit.
     left: Option<usize>,
     /// Index of the limit.
     limit: Option<usize>,
 }
 
-/// One simulated forwarder.
+/// A simulated forwarder.
 pub(crate) struct Instance {
-    /// The decision module.
+    /// Decision module.
     balancer: Balancer,
-    /// Ids of the endpoints by their names, numbered as they were first named.
+    /// Endpoint ids by endpoint name, numbered in the order in which the names first occurred.
     endpoint_ids: BTreeMap<String, EndpointId>,
-    /// Names of the endpoints, by their ids.
+    /// Endpoint names by id.
     pub endpoint_names: Vec<String>,
-    /// Events of the batch that is being read.
+    /// Events of the current batch.
     pub events: Vec<Event>,
-    /// How to read load reports.
+    /// Layout of the load reports.
     report_fields: ReportFields,
 }
 
 impl Instance {
-    /// A new instance. `conf` holds the settings in the wire's words.
+    /// Creates an instance. `conf` holds the settings in the simulator's JSON format.
     pub fn new(conf: &Value, seed: u64) -> Self {
-        let place =
+        let position =
             |name: &str| conf["reporting"]["names"].as_array()?.iter().position(|field| field == name);
         Instance {
-            balancer: Balancer::new(settings::read(conf), seed),
+            balancer: Balancer::new(settings::parse(conf), seed),
             endpoint_ids: BTreeMap::new(),
             endpoint_names: Vec::new(),
             events: Vec::new(),
-            report_fields: ReportFields { left: place("x0"), limit: place("x1") },
+            report_fields: ReportFields { left: position("x0"), limit: position("x1") },
         }
     }
 
-    /// The id of an endpoint; a new one for a name that is not known yet.
+    /// Returns the id of an endpoint, and assigns a new id to a new name.
     pub fn endpoint_id(&mut self, name: &str) -> EndpointId {
         if let Some(id) = self.endpoint_ids.get(name) {
             return *id;
@@ -53,38 +53,38 @@
         id
     }
 
-    /// Reads a load report; none if it lacks one of the values.
-    pub fn load_report(&self, row: &Value) -> Option<LoadReport> {
-        let row = row.as_array()?;
-        let value = |index: Option<usize>| row.get(index?)?.as_f64();
+    /// Parses a load report. Returns `None` if one of the values is missing.
+    pub fn load_report(&self, report: &Value) -> Option<LoadReport> {
+        let values = report.as_array()?;
+        let value = |index: Option<usize>| values.get(index?)?.as_f64();
         let left = value(self.report_fields.left)?;
         let limit = value(self.report_fields.limit)?;
         Some(LoadReport { left, limit })
     }
 
-    /// Lets the module decide on the events of the batch.
+    /// Passes the events of the batch to the module and returns the module's actions.
     ///
     /// # Errors
-    /// The text of a panic of the module.
+    /// The module panicked; the error is the panic message.
     pub fn decide(&mut self, now: Nanos) -> Result<Vec<Action>, String> {
         let events = std::mem::take(&mut self.events);
         let mut actions = Vec::new();
         let balancer = &mut self.balancer;
-        let done = catch_unwind(AssertUnwindSafe(|| balancer.handle(now, &events, &mut actions)));
-        match done {
+        let result = catch_unwind(AssertUnwindSafe(|| balancer.handle(now, &events, &mut actions)));
+        match result {
             Ok(()) => Ok(actions),
-            Err(panic) => Err(panic_text(panic.as_ref())),
+            Err(panic) => Err(panic_message(panic.as_ref())),
         }
     }
 }
 
-/// The message of a panic.
-fn panic_text(panic: &(dyn Any + Send)) -> String {
+/// Returns the message of a panic.
+fn panic_message(panic: &(dyn Any + Send)) -> String {
     if let Some(text) = panic.downcast_ref::<String>() {
         return text.clone();
     }
     match panic.downcast_ref::<&str>() {
         Some(text) => text.to_string(),
-        None => "the decision code panicked".to_string(),
+        None => "the decision module panicked without a message".to_string(),
     }
 }
--- a/src/bin/micaladder-benchlink/settings.rs
+++ b/src/bin/micaladder-benchlink/settings.rs
@@ -1,10 +1,10 @@
-//! The settings of an instance: from the wire's words to the module's. Unknown fields are ignored; a missing
-//! one means that the site has no such feature.
+//! Conversion of an instance's settings from the simulator's JSON format. Unknown fields are ignored. A missing field means
+//! that the simulated deployment lacks the feature.
 use micaladder::{Class, Effect, EndpointKind, IdempotencyScope, ListedRates, Nanos, Settings, ValueDecay};
 use serde_json::Value;
 
-/// Reads the settings.
-pub(crate) fn read(conf: &Value) -> Settings {
+/// Parses the settings.
+pub(crate) fn parse(conf: &Value) -> Settings {
     let (family, limits, rules, fees) = (&conf["familyInfo"], &conf["limits"], &conf["rules"], &conf["fees"]);
     Settings {
         slots: count(&family["workers"]),
@@ -40,7 +40,7 @@
     }
 }
 
-/// One class of message.
+/// Parses a message class.
 fn class(class: &Value) -> Class {
     Class {
         latency_objective: nanos(&class["aimNs"]),
@@ -52,7 +52,7 @@
     }
 }
 
-/// An unknown effect is read as the strictest one.
+/// Parses the effect of a class. An unknown effect becomes the strictest one, at most once.
 fn effect(class: &Value) -> Effect {
     match class["effect"].as_str() {
         Some("repeatable") => Effect::Idempotent,
@@ -67,7 +67,8 @@
     }
 }
 
-/// The lists of kinds may differ in length: the longest one counts.
+/// Parses the endpoint kinds. The lists that describe them may differ in length; the longest one determines the number of
+/// kinds.
 fn kinds(conf: &Value) -> Vec<EndpointKind> {
     let separate = &conf["familyInfo"]["kindApart"];
     let max_batch = &conf["familyInfo"]["perCall"];
@@ -80,22 +81,22 @@
     (0..kinds).map(kind).collect()
 }
 
-/// A time in nanoseconds; zero if absent.
+/// Parses a time in nanoseconds; zero if absent.
 pub(crate) fn nanos(value: &Value) -> Nanos {
     Nanos(value.as_u64().unwrap_or(0))
 }
 
-/// A number; zero if absent.
+/// Parses a floating-point number; zero if absent.
 fn float(value: &Value) -> f64 {
     value.as_f64().unwrap_or(0.0)
 }
 
-/// A count; zero if absent.
+/// Parses a count; zero if absent.
 fn count(value: &Value) -> usize {
     value.as_u64().unwrap_or(0) as usize
 }
 
-/// The items of a list; empty if absent.
-fn list<T>(value: &Value, read: impl Fn(&Value) -> T) -> Vec<T> {
-    value.as_array().map(|items| items.iter().map(read).collect()).unwrap_or_default()
+/// Parses the items of a list; empty if absent.
+fn list<T>(value: &Value, parse_item: impl Fn(&Value) -> T) -> Vec<T> {
+    value.as_array().map(|items| items.iter().map(parse_item).collect()).unwrap_or_default()
 }
--- a/src/bin/micaladder-benchlink/wire.rs
+++ b/src/bin/micaladder-benchlink/wire.rs
@@ -1,4 +1,4 @@
-//! The wire's state: the instances, the numbered endpoint lists and the batch that is being read.
+//! State of the adapter: the instances, the numbered endpoint lists and the current batch.
 use crate::actions;
 use crate::error::LineError;
 use crate::events;
@@ -9,55 +9,55 @@
 use std::collections::BTreeMap;
 use std::io::{self, Write};
 
-/// An entry of an endpoint list, as the wire names its fields.
+/// An entry of an endpoint list in the simulator's JSON format.
 #[derive(Deserialize, Clone)]
 pub(crate) struct WireEntry {
     /// Address of the endpoint.
     pub host: String,
-    /// Its zone.
+    /// Zone of the endpoint.
     #[serde(rename = "hall", default)]
     pub zone: usize,
-    /// Its kind.
+    /// Kind of the endpoint.
     #[serde(rename = "classOfHost", default)]
     pub kind: usize,
-    /// Its destination.
+    /// Destination that the endpoint serves.
     #[serde(rename = "cell", default)]
     pub dest: u64,
-    /// Its state.
+    /// State of the endpoint.
     pub lifecycle: String,
-    /// Its listed rate in calls a second.
+    /// Listed rate of the endpoint, in calls per second.
     #[serde(rename = "nominal", default)]
     pub rate: Option<f64>,
 }
 
-/// The text of a field.
+/// Returns the string in a field.
 pub(crate) fn text<'a>(value: &'a Value, field: &'static str) -> Result<&'a str, LineError> {
-    value[field].as_str().ok_or(LineError::NotText(field))
+    value[field].as_str().ok_or(LineError::NotAString(field))
 }
 
-/// The whole number of a field.
-pub(crate) fn whole_number(value: &Value, field: &'static str) -> Result<u64, LineError> {
-    value[field].as_u64().ok_or(LineError::NotWholeNumber(field))
+/// Returns the non-negative integer in a field.
+pub(crate) fn integer(value: &Value, field: &'static str) -> Result<u64, LineError> {
+    value[field].as_u64().ok_or(LineError::NotAnInteger(field))
 }
 
-/// What the adapter knows between two lines.
+/// State of the adapter between two lines.
 #[derive(Default)]
-pub(crate) struct Wire {
+pub(crate) struct AdapterState {
     /// Clock time of the batch in nanoseconds.
     now: u64,
-    /// Running instances by their names.
+    /// Running instances by name.
     instances: BTreeMap<String, Instance>,
-    /// Endpoint lists by their numbers.
+    /// Endpoint lists by number.
     lists: BTreeMap<u64, Vec<WireEntry>>,
-    /// Instances with an event in this batch, in the order of their first one.
-    touched: Vec<String>,
+    /// Names of the instances with an event in the batch, in the order of their first event.
+    active: Vec<String>,
 }
 
-impl Wire {
-    /// Takes in a line of a batch.
-    pub fn take(&mut self, value: &Value) -> Result<(), LineError> {
+impl AdapterState {
+    /// Handles a line of a batch.
+    pub fn handle_line(&mut self, value: &Value) -> Result<(), LineError> {
         match text(value, "what")? {
-            "clock" => self.now = whole_number(value, "momentNs")?,
+            "clock" => self.now = integer(value, "momentNs")?,
             "manifest" => self.define_list(value)?,
             "powerOn" => self.start(value)?,
             "halt" => self.stop(text(value, "relayId")?),
@@ -66,57 +66,60 @@
         Ok(())
     }
 
-    /// Defines a numbered endpoint list; a new one replaces the old one of its number.
+    /// Defines a numbered endpoint list, which replaces an earlier list with the same number.
     fn define_list(&mut self, value: &Value) -> Result<(), LineError> {
         let entries = serde_json::from_value(value["membersList"].clone());
-        let number = whole_number(value, "setId")?;
+        let number = integer(value, "setId")?;
         self.lists.insert(number, entries.map_err(LineError::Entries)?);
         Ok(())
     }
 
-    /// Starts an instance, or starts it again with nothing known.
+    /// Starts an instance. An instance that is already running is restarted without its state.
     fn start(&mut self, value: &Value) -> Result<(), LineError> {
         let name = text(value, "relayId")?.to_string();
         let settings = &value["conf"];
         if !settings.is_object() {
             return Err(LineError::NoSettings);
         }
-        let instance = Instance::new(settings, whole_number(value, "randomSeed")?);
+        let instance = Instance::new(settings, integer(value, "randomSeed")?);
         self.instances.insert(name.clone(), instance);
-        self.touched.retain(|touched| *touched != name);
-        self.touched.push(name);
+        self.active.retain(|active| *active != name);
+        self.active.push(name);
         Ok(())
     }
 
-    /// Stops an instance and drops all that it knew.
+    /// Stops an instance and discards its state.
     fn stop(&mut self, name: &str) {
         self.instances.remove(name);
-        self.touched.retain(|touched| touched != name);
+        self.active.retain(|active| active != name);
     }
 
-    /// Events for an unknown instance are ignored: it may have been stopped.
+    /// Adds an event to the batch of its instance. Events for unknown instances are ignored, since the instance may have been
+    /// stopped.
     fn event(&mut self, kind: &str, value: &Value) -> Result<(), LineError> {
         let name = text(value, "relayId")?;
         let Some(instance) = self.instances.get_mut(name) else { return Ok(()) };
-        if !self.touched.iter().any(|touched| touched == name) {
-            self.touched.push(name.to_string());
+        if !self.active.iter().any(|active| active == name) {
+            self.active.push(name.to_string());
         }
-        let event = events::read(kind, value, instance, &self.lists)?;
+        let event = events::parse(kind, value, instance, &self.lists)?;
         instance.events.extend(event);
         Ok(())
     }
 
-    /// Lets the instances of the batch decide, and writes their actions.
+    /// Ends the batch: writes the actions of each instance with an event to `out`.
     pub fn reply(&mut self, out: &mut impl Write) -> io::Result<()> {
-        for name in std::mem::take(&mut self.touched) {
+        for name in std::mem::take(&mut self.active) {
             let Some(instance) = self.instances.get_mut(&name) else { continue };
             match instance.decide(Nanos(self.now)) {
-                Ok(decided) => {
-                    for action in &decided {
-                        writeln!(out, "{}", actions::write(&name, action, &instance.endpoint_names))?;
+                Ok(actions) => {
+                    for action in &actions {
+                        writeln!(out, "{}", actions::to_json(&name, action, &instance.endpoint_names))?;
                     }
                 }
-                Err(text) => writeln!(out, "{}", json!({"what": "die", "relayId": name, "text": text}))?,
+                Err(panic_message) => {
+                    writeln!(out, "{}", json!({"what": "die", "relayId": name, "text": panic_message}))?
+                }
             }
         }
         writeln!(out, "{}", json!({"what": "end"}))?;
