--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,38 +1,38 @@
-//! The command line of the real program: flags override the environment, errors are named, and `check` finds by file and
-//! key whatever a start would fail on, and more.
+//! Tests of the real program's command line: flags override the environment, errors name their source, and `check` reports
+//! by file and key at least every error that would prevent a start.
 mod stand;
 use rstest::rstest;
 use stand::*;
 use std::path::Path;
 use std::process::{Command, Output};
 
-/// Runs the program with these arguments and variables, and no other variable of its own in the environment.
-fn run_program(words: &[&str], env: &[(&str, &str)]) -> Output {
+/// Runs the program with these arguments and environment variables, without the platform's variables of the environment.
+fn run_program(arguments: &[&str], env: &[(&str, &str)]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_micaladder"));
     for name in ["RELAY_CONFIG", "RELAY_STATE", "RELAY_NAME", "RELAY_LISTEN", "RELAY_DISCOVERY"] {
         command.env_remove(name);
     }
-    command.args(words).envs(env.iter().copied()).output().expect("the program starts")
+    command.args(arguments).envs(env.iter().copied()).output().expect("the program starts")
 }
 
 fn text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// The example's configuration with one text replaced, and a check of it.
+/// Runs `check` on the example configuration with one text replaced. Returns the output and the path of the configuration.
 fn check(from: &str, to: &str) -> (Output, String) {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("the folder is created");
     let path = folder.path().join("config.json");
-    let config = std::fs::read_to_string("examples/config.json").expect("the example");
+    let config = std::fs::read_to_string("examples/config.json").expect("the example is readable");
     assert!(config.contains(from), "{from} is not in the example");
-    std::fs::write(&path, config.replacen(from, to, 1)).expect("written");
+    std::fs::write(&path, config.replacen(from, to, 1)).expect("the file is written");
     let path = path.to_string_lossy().into_owned();
-    let none = folder.path().join("none").to_string_lossy().into_owned();
-    (run_program(&["check", "--config", &path, "--as2", &none, "--plugins", &none], &[]), path)
+    let missing = folder.path().join("none").to_string_lossy().into_owned();
+    (run_program(&["check", "--config", &path, "--as2", &missing, "--plugins", &missing], &[]), path)
 }
 
 #[test]
-fn the_example_and_the_platforms_extra_keys_are_good() {
+fn check_accepts_the_example_and_the_extra_keys_of_the_platform() {
     let (output, path) = check(
         "\"weightKind\"",
         "\"goal\":{\"whole\":0.3},\"me\":0,\"reporting\":{\"names\":[],\"source\":\"off\"},\"weightKind\"",
@@ -75,31 +75,31 @@
 #[case::disk("\"disk_mb\":3", "\"disk_mb\":0.1", "limits.disk_mb: holds no message")]
 #[case::state("\"Ready\"", "\"Redy\"", "known.targets[0].state: \"Redy\" is none of Ready")]
 #[case::zone("\"az\":\"here\"", "\"az\":\"there\"", "known.targets[0].az: is not in settings.localities")]
-fn an_error_names_its_file_and_key(#[case] from: &str, #[case] to: &str, #[case] wanted: &str) {
+fn an_error_names_its_file_and_key(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
     let (output, path) = check(from, to);
-    let said = text(&output.stderr);
-    assert_eq!(output.status.code(), Some(1), "{said}");
-    assert!(said.starts_with(&format!("{path}: {wanted}")), "{said}");
+    let stderr = text(&output.stderr);
+    assert_eq!(output.status.code(), Some(1), "{stderr}");
+    assert!(stderr.starts_with(&format!("{path}: {expected}")), "{stderr}");
 }
 
 #[test]
 fn all_errors_of_all_files_are_reported_at_once() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let at = |name: &str| folder.path().join(name).to_string_lossy().into_owned();
-    let config = std::fs::read_to_string("examples/config.json").expect("the example");
+    let folder = tempfile::tempdir().expect("the folder is created");
+    let path = |name: &str| folder.path().join(name).to_string_lossy().into_owned();
+    let config = std::fs::read_to_string("examples/config.json").expect("the example is readable");
     let config =
         config.replace("\"workers\":4", "\"workers\":0").replace("\"points\":2.0", "\"points\":-2.0");
-    std::fs::write(at("config.json"), config).expect("written");
+    std::fs::write(path("config.json"), config).expect("the file is written");
     let as2 = r#"{"enabled":true,"listen":"127.0.0.1:1","name":"n","key":"none.pem","certificate":"none.pem",
         "receipt_url":"not a url","partners":[{"name":"bank","certificate":"bank.pem","dest":7,"receipt":"later",
         "class":"no-class","colour":"red"}]}"#;
-    std::fs::write(at("as2.json"), as2).expect("written");
-    std::fs::create_dir(at("scripts")).expect("a folder");
-    std::fs::write(at("scripts/bad.rhai"), "fn on_request(").expect("written");
-    let files = ["--config", &at("config.json"), "--as2", &at("as2.json"), "--plugins", &at("scripts")];
+    std::fs::write(path("as2.json"), as2).expect("the file is written");
+    std::fs::create_dir(path("scripts")).expect("the folder is created");
+    std::fs::write(path("scripts/bad.rhai"), "fn on_request(").expect("the file is written");
+    let files = ["--config", &path("config.json"), "--as2", &path("as2.json"), "--plugins", &path("scripts")];
     let output = run_program(&[&["check"], &files[..]].concat(), &[]);
-    let said = text(&output.stderr);
-    for wanted in [
+    let stderr = text(&output.stderr);
+    for expected in [
         "config.json: settings.familyInfo.workers: is 0",
         "config.json: settings.classes[1].points: is below 0",
         "as2.json: partners[0].colour: no such key",
@@ -112,15 +112,15 @@
         "as2.json: partners[0].class: is no class of the configuration",
         "bad.rhai: ",
     ] {
-        assert!(said.contains(wanted), "{wanted} is not in\n{said}");
+        assert!(stderr.contains(expected), "{expected} is not in\n{stderr}");
     }
     assert_eq!(output.status.code(), Some(1));
-    assert_eq!(said.lines().count(), 11, "{said}");
+    assert_eq!(stderr.lines().count(), 11, "{stderr}");
 }
 
 #[test]
-fn a_check_starts_nothing_and_leaves_nothing() {
-    let folder = tempfile::tempdir().expect("a folder");
+fn a_check_does_not_create_the_state_folder() {
+    let folder = tempfile::tempdir().expect("the folder is created");
     let state = folder.path().join("state").to_string_lossy().into_owned();
     let output =
         run_program(&["check"], &[("RELAY_CONFIG", "examples/config.json"), ("RELAY_STATE", &state)]);
@@ -136,34 +136,36 @@
 #[case::module(&["--log-filter", "kore=debug"], &[], "unknown module \"kore\"")]
 #[case::format(&["--log-format", "xml"], &[], "[possible values: text, json]")]
 #[case::missing(&[], &[], "--config <FILE>")]
-fn a_wrong_flag_is_named_and_nothing_starts(
-    #[case] words: &[&str], #[case] env: &[(&str, &str)], #[case] wanted: &str,
+fn an_invalid_flag_is_named_and_prevents_the_start(
+    #[case] arguments: &[&str], #[case] env: &[(&str, &str)], #[case] expected: &str,
 ) {
-    for start in [&[][..], &["run"][..]] {
-        let output = run_program(&[start, words].concat(), env);
+    for command in [&[][..], &["run"][..]] {
+        let output = run_program(&[command, arguments].concat(), env);
         assert_eq!(output.status.code(), Some(2), "{}", text(&output.stderr));
-        assert!(text(&output.stderr).contains(wanted), "{}", text(&output.stderr));
+        assert!(text(&output.stderr).contains(expected), "{}", text(&output.stderr));
     }
 }
 
 #[test]
-fn a_start_that_cannot_read_its_file_names_the_key() {
-    let folder = tempfile::tempdir().expect("a folder");
+fn a_failed_start_names_the_invalid_key() {
+    let folder = tempfile::tempdir().expect("the folder is created");
     let path = folder.path().join("config.json").to_string_lossy().into_owned();
-    let config = std::fs::read_to_string("examples/config.json").expect("the example");
-    std::fs::write(&path, config.replace("\"workers\":4", "\"workers\":\"four\"")).expect("written");
+    let config = std::fs::read_to_string("examples/config.json").expect("the example is readable");
+    std::fs::write(&path, config.replace("\"workers\":4", "\"workers\":\"four\""))
+        .expect("the file is written");
     let state = folder.path().to_string_lossy().into_owned();
     let output = run_program(&["run", "--config", &path, "--state", &state], &[]);
     assert_eq!(output.status.code(), Some(1));
-    let wanted = format!("cannot go on: {path}: settings.familyInfo.workers: invalid type: string \"four\"");
-    assert!(text(&output.stderr).contains(&wanted), "{}", text(&output.stderr));
+    let expected =
+        format!("cannot go on: {path}: settings.familyInfo.workers: invalid type: string \"four\"");
+    assert!(text(&output.stderr).contains(&expected), "{}", text(&output.stderr));
 }
 
 #[test]
-fn version_help_and_completions_need_no_settings() {
+fn version_help_and_completions_need_no_configuration() {
     let version = run_program(&["--version"], &[]);
     assert_eq!(text(&version.stdout), concat!("micaladder ", env!("CARGO_PKG_VERSION"), "\n"));
-    // The platform's variables are set wherever somebody looks.
+    // The platform sets these variables in its environment; they must not disturb the completions.
     let script = run_program(&["completions", "bash"], &[("RELAY_CONFIG", "c"), ("RELAY_STATE", "s")]);
     assert!(script.status.success(), "{}", text(&script.stderr));
     for word in ["--config", "--log-filter", "check", "completions"] {
@@ -176,41 +178,44 @@
     }
 }
 
-/// With the command `run` and without it, under the platform's variables.
+/// Covers the explicit command `run` and the default command, each with the platform's environment variables.
 #[rstest]
 #[case::run("run")]
-#[case::bare("")]
-fn a_flag_overrides_its_variable_and_both_override_the_file(#[case] word: &str) {
-    let disco = discovery(list(1, &[]));
-    let flags =
-        [word, "--name", "by-flag"].into_iter().filter(|w| !w.is_empty()).map(str::to_string).collect();
+#[case::default_command("")]
+fn a_flag_overrides_its_variable_and_both_override_the_file(#[case] command: &str) {
+    let discovery_server = discovery(list(1, &[]));
+    let flags = [command, "--name", "by-flag"]
+        .into_iter()
+        .filter(|argument| !argument.is_empty())
+        .map(str::to_string)
+        .collect();
     let env = vec![("RELAY_NAME".to_string(), "by-variable".to_string())];
-    let daemon = Setup { flags, env, ..setup(&disco, list(1, &[])) }.start();
+    let daemon = Setup { flags, env, ..setup(&discovery_server, list(1, &[])) }.start();
     daemon.wait_log("ready: by-flag listens on");
 }
 
-/// A variable that repeats its key gives way on a reload; a flag stays in force.
+/// After a reload, a variable that only repeated the old value of its key no longer applies, but a flag does.
 #[test]
-fn a_flag_overrides_its_key_also_after_a_reload() {
-    let (old, new) = (discovery(list(1, &[])), Server::always("500 Oops"));
-    let flags = vec!["--discovery".to_string(), old.addr.to_string()];
-    let daemon = Setup { flags, ..setup(&old, list(1, &[])) }.start();
+fn a_flag_still_overrides_its_key_after_a_reload() {
+    let (old_server, new_server) = (discovery(list(1, &[])), Server::always("500 Oops"));
+    let flags = vec!["--discovery".to_string(), old_server.addr.to_string()];
+    let daemon = Setup { flags, ..setup(&old_server, list(1, &[])) }.start();
     daemon.wait_log("upstream group: version 1");
-    daemon.reload(&old.addr.to_string(), &new.addr.to_string());
-    daemon.wait_log(&format!("configuration reloaded: discovery at {}", old.addr));
-    assert!(new.received().is_empty());
+    daemon.reload(&old_server.addr.to_string(), &new_server.addr.to_string());
+    daemon.wait_log(&format!("configuration reloaded: discovery at {}", old_server.addr));
+    assert!(new_server.received().is_empty());
 }
 
 #[test]
-fn json_lines_hold_their_fields() {
+fn json_log_lines_contain_their_fields() {
     let endpoint = Server::always("200 OK");
     let known = list(1, &[(7, endpoint.addr)]);
-    let disco = discovery(known.clone());
+    let discovery_server = discovery(known.clone());
     let flags = vec!["--log-format=json".to_string(), "--log-filter=warn,core=debug".to_string()];
     let env = vec![("MICALADDER_LOG".to_string(), "error".to_string())];
     let folder;
     let log = {
-        let daemon = Setup { flags, env, ..setup(&disco, known) }.start_without_ready_log();
+        let daemon = Setup { flags, env, ..setup(&discovery_server, known) }.start_without_ready_log();
         folder = daemon.folder.clone();
         assert_eq!(daemon.submit("stats", "j1"), 202);
         endpoint.wait_request("j1");
@@ -222,34 +227,36 @@
         assert!(line["at"].as_f64().is_some_and(|at| at > 1.7e9), "{line}");
         assert!(
             line["module"].as_str().is_some_and(|m| m.starts_with("core")),
-            "the filter names core: {line}"
+            "only lines of core pass the filter: {line}"
         );
     }
-    let taken: Vec<serde_json::Value> = log.lines().filter_map(|l| serde_json::from_str(l).ok()).collect();
-    let taken = taken.iter().find(|l| l["text"] == "message accepted").expect("a line on the message");
-    assert_eq!((&taken["fields"]["dest"], &taken["fields"]["message"]), (&7.into(), &"j1".into()));
-    assert_eq!(taken["level"], "DEBUG");
+    let lines: Vec<serde_json::Value> =
+        log.lines().filter_map(|line| serde_json::from_str(line).ok()).collect();
+    let accepted =
+        lines.iter().find(|line| line["text"] == "message accepted").expect("a line on the message");
+    assert_eq!((&accepted["fields"]["dest"], &accepted["fields"]["message"]), (&7.into(), &"j1".into()));
+    assert_eq!(accepted["level"], "DEBUG");
 }
 
-/// One place in the code logs one line a second at most after its burst, and that line has the number of dropped ones.
+/// After its burst, a call site logs at most one line per second, so that a flood of messages does not flood the log.
 #[test]
-fn a_flood_of_lines_is_rate_limited() {
+fn the_log_lines_of_a_call_site_are_rate_limited() {
     let endpoint = Server::always("200 OK");
     let known = list(1, &[(7, endpoint.addr)]);
-    let disco = discovery(known.clone());
+    let discovery_server = discovery(known.clone());
     let env = vec![("MICALADDER_LOG_BURST".to_string(), "3".to_string())];
-    let mut daemon = Setup { env, ..setup(&disco, known) }.start();
-    let begun = std::time::Instant::now();
+    let mut daemon = Setup { env, ..setup(&discovery_server, known) }.start();
+    let started = std::time::Instant::now();
     for n in 0..200 {
         assert_eq!(daemon.submit("stats", &format!("f{n}")), 202);
     }
     endpoint.wait_request("f199");
     let log = daemon.log();
-    let lines = log.lines().filter(|l| l.contains("message accepted")).count();
+    let lines = log.lines().filter(|line| line.contains("message accepted")).count();
     assert!(
-        lines <= 4 + begun.elapsed().as_secs() as usize,
+        lines <= 4 + started.elapsed().as_secs() as usize,
         "{lines} lines in {:?}:\n{log}",
-        begun.elapsed()
+        started.elapsed()
     );
     assert!(daemon.runs());
 }
--- a/tests/layout.rs
+++ b/tests/layout.rs
@@ -1,25 +1,26 @@
-//! Packages are named after what they hold, and none imports in a circle: read off the sources.
+//! Tests of the source layout: the modules of the crate do not import each other in a cycle, and tests live in test files.
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-/// The names behind `crate::`, also those of a list in braces.
+/// Returns the names that follow `crate::`, including each name of a list in braces.
 fn imports(text: &str) -> BTreeSet<String> {
-    let mut found = BTreeSet::new();
+    let mut names = BTreeSet::new();
     for rest in text.split("crate::").skip(1) {
-        let word = |s: &str| s.chars().take_while(|c| c.is_alphanumeric() || *c == '_').collect::<String>();
+        let identifier =
+            |text: &str| text.chars().take_while(|c| c.is_alphanumeric() || *c == '_').collect::<String>();
         let Some(list) = rest.strip_prefix('{') else {
-            found.insert(word(rest));
+            names.insert(identifier(rest));
             continue;
         };
-        let (mut depth, mut start) = (1, true);
-        for (at, c) in list.char_indices() {
+        let (mut depth, mut at_item_start) = (1, true);
+        for (index, c) in list.char_indices() {
             match c {
                 '{' => depth += 1,
                 '}' => depth -= 1,
-                ',' if depth == 1 => start = true,
-                _ if start && c.is_alphanumeric() => {
-                    found.insert(word(&list[at..]));
-                    start = false;
+                ',' if depth == 1 => at_item_start = true,
+                _ if at_item_start && c.is_alphanumeric() => {
+                    names.insert(identifier(&list[index..]));
+                    at_item_start = false;
                 }
                 _ => {}
             }
@@ -28,89 +29,104 @@
             }
         }
     }
-    found
+    names
 }
 
-/// What a file says outside its comments.
+/// Returns the text of a file without its comment lines.
 fn code(path: &Path) -> String {
-    let text = std::fs::read_to_string(path).expect("a source");
-    text.lines().filter(|l| !l.trim_start().starts_with("//")).collect::<Vec<_>>().join("\n")
+    let text = std::fs::read_to_string(path).expect("the source file is readable");
+    text.lines().filter(|line| !line.trim_start().starts_with("//")).collect::<Vec<_>>().join("\n")
 }
 
-fn sources(of: &Path) -> Vec<std::path::PathBuf> {
-    if of.is_file() {
-        return vec![of.into()];
+/// Returns the files in a folder and its subfolders, or the path itself if it is a file.
+fn source_files(path: &Path) -> Vec<std::path::PathBuf> {
+    if path.is_file() {
+        return vec![path.into()];
     }
-    let inside = std::fs::read_dir(of).expect("a folder").map(|e| e.expect("an entry").path());
-    inside.flat_map(|p| sources(&p)).collect()
+    let entries = std::fs::read_dir(path).expect("the folder is readable");
+    let paths = entries.map(|entry| entry.expect("the entry is readable").path());
+    paths.flat_map(|path| source_files(&path)).collect()
 }
 
-/// For each package, those that it imports.
-fn packages(src: &Path) -> BTreeMap<String, BTreeSet<String>> {
-    let mut all = BTreeMap::new();
-    for entry in std::fs::read_dir(src).expect("the sources") {
-        let path = entry.expect("an entry").path();
-        let name = path.file_stem().expect("a name").to_string_lossy().to_string();
+/// Returns the top-level modules that each top-level module imports.
+fn module_imports(src: &Path) -> BTreeMap<String, BTreeSet<String>> {
+    let mut modules = BTreeMap::new();
+    for entry in std::fs::read_dir(src).expect("the source folder is readable") {
+        let path = entry.expect("the entry is readable").path();
+        let name = path.file_stem().expect("a file name").to_string_lossy().to_string();
         if ["lib", "main", "bin"].contains(&name.as_str()) {
             continue;
         }
-        // Tests of private modules stand beside them, in files of their own.
-        let files = sources(&path).into_iter().filter(|p| !p.ends_with("tests.rs"));
-        // Types stand at the root as well; all but one are the interface's.
-        let home = |n: String| match n.as_str() {
+        // Tests of private modules are in separate files, which do not count.
+        let files = source_files(&path).into_iter().filter(|path| !path.ends_with("tests.rs"));
+        // The crate root re-exports types: Balancer from `logic`, all others from `interface`.
+        let module_of = |name: String| match name.as_str() {
             "Balancer" => "logic".to_string(),
-            _ if n.starts_with(char::is_uppercase) => "interface".to_string(),
-            _ => n,
+            _ if name.starts_with(char::is_uppercase) => "interface".to_string(),
+            _ => name,
         };
-        let to: BTreeSet<String> = files.flat_map(|p| imports(&code(&p))).map(home).collect();
-        // A package may be a file and a folder of the same name.
-        let known: &mut BTreeSet<String> = all.entry(name.clone()).or_default();
-        known.extend(to.into_iter().filter(|n| *n != name));
+        let imported: BTreeSet<String> =
+            files.flat_map(|path| imports(&code(&path))).map(module_of).collect();
+        // A module may consist of a file and a folder of the same name.
+        let known: &mut BTreeSet<String> = modules.entry(name.clone()).or_default();
+        known.extend(imported.into_iter().filter(|module| *module != name));
     }
-    all
+    modules
 }
 
-/// What is left once all that import nothing more are taken away: the circles, and what leads to them.
-fn circles(mut all: BTreeMap<String, BTreeSet<String>>) -> Vec<String> {
+/// Removes modules without remaining imports until there are none (topological sort). Returns the rest: the modules in
+/// cycles and those that import them.
+fn cycles(mut modules: BTreeMap<String, BTreeSet<String>>) -> Vec<String> {
     loop {
-        let low: Vec<String> = all.iter().filter(|(_, to)| to.is_empty()).map(|(n, _)| n.clone()).collect();
-        if low.is_empty() {
-            return all.into_iter().map(|(name, to)| format!("{name} -> {to:?}")).collect();
+        let leaves: Vec<String> = modules
+            .iter()
+            .filter(|(_, imported)| imported.is_empty())
+            .map(|(module, _)| module.clone())
+            .collect();
+        if leaves.is_empty() {
+            return modules
+                .into_iter()
+                .map(|(module, imported)| format!("{module} -> {imported:?}"))
+                .collect();
         }
-        low.iter().for_each(|n| drop(all.remove(n)));
-        all.values_mut().for_each(|to| to.retain(|n| !low.contains(n)));
+        leaves.iter().for_each(|leaf| drop(modules.remove(leaf)));
+        modules.values_mut().for_each(|imported| imported.retain(|module| !leaves.contains(module)));
     }
 }
 
 #[test]
-fn no_package_imports_in_a_circle() {
-    let all = packages(Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/src")));
-    assert!(all.len() > 20 && all["exchange"].contains("core"), "{all:?}");
-    let known: BTreeSet<&String> = all.keys().collect();
-    assert!(all.values().flatten().all(|n| known.contains(n)), "a name that is no package: {all:?}");
-    assert_eq!(circles(all), Vec::<String>::new());
+fn modules_do_not_import_each_other_in_a_cycle() {
+    let modules = module_imports(Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/src")));
+    assert!(modules.len() > 20 && modules["exchange"].contains("core"), "{modules:?}");
+    let known: BTreeSet<&String> = modules.keys().collect();
+    assert!(
+        modules.values().flatten().all(|module| known.contains(module)),
+        "an import that is not a module: {modules:?}"
+    );
+    assert_eq!(cycles(modules), Vec::<String>::new());
 }
 
-/// Tests live in test files: `tests/`, or `tests.rs` beside a private module.
+/// Tests live in test files: in `tests/`, or in `tests.rs` beside a private module.
 #[test]
-fn no_source_holds_its_tests_itself() {
+fn source_files_contain_no_tests() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
-    let files = ["src", "crates/lab/src"].iter().flat_map(|s| sources(&root.join(s)));
-    let inline = |p: &std::path::PathBuf| {
-        let is_test = p.ends_with("tests.rs");
-        let text = std::fs::read_to_string(p).expect("a source");
-        !is_test && (text.contains("mod tests {") || text.contains("#[test]"))
+    let files = ["src", "crates/lab/src"].iter().flat_map(|folder| source_files(&root.join(folder)));
+    let contains_tests = |path: &std::path::PathBuf| {
+        let is_test_file = path.ends_with("tests.rs");
+        let text = std::fs::read_to_string(path).expect("the source file is readable");
+        !is_test_file && (text.contains("mod tests {") || text.contains("#[test]"))
     };
-    assert_eq!(files.filter(inline).collect::<Vec<_>>(), Vec::<std::path::PathBuf>::new());
+    assert_eq!(files.filter(contains_tests).collect::<Vec<_>>(), Vec::<std::path::PathBuf>::new());
 }
 
 #[test]
-fn a_circle_is_found() {
-    let of = |to: &[&str]| to.iter().map(|n| n.to_string()).collect::<BTreeSet<_>>();
-    let all = BTreeMap::from([("a".into(), of(&["b"])), ("b".into(), of(&["a"])), ("c".into(), of(&[]))]);
-    assert_eq!(circles(all).len(), 2);
+fn imports_and_cycles_are_found() {
+    let set = |names: &[&str]| names.iter().map(|name| name.to_string()).collect::<BTreeSet<_>>();
+    let modules =
+        BTreeMap::from([("a".into(), set(&["b"])), ("b".into(), set(&["a"])), ("c".into(), set(&[]))]);
+    assert_eq!(cycles(modules).len(), 2);
     assert_eq!(
         imports("use crate::{as2, core::{Try, x}, Outcome}; crate::fault::why()"),
-        of(&["as2", "core", "Outcome", "fault"])
+        set(&["as2", "core", "Outcome", "fault"])
     );
 }
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -1,56 +1,60 @@
-//! The real program under many more messages than it keeps: what is over is forgotten, and its memory stays where it was.
+//! Test that the real program releases the memory of completed messages when it handles many more than it retains.
 mod stand;
 use stand::*;
 use std::io::{BufReader, Write};
 use std::thread;
 
 const CLIENTS: usize = 8;
-/// Messages of each client before memory is looked at first: the time for which ended ones are remembered passes in it.
-const BEFORE: usize = 1500;
-const AFTER: usize = 1500;
-/// Bytes that may be held more for each message that came since: the allocator's own steps are a third of it. Names that
-/// are not forgotten took 120 for each.
-const EACH: usize = 80;
+/// Messages of each client before the first measurement. Sending them takes longer than completed messages are retained.
+const WARM_UP_MESSAGES: usize = 1500;
+/// Messages of each client between the two measurements.
+const MEASURED_MESSAGES: usize = 1500;
+/// Bytes by which memory may grow per message between the measurements. A third of it is the granularity of the allocator.
+/// When the names of completed messages leaked, memory grew by 120 bytes per message.
+const MAX_GROWTH_PER_MESSAGE: usize = 80;
 
-/// Hands in messages one after the other on one connection; each has its answer before the next.
-fn client(daemon: &Daemon, number: usize, from: usize, to: usize) {
+/// Submits messages one after another on one connection and waits for each response.
+fn submit_messages(daemon: &Daemon, client: usize, from: usize, to: usize) {
     let mut socket = daemon.connect();
-    let mut reader = BufReader::new(socket.try_clone().expect("a handle"));
+    let mut reader = BufReader::new(socket.try_clone().expect("the socket is cloned"));
     for n in from..to {
         let class = if n % 2 == 0 { "stats" } else { "sync" };
-        let key = format!("X-Key: {number:08x}{n:08x}\r\n");
-        let text = message(class, &format!("m-{number}-{n}"), "400m", &key);
-        socket.write_all(&text).expect("it reads");
-        let heard = read_http(&mut reader).expect("an answer");
-        assert!([200, 202, 503].contains(&heard.status()), "{}", heard.text());
+        let key = format!("X-Key: {client:08x}{n:08x}\r\n");
+        let text = message(class, &format!("m-{client}-{n}"), "400m", &key);
+        socket.write_all(&text).expect("the daemon reads");
+        let response = read_http(&mut reader).expect("a response");
+        assert!([200, 202, 503].contains(&response.status()), "{}", response.text());
     }
 }
 
 #[test]
-fn memory_does_not_grow_with_the_messages_that_are_over() {
+fn memory_does_not_grow_with_completed_messages() {
     let endpoint = Server::always("200 OK");
-    let lists = list(1, &[(7, endpoint.addr)]);
-    let disco = discovery(lists.clone());
-    // The classes' own windows are long: what is remembered for a repeat would not be over within this test.
+    let known = list(1, &[(7, endpoint.addr)]);
+    let discovery_server = discovery(known.clone());
+    // The default deduplication window is longer than this test, so entries would not expire within it.
     let swaps = vec![("\"windowNs\":25000000000", "\"windowNs\":500000000")];
-    let daemon = Setup { swaps, ..setup(&disco, lists) }.start();
+    let daemon = Setup { swaps, ..setup(&discovery_server, known) }.start();
     let load = |from: usize, to: usize| {
-        thread::scope(|s| {
-            for number in 0..CLIENTS {
+        thread::scope(|scope| {
+            for client in 0..CLIENTS {
                 let daemon = &daemon;
-                s.spawn(move || client(daemon, number, from, to));
+                scope.spawn(move || submit_messages(daemon, client, from, to));
             }
         });
         daemon.memory()
     };
-    let before = load(0, BEFORE);
-    let after = load(BEFORE, BEFORE + AFTER);
-    let heard = endpoint.received().len();
-    // More comes than its slots carry: some are delivered, and some end by a notice.
-    assert!(heard * 5 >= CLIENTS * (BEFORE + AFTER), "{heard} were sent on");
+    let before = load(0, WARM_UP_MESSAGES);
+    let after = load(WARM_UP_MESSAGES, WARM_UP_MESSAGES + MEASURED_MESSAGES);
+    let received = endpoint.received().len();
+    // The load exceeds the capacity of the slots: some messages are delivered, and others complete with a callback.
+    assert!(
+        received * 5 >= CLIENTS * (WARM_UP_MESSAGES + MEASURED_MESSAGES),
+        "the endpoint received only {received} messages"
+    );
     daemon.wait_log("completion=Delivered");
     daemon.wait_log("completion=Deferred");
-    let most = CLIENTS * AFTER * EACH;
+    let max_growth = CLIENTS * MEASURED_MESSAGES * MAX_GROWTH_PER_MESSAGE;
     println!("{before} bytes before, {after} after");
-    assert!(after < before + most, "{before} bytes before, {after} after, {most} more allowed");
+    assert!(after < before + max_growth, "{before} bytes before, {after} after, growth limit {max_growth}");
 }
--- a/tests/mgmt.rs
+++ b/tests/mgmt.rs
@@ -1,4 +1,4 @@
-//! The management address: readiness, metrics against what clients and endpoints saw, suspended endpoints, and bad callers.
+//! Tests of the management server: readiness, metrics, suspension of endpoints, and invalid or incomplete requests.
 mod stand;
 use rstest::rstest;
 use serde_json::Value;
@@ -7,99 +7,111 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Instant;
 
-/// A forwarder with a management address.
-fn managed(set: Setup<'_>) -> (Daemon, SocketAddr) {
+/// Starts a forwarder with a management address.
+fn start_with_management(setup: Setup<'_>) -> (Daemon, SocketAddr) {
     let mgmt = free_address();
     let env = vec![("RELAY_MGMT".to_string(), mgmt.to_string())];
-    (Setup { env, ..set }.start(), mgmt)
+    (Setup { env, ..setup }.start(), mgmt)
 }
 
-fn call(mgmt: SocketAddr, method: &str, path: &str) -> HttpMessage {
+/// Sends a request to the management address and returns the response.
+fn request(mgmt: SocketAddr, method: &str, path: &str) -> HttpMessage {
     let text = format!("{method} {path} HTTP/1.1\r\nHost: ops\r\nContent-Length: 0\r\n\r\n");
-    ask(mgmt, text.as_bytes()).expect("an answer")
+    ask(mgmt, text.as_bytes()).expect("a response")
 }
 
 fn metrics(mgmt: SocketAddr) -> Value {
-    serde_json::from_slice(&call(mgmt, "GET", "/v1/metrics").body).expect("JSON")
+    serde_json::from_slice(&request(mgmt, "GET", "/v1/metrics").body).expect("JSON")
 }
 
-/// Polls the metrics until they fit.
-fn wait_metrics(mgmt: SocketAddr, fits: impl Fn(&Value) -> bool) -> Value {
-    let until = Instant::now() + EVENT_TIMEOUT;
+/// Polls the metrics until they match the condition.
+fn wait_metrics(mgmt: SocketAddr, condition: impl Fn(&Value) -> bool) -> Value {
+    let deadline = Instant::now() + EVENT_TIMEOUT;
     loop {
-        let now = metrics(mgmt);
-        if fits(&now) {
-            return now;
+        let metrics = metrics(mgmt);
+        if condition(&metrics) {
+            return metrics;
         }
-        assert!(Instant::now() < until, "waited in vain: {now}");
+        assert!(Instant::now() < deadline, "the metrics never match the condition: {metrics}");
     }
 }
 
 #[test]
-fn metrics_are_what_clients_and_endpoints_saw() {
-    let good = Server::always("200 OK");
-    let known = list(1, &[(7, good.addr)]);
-    let disco = discovery(known.clone());
-    let (daemon, mgmt) = managed(setup(&disco, known));
-    assert_eq!(call(mgmt, "GET", "/v1/readyz").status(), 200);
+fn metrics_match_what_clients_and_endpoints_saw() {
+    let endpoint = Server::always("200 OK");
+    let known = list(1, &[(7, endpoint.addr)]);
+    let discovery_server = discovery(known.clone());
+    let (daemon, mgmt) = start_with_management(setup(&discovery_server, known));
+    assert_eq!(request(mgmt, "GET", "/v1/readyz").status(), 200);
     for n in 0..5 {
         assert_eq!(daemon.submit("stats", &format!("s{n}")), 202);
     }
     assert_eq!(daemon.submit("payout", "p"), 202);
-    good.wait("all of them", |all| all.len() == 6);
-    let nowhere =
+    endpoint.wait("all messages", |requests| requests.len() == 6);
+    let unknown_destination =
         String::from_utf8(message("payout", "n", "20000m", "")).expect("text").replace("dest=7", "dest=9");
-    assert_eq!(daemon.ask(nowhere.as_bytes()).map(|h| h.status()), Some(404));
-    let all = wait_metrics(mgmt, |f| f["open_requests"] == 0 && f["operations"]["payout"]["fulfilled"] == 1);
+    assert_eq!(daemon.ask(unknown_destination.as_bytes()).map(|response| response.status()), Some(404));
+    let metrics = wait_metrics(mgmt, |metrics| {
+        metrics["open_requests"] == 0 && metrics["operations"]["payout"]["fulfilled"] == 1
+    });
     assert_eq!(
-        all["operations"]["stats"].to_string(),
+        metrics["operations"]["stats"].to_string(),
         r#"{"faulted":0,"fulfilled":5,"relayed":5,"throttled":0}"#
     );
     assert_eq!(
-        all["operations"]["payout"].to_string(),
+        metrics["operations"]["payout"].to_string(),
         r#"{"faulted":1,"fulfilled":1,"relayed":1,"throttled":0}"#
     );
-    assert_eq!((&all["registry_entries"], &all["out_of_rotation"]), (&Value::from(1), &Value::from(0)));
+    assert_eq!(
+        (&metrics["registry_entries"], &metrics["out_of_rotation"]),
+        (&Value::from(1), &Value::from(0))
+    );
 }
 
 #[test]
-fn a_suspended_endpoint_gets_nothing_new_until_it_is_resumed() {
+fn a_suspended_endpoint_receives_no_new_messages_until_it_is_resumed() {
     let (first, second) = (Server::always("200 OK"), Server::always("200 OK"));
     let known = list(1, &[(7, first.addr), (7, second.addr)]);
-    let disco = discovery(known.clone());
-    let (mut daemon, mgmt) = managed(setup(&disco, known));
-    assert_eq!(call(mgmt, "POST", "/v1/endpoints/s-0/suspend").status(), 204);
-    assert_eq!(call(mgmt, "POST", "/v1/endpoints/s-0/suspend").status(), 204, "twice is once");
-    assert_eq!(call(mgmt, "POST", "/v1/endpoints/nobody/suspend").status(), 404);
-    wait_metrics(mgmt, |f| f["out_of_rotation"] == 1);
+    let discovery_server = discovery(known.clone());
+    let (mut daemon, mgmt) = start_with_management(setup(&discovery_server, known));
+    assert_eq!(request(mgmt, "POST", "/v1/endpoints/s-0/suspend").status(), 204);
+    assert_eq!(
+        request(mgmt, "POST", "/v1/endpoints/s-0/suspend").status(),
+        204,
+        "suspending twice has the same result"
+    );
+    assert_eq!(request(mgmt, "POST", "/v1/endpoints/nobody/suspend").status(), 404);
+    wait_metrics(mgmt, |metrics| metrics["out_of_rotation"] == 1);
     (0..10).for_each(|n| assert_eq!(daemon.submit("stats", &format!("a{n}")), 202));
-    second.wait("all of them", |all| all.len() == 10);
-    // Also over a kill, and over the list of discovery at the new start.
+    second.wait("all messages", |requests| requests.len() == 10);
+    // The suspension also survives a kill and the endpoint list that discovery sends after the restart.
     daemon.kill();
     daemon.start_again();
     daemon.wait_log("upstream group: version 1");
     (0..10).for_each(|n| assert_eq!(daemon.submit("stats", &format!("b{n}")), 202));
-    second.wait("all of them", |all| all.len() == 20);
-    assert!(first.received().is_empty(), "it was suspended");
-    assert_eq!(call(mgmt, "POST", "/v1/endpoints/s-1/suspend").status(), 204);
-    assert_eq!(call(mgmt, "POST", "/v1/endpoints/s-0/resume").status(), 204);
+    second.wait("all messages", |requests| requests.len() == 20);
+    assert!(first.received().is_empty(), "a suspended endpoint receives no messages");
+    assert_eq!(request(mgmt, "POST", "/v1/endpoints/s-1/suspend").status(), 204);
+    assert_eq!(request(mgmt, "POST", "/v1/endpoints/s-0/resume").status(), 204);
     assert_eq!(daemon.submit("stats", "c"), 202);
     first.wait_request("c");
 }
 
 #[test]
-fn a_suspension_that_cannot_be_persisted_is_not_in_force() {
+fn a_suspension_that_cannot_be_persisted_does_not_take_effect() {
     let endpoint = Server::always("200 OK");
     let known = list(1, &[(7, endpoint.addr)]);
-    let disco = discovery(known.clone());
+    let discovery_server = discovery(known.clone());
     let mgmt = free_address();
-    let faults = std::env::temp_dir().join(format!("micaladder-mgmt-{}-{}", std::process::id(), unique()));
-    let env = [("RELAY_MGMT", mgmt.to_string()), ("MICALADDER_DISK_FAULTS", faults.display().to_string())];
-    let env = env.into_iter().map(|(k, v)| (k.to_string(), v)).collect();
-    let daemon = Setup { env, ..setup(&disco, known) }.start();
-    std::fs::write(&faults, "append").expect("written");
-    assert_eq!(call(mgmt, "POST", "/v1/endpoints/s-0/suspend").status(), 503);
-    std::fs::remove_file(&faults).expect("removed");
+    let fault_file =
+        std::env::temp_dir().join(format!("micaladder-mgmt-{}-{}", std::process::id(), unique()));
+    let env =
+        [("RELAY_MGMT", mgmt.to_string()), ("MICALADDER_DISK_FAULTS", fault_file.display().to_string())];
+    let env = env.into_iter().map(|(name, value)| (name.to_string(), value)).collect();
+    let daemon = Setup { env, ..setup(&discovery_server, known) }.start();
+    std::fs::write(&fault_file, "append").expect("the fault file is written");
+    assert_eq!(request(mgmt, "POST", "/v1/endpoints/s-0/suspend").status(), 503);
+    std::fs::remove_file(&fault_file).expect("the fault file is removed");
     daemon.wait_log("journal can be written again");
     assert_eq!(daemon.submit("stats", "a"), 202);
     endpoint.wait_request("a");
@@ -111,43 +123,46 @@
 #[case::get("GET", "/v1/endpoints/s-0/suspend", 405)]
 #[case::verb("POST", "/v1/endpoints/s-0/restart", 404)]
 #[case::id("POST", "/v1/endpoints/%ff/suspend", 400)]
-fn an_unknown_call_is_refused_with_its_status(#[case] method: &str, #[case] path: &str, #[case] status: u16) {
+fn an_unsupported_request_is_rejected_with_its_status(
+    #[case] method: &str, #[case] path: &str, #[case] status: u16,
+) {
     let endpoint = Server::always("200 OK");
     let known = list(1, &[(7, endpoint.addr)]);
-    let disco = discovery(known.clone());
-    let (_daemon, mgmt) = managed(setup(&disco, known));
-    assert_eq!(call(mgmt, method, path).status(), status);
+    let discovery_server = discovery(known.clone());
+    let (_daemon, mgmt) = start_with_management(setup(&discovery_server, known));
+    assert_eq!(request(mgmt, method, path).status(), status);
 }
 
 #[test]
-fn callers_that_never_complete_their_call_delay_nobody() {
+fn incomplete_requests_delay_neither_operators_nor_messages() {
     let endpoint = Server::always("200 OK");
     let known = list(1, &[(7, endpoint.addr)]);
-    let disco = discovery(known.clone());
-    let (daemon, mgmt) = managed(setup(&disco, known));
-    let before = daemon.open_descriptors();
-    let held: Vec<TcpStream> = (0..300)
+    let discovery_server = discovery(known.clone());
+    let (daemon, mgmt) = start_with_management(setup(&discovery_server, known));
+    let descriptors_before = daemon.open_descriptors();
+    let sockets: Vec<TcpStream> = (0..300)
         .map(|n| {
-            let mut socket = TcpStream::connect(mgmt).expect("it listens");
-            // Some of them are closed before they have sent anything.
+            let mut socket = TcpStream::connect(mgmt).expect("the management server listens");
+            // A write may fail: beyond the limit, the server closes the oldest connections.
             let _ = socket.write_all([&b"GET /v1/met"[..], &[b'x'; 3000], b""][n % 3]);
             socket
         })
         .collect();
-    assert_eq!(call(mgmt, "GET", "/v1/readyz").status(), 200);
+    assert_eq!(request(mgmt, "GET", "/v1/readyz").status(), 200);
     assert_eq!(daemon.submit("stats", "a"), 202);
     endpoint.wait_request("a");
-    assert!(daemon.open_descriptors() < before + 60, "callers are bounded");
-    drop(held);
+    assert!(daemon.open_descriptors() < descriptors_before + 60, "connections are bounded");
+    drop(sockets);
 }
 
 #[test]
-fn without_its_key_there_is_no_management_address() {
+fn without_a_configured_address_there_is_no_management_listener() {
     let endpoint = Server::always("200 OK");
     let known = list(1, &[(7, endpoint.addr)]);
-    let disco = discovery(known.clone());
-    let daemon = setup(&disco, known).start();
-    let threads = std::fs::read_dir(format!("/proc/{}/task", daemon.pid())).expect("it runs").count();
-    assert_eq!(threads, 1, "no thread for them");
+    let discovery_server = discovery(known.clone());
+    let daemon = setup(&discovery_server, known).start();
+    let threads =
+        std::fs::read_dir(format!("/proc/{}/task", daemon.pid())).expect("the process runs").count();
+    assert_eq!(threads, 1, "there is no management thread");
     assert!(!daemon.log().contains("management address"));
 }
