--- a/src/bin/micaladder-benchlink/instance.rs
+++ b/src/bin/micaladder-benchlink/instance.rs
@@ -85,6 +85,6 @@
     }
     match panic.downcast_ref::<&str>() {
         Some(text) => text.to_string(),
-        None => "the decision module panicked without a message".to_string(),
+        None => "the decision code panicked".to_string(),
     }
 }
--- a/src/flags.rs
+++ b/src/flags.rs
@@ -25,7 +25,7 @@
 #[command(
     name = "micaladder",
     version,
-    after_help = "The default command is run. Exit codes: 0 success, 1 error, 2 invalid flags."
+    after_help = "Without a command, run is executed with the given flags. Exit codes: 0 success, 1 error, 2 invalid flags."
 )]
 struct CommandLine {
     #[command(subcommand)]
@@ -119,7 +119,7 @@
 /// How the forwarders of a fleet authenticate each other.
 #[derive(Args, Debug, Clone)]
 pub struct PeerIdentityFlags {
-    /// Group of this forwarder; observations from peers in other groups are rejected.
+    /// Group of this forwarder; sessions with peers of another group are rejected.
     #[arg(id = "neighbours-group", long, env = "MICALADDER_NEIGHBOURS_GROUP", default_value = "micaladder")]
     pub group: String,
     /// Certificate of this forwarder (PEM).
@@ -202,7 +202,7 @@
     /// Flags of the log.
     #[command(flatten)]
     pub log: LogFlags,
-    /// Those of [`OVERRIDING_FLAGS`] that were given on the command line rather than by an environment variable.
+    /// Fields with a key in the configuration that were set by a flag on the command line, not by an environment variable.
     #[arg(skip)]
     pub given_as_flags: Vec<String>,
 }
--- a/src/mgmt.rs
+++ b/src/mgmt.rs
@@ -26,9 +26,10 @@
 use tokio::time::timeout;
 use tower::ServiceExt;
 
-/// Maximum number of open connections, which bounds the use of file descriptors. A connection beyond it closes the oldest.
+/// Maximum number of open connections, which bounds the use of file descriptors. A connection over the limit closes the
+/// oldest one.
 const MAX_CONNECTIONS: usize = 32;
-/// Time limit for a request's head.
+/// Time limit for a request's head, which a caller normally sends at once.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time limit for a connection, from its accept to the end of the response.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(4);
@@ -213,6 +214,6 @@
         .max_buf_size(MAX_HEAD_BYTES)
         .keep_alive(false);
     if let Err(e) = server.serve_connection(TokioIo::new(socket), service).await {
-        log::debug!("management connection: {e}");
+        log::debug!("management server: connection failed: {e}");
     }
 }
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -42,39 +42,51 @@
 }
 
 #[rstest]
-#[case::half(",\"weightKind\":\"nominal\"}}", "", "settings: EOF while parsing an object")]
-#[case::unknown("\"points\":2.0", "\"points\":2.0,\"point\":3", "settings.classes[1].point: no such key")]
-#[case::unknown_at_the_top("\"name\":\"example\"", "\"name\":\"example\",\"naem\":1", "naem: no such key")]
-#[case::kind(
+#[case::truncated(",\"weightKind\":\"nominal\"}}", "", "settings: EOF while parsing an object")]
+#[case::unknown_key("\"points\":2.0", "\"points\":2.0,\"point\":3", "settings.classes[1].point: no such key")]
+#[case::unknown_top_level_key("\"name\":\"example\"", "\"name\":\"example\",\"naem\":1", "naem: no such key")]
+#[case::wrong_type(
     "\"points\":2.0",
     "\"points\":\"two\"",
     "settings.classes[1].points: invalid type: string \"two\""
 )]
-#[case::missing("\"aimNs\":4000000000,", "", "settings.classes[1]: missing field `aimNs`")]
-#[case::word(
+#[case::missing_field("\"aimNs\":4000000000,", "", "settings.classes[1]: missing field `aimNs`")]
+#[case::unknown_value(
     "\"effect\":\"repeatable\"",
     "\"effect\":\"twice\"",
     "settings.classes[1].effect: \"twice\" is none of"
 )]
-#[case::range("\"lateShare\":0.3", "\"lateShare\":3", "settings.classes[2].lateShare: is not from 0 to 1")]
-#[case::aim(
+#[case::out_of_range(
+    "\"lateShare\":0.3",
+    "\"lateShare\":3",
+    "settings.classes[2].lateShare: is not from 0 to 1"
+)]
+#[case::objective_beyond_deadline(
     "\"aimNs\":2000000000",
     "\"aimNs\":21000000000",
     "settings.classes[2].aimNs: is beyond deadlineNs"
 )]
-#[case::window(",\"windowNs\":25000000000", "", "settings.classes[0].windowNs: is missing")]
-#[case::twice(
+#[case::missing_window(",\"windowNs\":25000000000", "", "settings.classes[0].windowNs: is missing")]
+#[case::duplicate_name(
     "\"stats-push\"",
     "\"episode-sync\"",
     "settings.classes[1].name: \"episode-sync\" is there twice"
 )]
-#[case::listen("127.0.0.1:9000", "localhost", "listen: not a socket address: \"localhost\"")]
-#[case::discovery("\"discovery\":\"127.0.0.1:9100\"", "\"discovery\":\"there\"", "discovery: no address")]
-#[case::seed("8c1f30d27a5be964", "seed", "seed: not up to 16 hexadecimal digits: \"seed\"")]
-#[case::workers("\"workers\":4", "\"workers\":0", "settings.familyInfo.workers: is 0")]
-#[case::disk("\"disk_mb\":3", "\"disk_mb\":0.1", "limits.disk_mb: holds no message")]
-#[case::state("\"Ready\"", "\"Redy\"", "known.targets[0].state: \"Redy\" is none of Ready")]
-#[case::zone("\"az\":\"here\"", "\"az\":\"there\"", "known.targets[0].az: is not in settings.localities")]
+#[case::invalid_listen_address("127.0.0.1:9000", "localhost", "listen: not a socket address: \"localhost\"")]
+#[case::invalid_discovery_address(
+    "\"discovery\":\"127.0.0.1:9100\"",
+    "\"discovery\":\"there\"",
+    "discovery: no address"
+)]
+#[case::invalid_seed("8c1f30d27a5be964", "seed", "seed: not up to 16 hexadecimal digits: \"seed\"")]
+#[case::no_workers("\"workers\":4", "\"workers\":0", "settings.familyInfo.workers: is 0")]
+#[case::too_little_disk("\"disk_mb\":3", "\"disk_mb\":0.1", "limits.disk_mb: holds no message")]
+#[case::unknown_endpoint_state("\"Ready\"", "\"Redy\"", "known.targets[0].state: \"Redy\" is none of Ready")]
+#[case::unknown_zone(
+    "\"az\":\"here\"",
+    "\"az\":\"there\"",
+    "known.targets[0].az: is not in settings.localities"
+)]
 fn an_error_names_its_file_and_key(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
     let (output, path) = check(from, to);
     let stderr = text(&output.stderr);
@@ -129,13 +141,13 @@
 }
 
 #[rstest]
-#[case::flag(&["--listen", "here"], &[], "invalid value 'here' for '--listen <IP:PORT>'")]
-#[case::variable(&[], &[("RELAY_LISTEN", "here")], "invalid value 'here' for '--listen <IP:PORT>'")]
-#[case::unknown(&["--listne", "127.0.0.1:1"], &[], "unexpected argument '--listne'")]
-#[case::filter(&["--log-filter", "loud"], &[], "unknown log level \"loud\"")]
-#[case::module(&["--log-filter", "kore=debug"], &[], "unknown module \"kore\"")]
-#[case::format(&["--log-format", "xml"], &[], "[possible values: text, json]")]
-#[case::missing(&[], &[], "--config <FILE>")]
+#[case::invalid_address(&["--listen", "here"], &[], "invalid value 'here' for '--listen <IP:PORT>'")]
+#[case::invalid_variable(&[], &[("RELAY_LISTEN", "here")], "invalid value 'here' for '--listen <IP:PORT>'")]
+#[case::unknown_flag(&["--listne", "127.0.0.1:1"], &[], "unexpected argument '--listne'")]
+#[case::unknown_log_level(&["--log-filter", "loud"], &[], "unknown log level \"loud\"")]
+#[case::unknown_module(&["--log-filter", "kore=debug"], &[], "unknown module \"kore\"")]
+#[case::unknown_log_format(&["--log-format", "xml"], &[], "[possible values: text, json]")]
+#[case::missing_flag(&[], &[], "--config <FILE>")]
 fn an_invalid_flag_is_named_and_prevents_the_start(
     #[case] arguments: &[&str], #[case] env: &[(&str, &str)], #[case] expected: &str,
 ) {
--- a/tests/mgmt.rs
+++ b/tests/mgmt.rs
@@ -118,11 +118,11 @@
 }
 
 #[rstest]
-#[case::path("GET", "/v1/nothing", 404)]
-#[case::method("DELETE", "/v1/metrics", 405)]
-#[case::get("GET", "/v1/endpoints/s-0/suspend", 405)]
-#[case::verb("POST", "/v1/endpoints/s-0/restart", 404)]
-#[case::id("POST", "/v1/endpoints/%ff/suspend", 400)]
+#[case::unknown_path("GET", "/v1/nothing", 404)]
+#[case::unsupported_method("DELETE", "/v1/metrics", 405)]
+#[case::get_instead_of_post("GET", "/v1/endpoints/s-0/suspend", 405)]
+#[case::unknown_action("POST", "/v1/endpoints/s-0/restart", 404)]
+#[case::invalid_id("POST", "/v1/endpoints/%ff/suspend", 400)]
 fn an_unsupported_request_is_rejected_with_its_status(
     #[case] method: &str, #[case] path: &str, #[case] status: u16,
 ) {
