--- a/src/daemon/error.rs
+++ b/src/daemon/error.rs
@@ -1,34 +1,34 @@
-//! Why the daemon cannot start or go on.
+//! Errors that stop the daemon.
 use crate::as2::As2Error;
 use crate::settings::SettingsError;
 use crate::takeover::TakeoverError;
 use std::io;
 
-/// Why the daemon cannot start or go on. Each text names the file, key or address at fault.
+/// An error that prevents the daemon from starting or continuing. Its text names the file, key or address at fault.
 #[derive(Debug, thiserror::Error)]
 pub enum DaemonError {
-    /// The configuration cannot be read, or a key in it is wrong: `micaladder check` finds all that is wrong.
+    /// The configuration cannot be read or contains an error: `micaladder check` lists all errors.
     #[error(transparent)]
     Configuration(#[from] SettingsError),
-    /// The file of the AS2 front, or a key or certificate that it names, is wrong: see `micaladder check`.
+    /// The AS2 settings, or a key or certificate that they name, are invalid: run `micaladder check`.
     #[error(transparent)]
     As2Settings(#[from] As2Error),
-    /// The address for operators cannot be listened at: see that no other process has it.
+    /// The daemon cannot listen at the management address: check that no other process uses it.
     #[error(transparent)]
     ManagementAddress(io::Error),
-    /// A client address cannot be listened at: see that it is one of this machine and that no other process has it.
+    /// The daemon cannot listen at a client address: check that this machine has the address and no other process uses it.
     #[error(transparent)]
     ClientAddress(io::Error),
-    /// The lasting folder cannot be shared with another process.
+    /// The state folder cannot be shared with another process.
     #[error(transparent)]
     Takeover(#[from] TakeoverError),
-    /// The journal cannot be opened: see that the lasting folder is readable and writable.
+    /// The journal cannot be opened: check that the state folder is readable and writable.
     #[error(transparent)]
     Journal(io::Error),
-    /// The TLS settings of the AS2 front are not usable.
+    /// The TLS settings of the AS2 front are unusable.
     #[error(transparent)]
     Tls(#[from] tokio_rustls::rustls::Error),
-    /// The system gave no runtime or signal handler: see its limits on descriptors.
+    /// The system cannot provide a runtime, thread or signal handler: check its limits on descriptors and threads.
     #[error(transparent)]
     System(io::Error),
 }
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,8 +1,9 @@
-//! The daemon: wires the parts together, and sees them through start, takeover and shutdown.
+//! The daemon: wires the parts together and manages the life of the process from start through takeover to shutdown.
 //!
-//! `ownership` waits for the journal, `startup` builds the parts round it, `serving` runs them until the process is to end
-//! or another one takes over, and `released` sees the process through the time after that. `listener` and `standby` are the
-//! clients' address across these times, `left_over` the calls that outlast one, `signals` hears SIGTERM.
+//! `ownership` acquires the journal, `startup` builds the parts around it, `serving` runs them until the process shuts down
+//! or another process takes over, and `released` finishes calls and client connections after the journal was released.
+//! `listener` and `standby` keep the client address open across these phases, `left_over` drives calls that outlast the
+//! phase that started them, and `signals` handles SIGTERM.
 #![warn(missing_docs)]
 mod error;
 mod left_over;
@@ -32,25 +33,25 @@
 use tokio::runtime::Runtime;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// The soonest that a planned restart kills the process after SIGTERM.
-const KILL_AFTER: Duration = Duration::from_millis(3700);
+/// The earliest time after SIGTERM at which a planned restart kills the process.
+const MIN_KILL_DELAY: Duration = Duration::from_millis(3700);
 
-/// Share of the process's sockets that client connections may take, as a divisor: the rest is for endpoints and files.
+/// Divisor of the process's socket limit that gives the share for client connections; endpoints and files use the rest.
 const CLIENT_SOCKETS_DIVISOR: usize = 3;
 
 const _: () = assert!(
     exchange::SHUTDOWN_TIMEOUT.as_millis()
         + client::FINAL_RESPONSES.as_millis()
         + client::CLOSE_LINGER.as_millis()
-        < KILL_AFTER.as_millis(),
-    "the process has ended by itself before it is killed"
+        < MIN_KILL_DELAY.as_millis(),
+    "the process must exit by itself before it is killed"
 );
 
 /// Runs the daemon until SIGTERM.
 ///
 /// # Errors
 ///
-/// The daemon cannot start, or cannot go on after a takeover that was undone.
+/// The daemon cannot start, or cannot continue after an undone takeover.
 pub fn run(flags: &RunFlags) -> Result<(), DaemonError> {
     let mut process = Process::default();
     let mut generation = Generation::new()?;
@@ -58,23 +59,23 @@
         let Generation { runtime, mut terminate, hangup } = generation;
         let left_over = match runtime.block_on(run_once(flags, &mut process, &mut terminate, hangup))? {
             RunEnd::Terminated => {
-                process.end_left_over_calls(terminate.heard_at());
+                process.end_left_over_calls(terminate.received_at());
                 return Ok(());
             }
             RunEnd::Released { left_over } => left_over,
         };
         process.has_released = true;
-        // The next handlers before these are dropped: a signal that came to none would be lost (issue 48).
+        // Installs the next handlers before the old ones are dropped: a signal that reaches no handler would be lost (issue 48).
         generation = Generation::new()?;
-        generation.terminate.add(&mut terminate);
+        generation.terminate.inherit_pending(&mut terminate);
         if let Some(exchange) = left_over {
             process.left_over_calls = Some(LeftOverCalls::finish(runtime, exchange)?);
         }
     }
 }
 
-/// A runtime and its signal handlers, for each time that this process owns the journal or waits for it: all tasks of that
-/// time end with it.
+/// A runtime and its signal handlers. Each period in which the process waits for the journal or owns it has its own, and
+/// the tasks of the period end with the runtime.
 struct Generation {
     runtime: Runtime,
     terminate: Terminate,
@@ -93,41 +94,42 @@
     }
 }
 
-/// What outlives a change of the journal's owner.
+/// The state that persists when the owner of the journal changes.
 #[derive(Default)]
 struct Process {
     management: Option<ManagementServer>,
     takeover: StateMachine,
     listener: ClientListener,
-    /// Held while this process goes on to listen behind its successor.
+    /// Held while this process listens behind its successor.
     standby_lock: Option<FolderLock>,
-    /// Calls of an earlier time as the owner.
+    /// Calls from an earlier period as the owner.
     left_over_calls: Option<LeftOverCalls>,
-    /// It has released the journal once: it takes it again only if no other process has it, and does not ask for it.
+    /// Whether this process has released the journal before. If so, it takes the journal again only if no other process
+    /// owns it, and does not request the folder.
     has_released: bool,
 }
 
 impl Process {
-    /// The process ends: calls of an earlier time have as long as others to end.
-    fn end_left_over_calls(&mut self, told_to_end_at: Option<Instant>) {
+    /// Waits for the left-over calls as long as for any others: at most [`exchange::SHUTDOWN_TIMEOUT`] after SIGTERM.
+    fn end_left_over_calls(&mut self, shutdown_requested_at: Option<Instant>) {
         let Some(calls) = self.left_over_calls.take() else { return };
-        let give_up_at = told_to_end_at.unwrap_or_else(Instant::now) + exchange::SHUTDOWN_TIMEOUT;
-        calls.wait_until(give_up_at);
+        let deadline = shutdown_requested_at.unwrap_or_else(Instant::now) + exchange::SHUTDOWN_TIMEOUT;
+        calls.wait_until(deadline);
     }
 }
 
-/// How a time as the journal's owner, or a wait for that, ended.
+/// How a period of waiting for the journal or owning it ended.
 enum RunEnd {
-    /// The process was told to end.
+    /// SIGTERM was received, and the process is to exit.
     Terminated,
-    /// Another process owns the journal now, or none.
+    /// The process released the journal; another process may own it now.
     Released {
-        /// The exchange, where calls are in flight still.
+        /// The exchange, if calls are still in flight.
         left_over: Option<Exchange>,
     },
 }
 
-/// Waits for the journal, serves, and ends or releases the journal.
+/// Acquires the journal and serves until the process shuts down or releases the journal.
 async fn run_once(
     flags: &RunFlags, process: &mut Process, terminate: &mut Terminate, hangup: Signal,
 ) -> Result<RunEnd, DaemonError> {
@@ -142,7 +144,7 @@
     service.run(process, &folder, lock, terminate).await
 }
 
-/// Listens for operators before all that may take time: until this process serves, it answers that it is not ready.
+/// Starts the management listener before any step that may take long. It answers "not ready" until this process serves.
 fn start_management(config: &Config, process: &mut Process) -> Result<(), DaemonError> {
     let Some(address) = config.mgmt else { return Ok(()) };
     if process.management.is_none() {
--- a/src/daemon/ownership.rs
+++ b/src/daemon/ownership.rs
@@ -1,4 +1,4 @@
-//! The wait for the journal: until no other process owns it.
+//! Acquires the journal: waits until no other process owns it.
 use super::signals::Terminate;
 use super::standby::Standby;
 use super::{ClientListener, DaemonError, Process};
@@ -11,34 +11,34 @@
 use tokio::net::TcpListener;
 use tokio::sync::oneshot;
 
-/// The journal is this process's.
+/// The ownership of the journal by this process.
 pub(super) struct Ownership {
     /// The owner's lock.
     pub(super) lock: FolderLock,
-    /// The request for the folder, to be held until this process serves: the predecessor takes the journal back from a
-    /// successor that neither owns it nor asks for it.
+    /// The request for the folder. It must be held until this process serves, because the predecessor takes the journal back
+    /// if its successor neither owns nor requests it.
     pub(super) request: Option<FolderLock>,
-    /// The clients' listener.
+    /// The listener for platform clients.
     pub(super) listener: TcpListener,
 }
 
-/// A request for the folder.
+/// A pending request for the folder.
 struct Request {
     /// Held until this process serves.
     lock: FolderLock,
     granted: oneshot::Receiver<Result<Grant, DaemonError>>,
 }
 
-/// The owner's lock, and a listener that was opened right behind it.
+/// The owner's lock, and the listener that was opened right after the lock was acquired.
 struct Grant {
     lock: FolderLock,
     listener: SharedListener,
 }
 
 impl Grant {
-    /// Waits for both in a thread of its own, without a poll and without the runtime: until this process listens, clients
-    /// are rejected. Not in the other order, for whatever is in the queue of a listener is lost with its process, and until
-    /// the lock is free the predecessor serves.
+    /// Blocks until the owner's lock is free, then opens the listener. Runs in a separate thread, with neither polling nor
+    /// the runtime, because clients are rejected until this process listens. The lock comes first: the predecessor serves
+    /// until it is free, and connections queued at a listener are lost if its process dies.
     fn wait(folder: &SharedFolder, address: SocketAddr) -> Result<Grant, DaemonError> {
         let lock = folder.lock(LockName::Owner)?;
         let listener = SharedListener::open(address).map_err(DaemonError::ClientAddress)?;
@@ -47,46 +47,48 @@
 }
 
 impl Request {
-    /// Asks for the folder; `None` while another process does.
-    fn make(folder: &SharedFolder, address: SocketAddr) -> Result<Option<Request>, DaemonError> {
+    /// Requests the folder; returns `None` while another process requests it.
+    fn create(folder: &SharedFolder, address: SocketAddr) -> Result<Option<Request>, DaemonError> {
         let Some(lock) = folder.request(new_request_id())? else { return Ok(None) };
         let (sender, granted) = oneshot::channel();
         let folder = folder.clone();
         let wait = move || {
-            // A process that ends meanwhile has no use for it.
+            // The receiver is gone if the process is shutting down; the grant is then not needed.
             let _ = sender.send(Grant::wait(&folder, address));
         };
         std::thread::Builder::new().name("takeover".to_string()).spawn(wait).map_err(DaemonError::System)?;
         Ok(Some(Request { lock, granted }))
     }
 
-    /// Asks anew, under another name.
+    /// Replaces the request by one with a new id.
     fn renew(&self, folder: &SharedFolder) -> Result<(), DaemonError> {
-        log::warn!("this process was stopped, and its request for the folder may have expired: asking again");
+        log::warn!(
+            "this process was suspended and its request for the folder may have expired: requesting it again"
+        );
         Ok(folder.renew_request(&self.lock, new_request_id())?)
     }
 }
 
-/// A name that no other request has: the time, in nanoseconds.
+/// Returns a unique id for a request: the time in nanoseconds.
 fn new_request_id() -> RequestId {
     RequestId(clock::now().0)
 }
 
-/// Waits for the owner's lock; `None` where the process is told to end before that.
+/// Waits for the owner's lock; returns `None` if SIGTERM arrives first.
 pub(super) async fn acquire(
     config: &Config, folder: &SharedFolder, process: &mut Process, terminate: &mut Terminate,
 ) -> Result<Option<Ownership>, DaemonError> {
     if let Some(lock) = poll_owner_lock(folder, process)? {
-        return owned(config, process, lock, None).map(Some);
+        return start_owning(config, process, lock, None).map(Some);
     }
-    let asks = process.management.is_some() && !process.has_released;
-    log::info!(asks; "another process owns the folder; waiting for it");
+    let requests_folder = process.management.is_some() && !process.has_released;
+    log::info!(asks = requests_folder; "another process owns the folder; waiting for it");
     let mut standby = start_standby(config, &process.listener)?;
     let mut request = None;
     loop {
         let polled_at = clock::now();
-        if asks && request.is_none() {
-            request = Request::make(folder, config.listen)?;
+        if requests_folder && request.is_none() {
+            request = Request::create(folder, config.listen)?;
         }
         tokio::select! {
             _ = terminate.recv() => {
@@ -96,12 +98,12 @@
                 }
                 return Ok(None);
             }
-            grant = granted(&mut request) => {
+            grant = wait_for_grant(&mut request) => {
                 let Grant { lock, listener } = grant?;
                 process.listener.set(listener);
                 let request_lock = request.map(|request| request.lock);
                 process.takeover.step(clock::now(), Observed { lock_acquired: true, ..Observed::default() });
-                return owned(config, process, lock, request_lock).map(Some);
+                return start_owning(config, process, lock, request_lock).map(Some);
             }
             () = tokio::time::sleep(POLL_INTERVAL) => {}
         }
@@ -110,12 +112,12 @@
             Some(_) => {}
             None => {
                 if let Some(lock) = poll_owner_lock(folder, process)? {
-                    return owned(config, process, lock, None).map(Some);
+                    return start_owning(config, process, lock, None).map(Some);
                 }
             }
         }
         if standby.is_some() && process.takeover.is_superseded(observe(folder)) {
-            log::info!("a further process asks for the folder: no longer on standby");
+            log::info!("a third process requests the folder: no longer on standby");
             standby = None;
             process.listener.close();
             process.standby_lock = None;
@@ -123,18 +125,18 @@
     }
 }
 
-/// What a request has come to; never without one.
-async fn granted(request: &mut Option<Request>) -> Result<Grant, DaemonError> {
+/// Waits for the result of a request; never returns without a request.
+async fn wait_for_grant(request: &mut Option<Request>) -> Result<Grant, DaemonError> {
     let Some(request) = request else { return std::future::pending().await };
     match (&mut request.granted).await {
         Ok(grant) => grant,
-        // The thread that waits for it sends it before it ends.
+        // Not reached: the waiting thread sends a result before it ends.
         Err(_) => std::future::pending().await,
     }
 }
 
-/// The journal is this process's: listens, unless it does so already.
-fn owned(
+/// Completes the acquisition: ends the standby and opens the client listener unless it is already open.
+fn start_owning(
     config: &Config, process: &mut Process, lock: FolderLock, request: Option<FolderLock>,
 ) -> Result<Ownership, DaemonError> {
     process.standby_lock = None;
@@ -149,12 +151,12 @@
 
 fn observe(folder: &SharedFolder) -> Observed {
     let request = folder.pending_request();
-    // Without a request the lock is tried, which tells as much.
+    // Without a request, the caller tries the lock itself, which answers the same question.
     let owned_by_other = request.is_some() && folder.is_locked(LockName::Owner);
     Observed { request, owned_by_other, ..Observed::default() }
 }
 
-/// The owner's lock, if it is free and this process, which does not ask for it, may have it.
+/// Tries the owner's lock without a request for it; returns `None` if this process may not take it or it is not free.
 fn poll_owner_lock(folder: &SharedFolder, process: &mut Process) -> Result<Option<FolderLock>, DaemonError> {
     let (now, observed) = (clock::now(), observe(folder));
     if !process.takeover.may_acquire(now, observed.request) {
--- a/src/daemon/released.rs
+++ b/src/daemon/released.rs
@@ -1,4 +1,4 @@
-//! The time after this process has released the journal: its calls in flight end, and its clients are sent to the successor.
+//! Runs after this process has released the journal: lets its calls in flight end while clients move to the successor.
 use super::serving::Service;
 use super::signals::Terminate;
 use super::{Process, RunEnd};
@@ -9,45 +9,46 @@
 use crate::takeover::{LockName, SharedFolder};
 use tokio::time::Instant;
 
-/// Runs until nothing is left of the time as the owner, or the process is told to end and may, or its time is up.
+/// Runs until the takeover state machine resets, or, after SIGTERM, until the process may exit or [`SHUTDOWN_TIMEOUT`] has
+/// passed.
 ///
-/// It goes on to accept clients, and rejects their requests: until the successor listens there is nobody else to do so,
-/// and where the kernel prefers the successor's listener, this one is there should the successor die.
+/// The process still accepts clients and rejects their requests, because no other process listens until the successor does.
+/// Where the kernel prefers the successor's listener, this one stays open in case the successor dies.
 pub(super) async fn run(
-    service: Service, process: &mut Process, folder: &SharedFolder, told_to_end_at: Option<Instant>,
+    service: Service, process: &mut Process, folder: &SharedFolder, shutdown_requested_at: Option<Instant>,
     terminate: &mut Terminate,
 ) -> RunEnd {
-    let mut give_up_at = told_to_end_at.map(|at| at + SHUTDOWN_TIMEOUT);
+    let mut deadline = shutdown_requested_at.map(|at| at + SHUTDOWN_TIMEOUT);
     loop {
         let observed = observe(&service, folder);
         let action = process.takeover.step(clock::now(), observed);
         let successor_listens = observed.owned_by_other && observed.request.is_none();
-        let spreads_clients = successor_listens && !process.listener.yields_to_later();
-        if spreads_clients {
+        let connections_are_spread = successor_listens && !process.listener.yields_to_later();
+        if connections_are_spread {
             stop_accepting(&service, process);
         }
         if process.standby_lock.is_some() && process.takeover.is_superseded(observed) {
-            log::info!("a further process asks for the folder: no longer on standby");
+            log::info!("a third process requests the folder: no longer on standby");
             stop_accepting(&service, process);
         }
-        let may_exit = give_up_at.is_some() && process.takeover.may_exit(observed);
-        let is_late = give_up_at.is_some_and(|at| Instant::now() >= at);
-        if action == Some(Action::Reset) || may_exit || is_late {
+        let may_exit = deadline.is_some() && process.takeover.may_exit(observed);
+        let is_timed_out = deadline.is_some_and(|at| Instant::now() >= at);
+        if action == Some(Action::Reset) || may_exit || is_timed_out {
             break;
         }
         tokio::select! {
-            _ = terminate.recv(), if give_up_at.is_none() => {
-                log::info!("told to end: finishing calls");
+            _ = terminate.recv(), if deadline.is_none() => {
+                log::info!("SIGTERM received: finishing calls");
                 process.listener.close();
-                give_up_at = Some(Instant::now() + SHUTDOWN_TIMEOUT);
+                deadline = Some(Instant::now() + SHUTDOWN_TIMEOUT);
             }
             () = tokio::time::sleep(POLL_INTERVAL) => {}
         }
     }
     let exchange = service.exchange().clone();
-    let is_terminated = give_up_at.is_some();
+    let is_terminated = deadline.is_some();
     if is_terminated || exchange.calls_in_flight() == 0 {
-        log::info!("calls ended, or given up for lack of time");
+        log::info!("calls have ended or timed out");
     }
     service.close_clients().await;
     if !is_terminated {
@@ -59,7 +60,8 @@
 }
 
 fn observe(service: &Service, folder: &SharedFolder) -> Observed {
-    // In this order: a successor withdraws its request only once it owns the journal and listens.
+    // Reads the request before the owner's lock: a successor drops its request only once it owns the journal and listens, so
+    // in this order the request and the lock cannot both appear free while a successor takes over.
     let request = folder.pending_request();
     Observed {
         owned_by_other: folder.is_locked(LockName::Owner),
--- a/src/daemon/serving.rs
+++ b/src/daemon/serving.rs
@@ -1,4 +1,4 @@
-//! The time in which this process owns the journal and serves: until it is told to end, or another process takes over.
+//! Serves while this process owns the journal, until it shuts down or another process takes over.
 use super::signals::Terminate;
 use super::startup::Parts;
 use super::{released, DaemonError, Process, RunEnd};
@@ -16,12 +16,12 @@
 use tokio::task::JoinHandle;
 use tokio::time::{timeout, Instant};
 
-/// How long the last answers before a release are held back for the successor to listen. A client waits 400 ms.
+/// How long the last answers before a release wait for the successor to listen. Clients time out after 400 ms.
 const LAST_ANSWERS_DELAY: Duration = Duration::from_millis(50);
-/// Pause between two looks at the successor meanwhile.
+/// Interval at which the owner's lock is polled while the last answers wait.
 const OWNER_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// The platform's client address, and the parts behind it.
+/// The platform's client front and the parts behind it.
 pub(super) struct Service {
     parts: Parts,
     management: Option<ManagementServer>,
@@ -29,15 +29,15 @@
     accept_task: JoinHandle<()>,
 }
 
-/// A graceful shutdown that has been requested.
+/// A graceful shutdown in progress.
 struct Shutdown {
     requested_at: Instant,
-    /// Ends when calls have ended, or time is up.
+    /// The task that ends when all calls have ended or the shutdown has timed out.
     calls: JoinHandle<()>,
 }
 
 impl Service {
-    /// Serves clients on this listener.
+    /// Starts to serve clients on `listener`.
     pub(super) fn start(
         config: &Config, parts: Parts, management: Option<ManagementServer>, listener: TcpListener,
     ) -> Service {
@@ -49,12 +49,12 @@
         Service { parts, management, accept_task }
     }
 
-    /// Serves until SIGTERM, or until another process has taken the journal over. SIGTERM does not keep the process from
-    /// handing over: clients that come to its successor are served, and those that come to a process that ends are not.
+    /// Serves until a shutdown is complete or another process has taken over. A takeover proceeds after SIGTERM too, because
+    /// the successor serves clients that the exiting process would not.
     pub(super) async fn run(
         self, process: &mut Process, folder: &SharedFolder, owner_lock: FolderLock, terminate: &mut Terminate,
     ) -> Result<RunEnd, DaemonError> {
-        // Without an address for operators nobody starts a second process, and the locks are not polled.
+        // Without a management address no second process is started, so the locks are not polled.
         let polls_locks = self.management.is_some();
         let mut shutdown: Option<Shutdown> = None;
         let mut owner_lock = Some(owner_lock);
@@ -72,11 +72,11 @@
                 Some(Action::Resume) => self.resume(),
                 Some(Action::Release) if self.release_journal(process, folder, &mut owner_lock).await => {
                     let calls = self.exchange().calls_in_flight();
-                    log::info!(calls; "handed over; ending the calls that are out");
-                    let told_to_end_at = shutdown.map(|shutdown| shutdown.requested_at);
-                    return Ok(released::run(self, process, folder, told_to_end_at, terminate).await);
+                    log::info!(calls; "handed over; finishing the calls in flight");
+                    let shutdown_requested_at = shutdown.map(|shutdown| shutdown.requested_at);
+                    return Ok(released::run(self, process, folder, shutdown_requested_at, terminate).await);
                 }
-                // The last two belong to the times before and after this one.
+                // A failed release leaves nothing to do. The last two actions do not occur while serving.
                 None | Some(Action::Release | Action::StartServing | Action::Reset) => {}
             }
         }
@@ -92,7 +92,7 @@
         &self.parts.limiter
     }
 
-    /// Waits until all clients have had their answers and are gone, or time is up.
+    /// Waits until all clients have received their responses and disconnected, or [`client::FINAL_RESPONSES`] has passed.
     pub(super) async fn close_clients(self) {
         self.exchange().set_client_connections(ClientConnections::Closing);
         let _ = timeout(client::FINAL_RESPONSES, self.accept_task).await;
@@ -113,17 +113,19 @@
     }
 
     fn drain_clients(&self) {
-        log::info!("another process asks for the folder: handing over");
+        log::info!("another process requests the folder: handing over");
         self.exchange().set_client_connections(ClientConnections::Draining);
     }
 
     fn resume(&self) {
-        log::warn!("the process that asked is gone, or the journal cannot be handed on: serving again");
+        log::warn!(
+            "takeover cancelled, the successor is gone or the journal cannot be released: serving again"
+        );
         self.exchange().set_client_connections(ClientConnections::Open);
     }
 
-    /// Releases the journal; `false` where its late outcomes cannot be written, or another process is on standby, and this
-    /// process goes on as owner.
+    /// Releases the journal. Returns `false` if the late outcomes cannot be written or another process is on standby; this
+    /// process then remains the owner.
     async fn release_journal(
         &self, process: &mut Process, folder: &SharedFolder, owner_lock: &mut Option<FolderLock>,
     ) -> bool {
@@ -134,7 +136,7 @@
                 return false;
             }
             Err(error) => {
-                log::error!("not handed over: {error}");
+                log::error!("folder not handed over: {error}");
                 process.takeover.release_failed(clock::now());
                 return false;
             }
@@ -150,9 +152,9 @@
         true
     }
 
-    /// Begins a graceful shutdown: the fleet hears of it first, then calls finish.
+    /// Starts a graceful shutdown: announces it to the fleet, then lets calls finish.
     async fn start_shutdown(&self) -> Shutdown {
-        log::info!("told to end: finishing calls");
+        log::info!("SIGTERM received: finishing calls");
         let requested_at = Instant::now();
         if let Some(fleet) = self.fleet() {
             fleet.drain().await;
@@ -161,7 +163,7 @@
         Shutdown { requested_at, calls: tokio::spawn(async move { exchange.shut_down().await }) }
     }
 
-    /// Ends a graceful shutdown: clients get their last answers, and the fleet hears that this member has left.
+    /// Ends a graceful shutdown: sends the last responses to clients, then announces to the fleet that this member leaves.
     async fn shut_down(self) {
         let fleet = self.fleet().cloned();
         self.close_clients().await;
@@ -169,7 +171,7 @@
         if let Some(fleet) = fleet {
             fleet.leave().await;
         }
-        log::info!("ended");
+        log::info!("shutdown complete");
     }
 
     fn fleet(&self) -> Option<&FleetHandle> {
@@ -177,8 +179,8 @@
     }
 }
 
-/// The locks that come before a release: without that of the late outcomes the successor would take the calls in flight for
-/// lost. `None` where another process is on standby still.
+/// Acquires the locks that must precede a release. Without the lock on the late outcomes, the successor would count the
+/// calls in flight as lost. Returns `None` if another process is still on standby.
 fn take_release_locks(
     process: &mut Process, folder: &SharedFolder,
 ) -> Result<Option<LateOutcomeWriter>, TakeoverError> {
@@ -188,10 +190,10 @@
     Ok(Some(late_outcomes))
 }
 
-/// Waits until another process owns the folder, which it listens for in the same moment, or some time has passed.
+/// Waits until another process owns the folder, which then listens at once, or until [`LAST_ANSWERS_DELAY`] has passed.
 async fn wait_for_owner(folder: &SharedFolder) {
-    let give_up_at = Instant::now() + LAST_ANSWERS_DELAY;
-    while !folder.is_locked(LockName::Owner) && Instant::now() < give_up_at {
+    let deadline = Instant::now() + LAST_ANSWERS_DELAY;
+    while !folder.is_locked(LockName::Owner) && Instant::now() < deadline {
         tokio::time::sleep(OWNER_POLL_INTERVAL).await;
     }
 }
@@ -202,7 +204,7 @@
     tokio::spawn(client::serve(front, parts.limiter.clone(), parts.exchange.client_connections()))
 }
 
-/// Returns when the calls of a shutdown have ended; never without a shutdown.
+/// Waits until the calls of a shutdown have ended; never returns without a shutdown.
 async fn calls_ended(shutdown: &mut Option<Shutdown>) {
     match shutdown {
         Some(shutdown) => {
--- a/src/daemon/signals.rs
+++ b/src/daemon/signals.rs
@@ -1,39 +1,39 @@
-//! SIGTERM, which has to be heard across changes of the runtime.
+//! Handles SIGTERM, which must not be lost when the runtime changes.
 use std::io;
 use std::task::{Context, Waker};
 use std::time::Instant;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// The handler of SIGTERM. It belongs to one runtime.
+/// A SIGTERM handler, bound to one runtime.
 pub(super) struct Terminate {
     signal: Signal,
-    /// One has come that nobody has heard of yet.
+    /// Whether an earlier handler received a SIGTERM that [`Terminate::recv`] has not returned yet.
     is_pending: bool,
-    heard_at: Option<Instant>,
+    received_at: Option<Instant>,
 }
 
 impl Terminate {
-    /// Installs a handler for the runtime in whose context this is called.
+    /// Installs a handler in the runtime of the calling context.
     pub(super) fn install() -> io::Result<Terminate> {
-        Ok(Terminate { signal: signal(SignalKind::terminate())?, is_pending: false, heard_at: None })
+        Ok(Terminate { signal: signal(SignalKind::terminate())?, is_pending: false, received_at: None })
     }
 
-    /// Returns when a SIGTERM has come since the last time.
+    /// Waits for a SIGTERM that no earlier call returned.
     pub(super) async fn recv(&mut self) {
         if !self.is_pending {
             self.signal.recv().await;
         }
         self.is_pending = false;
-        self.heard_at = Some(Instant::now());
+        self.received_at = Some(Instant::now());
     }
 
-    /// When the last one was heard.
-    pub(super) fn heard_at(&self) -> Option<Instant> {
-        self.heard_at
+    /// Returns the time at which [`Terminate::recv`] last returned.
+    pub(super) fn received_at(&self) -> Option<Instant> {
+        self.received_at
     }
 
-    /// Adds what has come to an earlier handler, and was not heard there.
-    pub(super) fn add(&mut self, earlier: &mut Terminate) {
+    /// Takes over a SIGTERM that `earlier` received and did not return.
+    pub(super) fn inherit_pending(&mut self, earlier: &mut Terminate) {
         let mut context = Context::from_waker(Waker::noop());
         self.is_pending |= earlier.is_pending || earlier.signal.poll_recv(&mut context).is_ready();
     }
--- a/src/daemon/standby.rs
+++ b/src/daemon/standby.rs
@@ -1,6 +1,6 @@
-//! A process that has released the journal and waits to take it again: it goes on to listen behind its successor. The kernel
-//! gives it new connections only once the successor is gone; until it serves again it rejects their requests, with the time
-//! after which they may come again. So no client is refused because a successor died.
+//! Standby: a process that has released the journal and may take it again listens behind its successor. The kernel gives it
+//! new connections only once the successor is gone. Until it serves again, it rejects their requests with a Retry-After, so
+//! that no connection is refused because a successor died.
 use super::{DaemonError, CLIENT_SOCKETS_DIVISOR};
 use crate::client::{self, ConnectionLimiter, SharedListener};
 use crate::core;
@@ -10,7 +10,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// Accepts and rejects clients until it is dropped or closed.
+/// A listener that accepts clients and rejects their requests until it is closed or dropped.
 pub(super) struct Standby {
     accept_task: JoinHandle<()>,
     connections: watch::Sender<ClientConnections>,
@@ -31,7 +31,7 @@
         Ok(Standby { accept_task, connections })
     }
 
-    /// Accepts nothing more, and waits until all clients have their answers.
+    /// Stops accepting, and waits until all clients have their responses or [`client::FINAL_RESPONSES`] has passed.
     pub(super) async fn close(mut self) {
         self.connections.send_replace(ClientConnections::Closing);
         let _ = timeout(client::FINAL_RESPONSES, &mut self.accept_task).await;
@@ -39,7 +39,7 @@
 }
 
 impl Drop for Standby {
-    /// The connections that were accepted have tasks of their own, and end by themselves.
+    /// Stops accepting. Accepted connections have their own tasks and end by themselves.
     fn drop(&mut self) {
         self.accept_task.abort();
     }
--- a/src/daemon/startup.rs
+++ b/src/daemon/startup.rs
@@ -1,4 +1,4 @@
-//! Builds the parts round the journal, and starts their tasks.
+//! Builds the parts around the journal and starts their tasks.
 use super::{DaemonError, CLIENT_SOCKETS_DIVISOR};
 use crate::as2::As2Settings;
 use crate::client::{self, ConnectionLimiter, SharedListener};
@@ -21,13 +21,13 @@
 /// The parts that run while this process owns the journal.
 pub(super) struct Parts {
     pub(super) exchange: Exchange,
-    /// The fleet, where this forwarder has peers.
+    /// The fleet, if this forwarder has peers.
     pub(super) fleet: Option<FleetHandle>,
-    /// Bounds the client connections of all fronts.
+    /// Limits the client connections of all fronts together.
     pub(super) limiter: Arc<ConnectionLimiter>,
 }
 
-/// Starts everything apart from the platform's own client address.
+/// Starts everything except the platform's client front.
 pub(super) async fn start(
     flags: &RunFlags, config: &Config, folder: &SharedFolder, hangup: Signal,
 ) -> Result<Parts, DaemonError> {
@@ -63,7 +63,7 @@
     Ok(Parts { exchange, fleet: discovery.fleet, limiter })
 }
 
-/// A process that left late outcomes may still have calls in flight.
+/// Returns whether a predecessor may still have calls in flight, which is so if it left a file of late outcomes.
 fn predecessor(late_outcomes: Option<&LateOutcomeReader>) -> Predecessor {
     match late_outcomes {
         Some(_) => Predecessor::MayHaveCalls,
@@ -71,7 +71,7 @@
     }
 }
 
-/// Hands the late outcomes of the predecessor to the exchange, until no more will come.
+/// Passes the predecessor's late outcomes to the exchange until no more can arrive, then removes their file.
 async fn follow_predecessor(mut reader: LateOutcomeReader, exchange: Exchange) {
     loop {
         let (records, is_complete) = reader.read();
@@ -82,21 +82,21 @@
         tokio::time::sleep(POLL_INTERVAL).await;
     }
     exchange.predecessor_exited();
-    // Guards the outcomes against a kill before they are in the journal.
+    // Keeps the file until its outcomes are in the journal, so that a kill before that loses none.
     while exchange.is_release_blocked() {
         tokio::time::sleep(POLL_INTERVAL).await;
     }
     reader.remove();
 }
 
-/// What other parts need of discovery.
+/// The parts of discovery that other parts use.
 struct DiscoveryParts {
-    /// Where discovery is; a reload may change it.
+    /// The address of the discovery service; a reload may change it.
     address: watch::Receiver<String>,
     fleet: Option<FleetHandle>,
 }
 
-/// Starts discovery, the peers that are told of its version, and reloads that may change its address.
+/// Starts discovery, the peer exchange that publishes the list's version, and the reloads that may change the address.
 fn start_discovery(flags: &RunFlags, config: &Config, exchange: &Exchange, hangup: Signal) -> DiscoveryParts {
     let (address_sender, address) = watch::channel(config.discovery.clone());
     let (version_sender, list_version) = watch::channel(config.initial_endpoints.revision);
@@ -113,17 +113,18 @@
     DiscoveryParts { address, fleet }
 }
 
-/// Listens at the AS2 address. Where a second process may take over, the predecessor listens there still.
+/// Listens at the AS2 address. With a management address the listener is shared, since a predecessor may still listen there.
 async fn listen_for_partners(config: &Config, address: &str) -> io::Result<TcpListener> {
     let mut addresses = tokio::net::lookup_host(address).await?;
-    let address = addresses.next().ok_or_else(|| io::Error::other(format!("{address}: no such address")))?;
+    let address =
+        addresses.next().ok_or_else(|| io::Error::other(format!("{address}: host has no address")))?;
     match config.mgmt {
         Some(_) => SharedListener::open(address)?.accept_handle(),
         None => client::listen(address),
     }
 }
 
-/// Listens for AS2 partners, with TLS where the settings name an authority for its certificate.
+/// Starts the front for AS2 partners, with TLS if the settings name a certificate authority.
 async fn start_as2_front(
     config: &Config, settings: Arc<As2Settings>, exchange: &Exchange,
     receipts: mpsc::UnboundedReceiver<crate::core::Callback>, limiter: &Arc<ConnectionLimiter>,
--- a/src/takeover/lock.rs
+++ b/src/takeover/lock.rs
@@ -1,28 +1,28 @@
-//! The lasting folder as two processes share it, and the locks that say which of them does what.
+//! The state folder that two processes share, and the locks that give each process its role.
 use super::state::RequestId;
 use super::TakeoverError;
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// A request without a name, as an earlier version of this program makes it.
+/// The id of a request without one, as earlier versions of this program write it.
 const UNNAMED_REQUEST: RequestId = RequestId(0);
 
-/// The lasting folder, as far as it is part of a takeover.
+/// The state folder, as the processes of a takeover share it.
 #[derive(Clone)]
 pub struct SharedFolder(PathBuf);
 
-/// A lock that this process holds until this is dropped, or the process ends in whatever way.
+/// A file lock, held until this value is dropped or the process ends, even if it is killed.
 pub struct FolderLock(File);
 
-/// Which lock.
+/// A role in the takeover, each with a lock file of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LockName {
-    /// That of the journal's owner.
+    /// The owner of the journal.
     Owner,
-    /// That of the process that asks to become the owner, until it serves.
+    /// A process that requests the folder, until it serves.
     Next,
-    /// That of the process that has released the journal, and goes on to listen behind its successor.
+    /// A process that has released the journal and listens behind its successor.
     Standby,
 }
 
@@ -36,8 +36,8 @@
     }
 }
 
-/// Whether the lock was acquired; `false` while another process holds it.
-pub(super) fn acquired(result: Result<(), TryLockError>) -> io::Result<bool> {
+/// Returns whether the lock was acquired; `false` while another process holds it.
+pub(super) fn is_acquired(result: Result<(), TryLockError>) -> io::Result<bool> {
     match result {
         Ok(()) => Ok(true),
         Err(TryLockError::WouldBlock) => Ok(false),
@@ -46,13 +46,13 @@
 }
 
 impl SharedFolder {
-    /// Opens the folder at this path; creates it if it does not exist.
+    /// Opens the folder at `path`; creates the folder if it does not exist.
     ///
     /// # Errors
     ///
     /// The folder cannot be created.
     pub fn open(path: &Path) -> Result<SharedFolder, TakeoverError> {
-        let error = |source| TakeoverError { path: path.to_path_buf(), problem: "no folder", source };
+        let error = |source| TakeoverError { path: path.to_path_buf(), problem: "cannot be created", source };
         std::fs::create_dir_all(path).map_err(error)?;
         Ok(SharedFolder(path.to_path_buf()))
     }
@@ -67,18 +67,18 @@
         opened.map_err(|source| TakeoverError { path, problem: "cannot be opened", source })
     }
 
-    /// Acquires a lock; `None` while another process holds it.
+    /// Acquires a lock; returns `None` while another process holds it.
     ///
     /// # Errors
     ///
     /// The file cannot be opened or locked.
     pub fn try_lock(&self, name: LockName) -> Result<Option<FolderLock>, TakeoverError> {
         let file = self.open_file(name.file_name())?;
-        let is_ours = acquired(file.try_lock()).map_err(|source| self.lock_error(name, source))?;
-        Ok(is_ours.then_some(FolderLock(file)))
+        let acquired = is_acquired(file.try_lock()).map_err(|source| self.lock_error(name, source))?;
+        Ok(acquired.then_some(FolderLock(file)))
     }
 
-    /// Acquires a lock, and blocks the thread until it is free: the kernel wakes it in that very moment.
+    /// Acquires a lock, and blocks the thread until it is free; the kernel wakes the thread without a delay from polling.
     ///
     /// # Errors
     ///
@@ -93,7 +93,7 @@
         TakeoverError { path: self.path_of(name.file_name()), problem: "cannot be locked", source }
     }
 
-    /// Asks for the folder; `None` while another process does. The request stands until the lock is dropped.
+    /// Requests the folder; returns `None` while another process requests it. The request holds until the lock is dropped.
     ///
     /// # Errors
     ///
@@ -104,7 +104,7 @@
         Ok(Some(lock))
     }
 
-    /// Replaces a request that may have expired.
+    /// Writes a new id for a request that may have expired.
     ///
     /// # Errors
     ///
@@ -118,7 +118,7 @@
         write().map_err(|source| TakeoverError { path, problem: "cannot be written", source })
     }
 
-    /// The request of another process.
+    /// Returns the id of another process's request, if there is one.
     pub fn pending_request(&self) -> Option<RequestId> {
         if !self.is_locked(LockName::Next) {
             return None;
@@ -127,9 +127,9 @@
         Some(text.parse().map_or(UNNAMED_REQUEST, RequestId))
     }
 
-    /// Whether another process holds the lock. One whose file does not exist or cannot be opened is held by none.
+    /// Returns whether another process holds the lock; `false` if the lock's file does not exist or cannot be opened.
     pub fn is_locked(&self, name: LockName) -> bool {
         let Ok(file) = File::open(self.path_of(name.file_name())) else { return false };
-        matches!(acquired(file.try_lock_shared()), Ok(false))
+        matches!(is_acquired(file.try_lock_shared()), Ok(false))
     }
 }
--- a/src/takeover/mod.rs
+++ b/src/takeover/mod.rs
@@ -1,14 +1,14 @@
-//! Takeover (hot restart): two processes share one lasting folder, and one at a time owns the journal. The successor asks
-//! for the folder, the predecessor releases the journal and finishes its calls in flight, and the successor reads how they
-//! ended. `state` decides; `lock` and `late_outcomes` are the files. Each file is locked by the kernel for one process, and
-//! a kill releases the lock. Design: `docs/design/takeover.md`.
+//! Takeover (hot restart): two processes share one state folder, and one of them at a time owns the journal. The successor
+//! requests the folder, the predecessor releases the journal and finishes its calls in flight, and the successor reads their
+//! outcomes. `state` makes the decisions; `lock` and `late_outcomes` manage the files. Each file is locked through the kernel
+//! by one process, so the lock is released even if that process is killed. Design: `docs/design/takeover.md`.
 //!
-//! | file | which process has its lock |
+//! | file | process that holds its lock |
 //! | --- | --- |
-//! | `owner` | the owner of the journal: no other process writes it |
-//! | `next` | a successor that asks for the folder, until it serves |
+//! | `owner` | the owner of the journal; no other process writes the journal |
+//! | `next` | a successor that requests the folder, until it serves |
 //! | `standby` | a predecessor that listens behind its successor |
-//! | `late` | a predecessor with calls in flight; the file has their outcomes |
+//! | `late` | a predecessor with calls in flight; the file contains their outcomes |
 #![warn(missing_docs)]
 mod late_outcomes;
 mod lock;
@@ -20,9 +20,9 @@
 use std::io;
 use std::path::PathBuf;
 
-/// A file of the takeover could not be used.
+/// An error on a file or folder that the processes of a takeover share.
 #[derive(Debug, thiserror::Error)]
-#[error("{path}: {problem}: {source}; see that this process may write the folder and that it has room")]
+#[error("{path}: {problem}: {source}; check that this process may write to the state folder and that the disk has space")]
 pub struct TakeoverError {
     path: PathBuf,
     problem: &'static str,
--- a/tests/forwarder.rs
+++ b/tests/forwarder.rs
@@ -390,7 +390,7 @@
     let mut daemon = setup(&disco, known).start();
     let mut kept = daemon.connect();
     daemon.terminate();
-    daemon.wait_log("told to end");
+    daemon.wait_log("SIGTERM received");
     assert_eq!(daemon.submit("stats", "e1"), 202);
     kept.write_all(&message("stats", "e2", "20000m", "")).expect("written");
     assert_eq!(read_http(&mut BufReader::new(kept)).map(|h| h.status()), Some(202));
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -58,7 +58,7 @@
     (0..6).for_each(|_| heard.recv_timeout(EVENT_TIMEOUT).expect("each client is served"));
     daemon.terminate();
     let told = Instant::now();
-    daemon.wait_log("told to end");
+    daemon.wait_log("SIGTERM received");
     let mut new = 0;
     while told.elapsed() < NEW_FOR {
         let status = submit(&daemon.connect(), "stats", &format!("new-{new}"));
@@ -154,7 +154,7 @@
     let client = daemon.connect();
     assert_eq!(submit(&client, "payout", "before"), Some(202));
     signals.iter().for_each(|signal| daemon.signal(signal));
-    daemon.wait_log("told to end");
+    daemon.wait_log("SIGTERM received");
     let told = Instant::now();
     let sent = sends_on(&client, "payout", "while");
     assert!(daemon.wait_exit(KILL_AFTER - told.elapsed()).success());
--- a/tests/takeover_order.rs
+++ b/tests/takeover_order.rs
@@ -116,7 +116,7 @@
     second.wait_log("waiting for it");
     sleep(LOOKS);
     first.terminate();
-    first.wait_log("told to end");
+    first.wait_log("SIGTERM received");
     drop(standby);
     second.wait_log("ready:");
     assert!(first.wait_exit(EVENT_TIMEOUT).success());
