--- a/src/check.rs
+++ b/src/check.rs
@@ -1,11 +1,11 @@
-//! `micaladder check`: reports all errors in all files that a start would read. Each package checks its own files.
+//! `micaladder check`: reports all errors in all files that the daemon reads at its start. Each module checks its own files.
 #![warn(missing_docs)]
 use crate::config_error::ConfigError;
 use crate::peers::credentials::CredentialFiles;
 use crate::{as2, flags, plugins, settings};
 
 /// Checks the configuration, the AS2 settings, the scripts and the peers' certificates, in this order, and returns all
-/// errors. Starts nothing and writes nothing.
+/// errors. Does not start the daemon or write files.
 pub fn check_files(files: &flags::FileFlags) -> Vec<ConfigError> {
     let (mut errors, deployment) = settings::check::check_file(&files.config);
     errors.extend(as2::check::check_file(&files.as2, deployment.as_ref()));
--- a/src/config_error.rs
+++ b/src/config_error.rs
@@ -1,8 +1,8 @@
 //! Errors in configuration files, located by file and key.
 //!
-//! The daemon parses its files leniently at start; [`explain_parse_failure`] says why that failed. `micaladder check`
-//! parses them strictly: every key must be known, and every error names its place. This module knows no file format;
-//! each package checks its own file with [`ConfigErrors`].
+//! At its start the daemon ignores unknown keys; if it cannot parse a file, [`explain_parse_failure`] locates the error.
+//! `micaladder check` also rejects unknown keys. This module is independent of the file formats: each module checks its own
+//! file with [`ConfigErrors`].
 #![warn(missing_docs)]
 use serde::de::DeserializeOwned;
 use std::collections::BTreeSet;
@@ -13,14 +13,14 @@
 #[cfg(test)]
 mod tests;
 
-/// One error in a configuration file. Its text reads `FILE: KEY: MESSAGE`.
+/// An error in a configuration file, displayed as `FILE: KEY: MESSAGE`.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub struct ConfigError {
     /// The file that contains the error.
     pub file: PathBuf,
-    /// The key, as `settings.classes[0].effect`; empty if the error concerns the whole file.
+    /// The key, for example `settings.classes[0].effect`; empty if the error concerns the whole file.
     pub key: String,
-    /// What is wrong and which values are allowed.
+    /// What is wrong, and the allowed values where that helps.
     pub message: String,
 }
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// Collects the errors of one file.
+/// A collector of the errors in one file.
 pub struct ConfigErrors<'a> {
     file: &'a Path,
     /// The errors found so far, in the order of the checks.
@@ -42,12 +42,12 @@
 }
 
 impl<'a> ConfigErrors<'a> {
-    /// An empty collection for `file`.
+    /// Creates an empty collector for `file`.
     pub fn new(file: &'a Path) -> ConfigErrors<'a> {
         ConfigErrors { file, errors: Vec::new() }
     }
 
-    /// Adds an error at `key`; an empty key stands for the whole file.
+    /// Adds an error at `key`; an empty key refers to the whole file.
     pub fn add(&mut self, key: impl Into<String>, message: impl fmt::Display) {
         let (file, key, message) = (self.file.into(), key.into(), message.to_string());
         self.errors.push(ConfigError { file, key, message });
@@ -60,10 +60,10 @@
         }
     }
 
-    /// Adds an error if there is a value and it is not one of `allowed`.
+    /// Adds an error if `value` is present and not one of `allowed`.
     pub fn require_one_of(&mut self, value: Option<&str>, allowed: &[&str], key: impl Into<String>) {
         if let Some(value) = value.filter(|v| !allowed.contains(v)) {
-            self.add(key, format!("{value:?} is none of {}", allowed.join(", ")));
+            self.add(key, format!("{value:?} is not one of {}", allowed.join(", ")));
         }
     }
 
@@ -73,7 +73,7 @@
         self.require(valid, key, format!("not a socket address: {text:?}"));
     }
 
-    /// Adds an error if there is a name and it is not one of `names`.
+    /// Adds an error if `name` is present and not one of `names`.
     pub fn require_known(
         &mut self, name: &Option<String>, names: &[String], key: impl Into<String>, message: &str,
     ) {
@@ -81,21 +81,21 @@
         self.require(known, key, message);
     }
 
-    /// Adds an error for each name that has occurred before; `key` gives the key of the name at an index.
+    /// Adds an error for each name that repeats an earlier one; `key` returns the key of the name at an index.
     pub fn reject_duplicates<'n>(
         &mut self, names: impl Iterator<Item = &'n str>, key: impl Fn(usize) -> String,
     ) {
         let mut seen = BTreeSet::new();
         for (index, name) in names.enumerate() {
             let is_new = seen.insert(name);
-            self.require(is_new, key(index), format!("{name:?} is there twice"));
+            self.require(is_new, key(index), format!("{name:?} occurs more than once"));
         }
     }
 
     /// Parses JSON strictly: adds the parse error, if any, and an error for each unknown key. `unused` lists the keys
-    /// that may be present although this program ignores them, with `[]` for any index.
+    /// that are allowed although this program ignores them, with `[]` for any index.
     ///
-    /// Returns the parsed value, also if unknown keys were found.
+    /// Returns the parsed value even if unknown keys were found.
     pub fn parse_json<T: DeserializeOwned>(&mut self, text: &str, unused: &[&str]) -> Option<T> {
         let mut ignored = Vec::new();
         let mut json = serde_json::Deserializer::from_str(text);
@@ -103,12 +103,12 @@
         let tracked = serde_path_to_error::Deserializer::new(&mut json, &mut track);
         let parsed =
             serde_ignored::deserialize(tracked, |path| ignored.push(with_brackets(&path.to_string())));
-        // Text behind the value is an error too.
+        // Trailing text after the value is an error too.
         let parsed = parsed.and_then(|value| json.end().map(|()| value));
         let value = match parsed {
             Ok(value) => Some(value),
             Err(error) => {
-                // A position that is not known yet and the document itself contribute no key.
+                // The path of the whole document is ".", and an undetermined position ends with "?": neither is part of a key.
                 let path = track.path().to_string();
                 self.add(path.trim_end_matches(['.', '?']), error);
                 None
@@ -116,13 +116,13 @@
         };
         for key in ignored {
             let allowed = unused.contains(&without_indices(&key).as_str());
-            self.require(allowed, key, "no such key");
+            self.require(allowed, key, "unknown key");
         }
         value
     }
 }
 
-/// Rewrites `a.?.0.b` as `a[0].b`; an optional value (`?`) contributes nothing to its path.
+/// Rewrites `a.?.0.b` as `a[0].b`; drops `?`, which marks an optional value.
 fn with_brackets(path: &str) -> String {
     let mut key = String::new();
     for part in path.split('.').filter(|p| *p != "?") {
@@ -154,14 +154,14 @@
     out
 }
 
-/// Explains why the text of `file` could not be parsed as `T`.
+/// Returns the error that prevents `text`, the content of `file`, from being parsed as `T`.
 pub fn explain_parse_failure<T: DeserializeOwned>(file: &Path, text: &str) -> ConfigError {
     let mut errors = ConfigErrors::new(file);
     let parsed: Option<T> = errors.parse_json(text, &[]);
     let first = errors.errors.into_iter().next();
     match (parsed, first) {
         (None, Some(error)) => error,
-        // The strict parser accepts the text, so it cannot name a place.
-        _ => ConfigError { file: file.into(), key: String::new(), message: "cannot be read".into() },
+        // This parser accepts the text, although the daemon's did not, so the error has no location.
+        _ => ConfigError { file: file.into(), key: String::new(), message: "cannot be parsed".into() },
     }
 }
--- a/src/config_error/tests.rs
+++ b/src/config_error/tests.rs
@@ -2,7 +2,7 @@
 use super::*;
 
 #[test]
-fn list_indices_in_keys_have_one_notation() {
+fn keys_show_list_indices_in_brackets() {
     assert_eq!(with_brackets("settings.classes.0.name"), "settings.classes[0].name");
     assert_eq!(with_brackets("settings.reporting.?.names"), "settings.reporting.names");
     assert_eq!(without_indices("settings.classes[12].name"), "settings.classes[].name");
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,15 +1,14 @@
 //! micaladder decides for a message forwarder which pending message goes to which endpoint, and when.
 //!
-//! The forwarder owns time, ids and the network. It makes one [`Balancer`] from its [`Settings`], and calls
-//! [`Balancer::handle`] with all [`Event`]s of a moment; the module takes them all in, decides once, and appends
-//! the [`Action`]s to carry out, in order. Times are [`Nanos`] on any clock that only moves forward. When the
-//! module asks for a [`Action::WakeAt`], call `handle` at that time with [`Event::Due`]; a wake-up that comes too
-//! often, or a little early, does no harm. Every [`Action::Send`] must be followed by exactly one
-//! [`Event::AttemptEnded`]. A message ends by an outcome marked `over` (or `Ok`), an [`Action::Reject`] or an
-//! [`Action::Fail`], and then the module sends nothing more for it.
+//! The forwarder manages time, ids and the network. It creates one [`Balancer`] from its [`Settings`] and calls
+//! [`Balancer::handle`] with all [`Event`]s that occur at the same time. The balancer processes them together, decides once, and
+//! appends the [`Action`]s to carry out, in order. Times are [`Nanos`] on any monotonic clock. After an [`Action::WakeAt`], call
+//! `handle` at that time with [`Event::Due`]; additional or slightly early calls are harmless. Every [`Action::Send`] must be
+//! followed by exactly one [`Event::AttemptEnded`]. A message is complete after an outcome that is `Ok` or marked `over`, an
+//! [`Action::Reject`] or an [`Action::Fail`]; the balancer then sends nothing more for it.
 //!
-//! A restart loses everything: make a new `Balancer` and report the endpoint list first. Messages of the old one are
-//! submitted again by the clients or, where the forwarder has stored them, come as [`Event::Resumed`].
+//! A balancer keeps its state only in memory. After a restart, create a new one and report the endpoint list first. Clients
+//! submit their pending messages again; a message that the forwarder has stored is reported as [`Event::Resumed`].
 //!
 //! ```
 //! use micaladder::*;
@@ -42,9 +41,9 @@
 //! assert!(actions.iter().all(|a| !matches!(a, Action::Send { .. })));
 //! ```
 //!
-//! The rest of the crate is the daemon's parts, so that tools, models and benchmarks drive what is shipped:
-//! [`core`] and [`journal`] without a wire, the wires themselves in [`client`] and [`upstream`], which meet in
-//! [`exchange`], and [`daemon`], which wires them together.
+//! The other modules are the daemon's parts, public so that tools, models and benchmarks run the shipped code. [`core`] and
+//! [`journal`] do no networking, [`client`] and [`upstream`] are the network sides, which [`exchange`] connects, and [`daemon`]
+//! assembles all parts.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 mod interface;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: reads the command line and runs what it asks for. The daemon itself is `micaladder::daemon`.
+//! The command-line program: parses its arguments and runs the requested command. The daemon itself is `micaladder::daemon`.
 #![forbid(unsafe_code)]
 use micaladder::config_error::ConfigError;
 use micaladder::flags::{self, Command, FileFlags, FleetCommand, RunFlags};
@@ -10,7 +10,7 @@
     let command = match flags::parse(std::env::args_os()) {
         Ok(command) => command,
         Err(message) => {
-            // Also the texts of --help and --version; a closed pipe is no reason to fail.
+            // `message` may also be the text of --help or --version; a failure to print it, as to a closed pipe, is ignored.
             let _ = message.print();
             return ExitCode::from(message.exit_code() as u8);
         }
@@ -32,13 +32,13 @@
     match daemon::run(flags) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            log::error!("cannot go on: {error}");
+            log::error!("cannot start or continue: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// Prints what is wrong, one line for each error.
+/// Checks the files and prints their errors, one per line.
 fn report_file_errors(files: &FileFlags) -> ExitCode {
     let errors: Vec<ConfigError> = check::check_files(files);
     if errors.is_empty() {
@@ -51,7 +51,7 @@
     ExitCode::FAILURE
 }
 
-/// Prints a running member's view of the fleet, once or each time that it changes.
+/// Prints a running member's view of the fleet, once or whenever it changes.
 fn show_fleet(command: &FleetCommand) -> ExitCode {
     let (query, interval) = match command {
         FleetCommand::Show(query) => (query, None),
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -1,12 +1,12 @@
-//! Reports all errors in the configuration file: unknown keys, unknown values and figures out of range.
+//! Reports all errors in the configuration file: unknown keys, unknown values and numbers out of range.
 use super::file::{ClassEntry, ConfigFile, DeploymentFile, EndpointListUpdate, FamilyInfo, TenantEntry};
 use super::{is_host_and_port, DeploymentSettings};
 use crate::config_error::{ConfigError, ConfigErrors};
 use std::path::Path;
 
-/// Less holds not even one message of 64 KiB beside the journal's reserve.
+/// Minimum of `limits.disk_mb`: less has no room for one message of 64 KiB beside the journal's reserve.
 const MIN_DISK_MB: f64 = 0.2;
-/// A third of the descriptors is for clients; fewer leave hardly any beside discovery, the endpoints and the files.
+/// Minimum of `limits.sockets`: clients get a third of the descriptors, and discovery, endpoints and files need the rest.
 const MIN_SOCKETS: u32 = 16;
 
 /// Keys of the platform's file that this program does not use, with `[]` for any index.
@@ -48,7 +48,7 @@
     "settings.valueBy",
 ];
 
-/// Checks the file. Returns all errors, and the deployment's settings where the file can be parsed.
+/// Checks the file. Returns all errors, and the deployment's settings if the file can be parsed.
 pub fn check_file(path: &Path) -> (Vec<ConfigError>, Option<DeploymentSettings>) {
     let mut errors = ConfigErrors::new(path);
     let text = match std::fs::read_to_string(path) {
@@ -67,7 +67,7 @@
     (errors.errors, Some(file.settings.into()))
 }
 
-/// Checks the keys of this one forwarder.
+/// Checks the keys that belong to this forwarder alone.
 fn check_process(file: &ConfigFile, errors: &mut ConfigErrors) {
     errors.require(!file.name.is_empty(), "name", "is empty");
     errors.require_socket_address(&file.listen, "listen");
@@ -75,13 +75,21 @@
         errors.require_socket_address(mgmt, "mgmt");
     }
     let discovery = &file.discovery;
-    errors.require(is_host_and_port(discovery), "discovery", format!("no address: {discovery:?}"));
+    errors.require(is_host_and_port(discovery), "discovery", format!("not HOST:PORT: {discovery:?}"));
     if u64::from_str_radix(&file.seed, 16).is_err() {
         errors.add("seed", format!("not up to 16 hexadecimal digits: {:?}", file.seed));
     }
     let limits = &file.limits;
-    errors.require(limits.disk_mb >= MIN_DISK_MB, "limits.disk_mb", "holds no message; 0.2 or more");
-    errors.require(limits.sockets >= MIN_SOCKETS, "limits.sockets", "leaves none for clients; 16 or more");
+    errors.require(
+        limits.disk_mb >= MIN_DISK_MB,
+        "limits.disk_mb",
+        "too small for a message; must be at least 0.2",
+    );
+    errors.require(
+        limits.sockets >= MIN_SOCKETS,
+        "limits.sockets",
+        "too few to serve clients; must be at least 16",
+    );
 }
 
 /// Checks the keys that all forwarders of the deployment share.
@@ -93,7 +101,7 @@
     check_modes(settings, errors);
     let zone = settings.my_zone.unwrap_or(0) as usize;
     let zone_count = settings.localities.len().max(1);
-    errors.require(zone < zone_count, "settings.myZone", "is no place in localities");
+    errors.require(zone < zone_count, "settings.myZone", "is not an index of settings.localities");
     let rules = &settings.rules;
     errors.require(rules.cold_capacity_share > 0.0, "settings.rules.coldFrom", "is not above 0");
     errors.require(rules.overload_multiple > 0.0, "settings.rules.fallMultiple", "is not above 0");
@@ -109,12 +117,12 @@
         errors.require_one_of(class.group.as_deref(), &["all", "zone", "cell"], key("group"));
         errors.require(class.deadline_ns > 0, key("deadlineNs"), "is 0");
         let objective_in_time = class.latency_objective_ns <= class.deadline_ns;
-        errors.require(objective_in_time, key("aimNs"), "is beyond deadlineNs");
+        errors.require(objective_in_time, key("aimNs"), "is greater than deadlineNs");
         let is_share = (0.0..=1.0).contains(&class.late_weight_share);
         errors.require(is_share, key("lateShare"), "is not from 0 to 1");
         errors.require(class.points >= 0.0, key("points"), "is below 0");
         let has_window = class.effect != "by_key" || class.window_ns.is_some();
-        errors.require(has_window, key("windowNs"), "is missing; a class by_key has one");
+        errors.require(has_window, key("windowNs"), "is missing; it is required if effect is by_key");
     }
 }
 
@@ -128,13 +136,13 @@
 
 fn check_family_info(info: &FamilyInfo, errors: &mut ConfigErrors) {
     errors.require_one_of(info.fades.as_deref(), &["line", "halves"], "settings.familyInfo.fades");
-    errors.require(info.workers > 0, "settings.familyInfo.workers", "is 0; nothing would be sent");
+    errors.require(info.workers > 0, "settings.familyInfo.workers", "is 0; no message would be sent");
 }
 
 fn check_limits(settings: &DeploymentFile, errors: &mut ConfigErrors) {
     let limits = &settings.limits;
-    errors.require(limits.max_pending > 0, "settings.limits.openCap", "is 0; nothing would be taken on");
-    errors.require(limits.max_attempts > 0, "settings.limits.mostTries", "is 0; nothing would be sent");
+    errors.require(limits.max_pending > 0, "settings.limits.openCap", "is 0; no message would be accepted");
+    errors.require(limits.max_attempts > 0, "settings.limits.mostTries", "is 0; no message would be sent");
     errors.require(settings.forwarders > 0, "settings.nInstances", "is 0");
 }
 
@@ -147,14 +155,14 @@
     errors.require_one_of(weight_kind, &["nominal", "rough", "off"], "settings.weightKind");
 }
 
-/// Checks the endpoint list at the start, against the zones and kinds that the settings name.
+/// Checks the initial endpoint list against the zones and kinds in the settings.
 fn check_endpoints(known: &EndpointListUpdate, settings: &DeploymentFile, errors: &mut ConfigErrors) {
     let uids = known.endpoints.iter().map(|e| e.uid.as_str());
     errors.reject_duplicates(uids, |i| format!("known.targets[{i}].uid"));
     for (i, endpoint) in known.endpoints.iter().enumerate() {
         let key = |k: &str| format!("known.targets[{i}].{k}");
         let address = &endpoint.address;
-        errors.require(is_host_and_port(address), key("endpoint"), format!("no address: {address:?}"));
+        errors.require(is_host_and_port(address), key("endpoint"), format!("not HOST:PORT: {address:?}"));
         errors.require_known(
             &endpoint.zone,
             &settings.localities,
--- a/src/settings/convert.rs
+++ b/src/settings/convert.rs
@@ -1,5 +1,4 @@
-//! Converts the file's `settings` into what the program uses. Values that are not known count as absent here; `check`
-//! reports them.
+//! Converts the file's `settings` into the program's types. An unknown value is treated as absent here; `check` reports it.
 use super::file::{ClassEntry, DeploymentFile, FamilyInfo};
 use super::DeploymentSettings;
 use crate::{Class, Effect, EndpointKind, IdempotencyScope, ListedRates, Nanos, Settings, ValueDecay};
@@ -70,7 +69,7 @@
             let scope = idempotency_scope(entry);
             Effect::IdempotentByKey { scope, window: Nanos(entry.window_ns.unwrap_or(0)) }
         }
-        // Guards against a second delivery: an unknown effect is never repeated.
+        // Prevents a second delivery: a message whose effect is unknown is not repeated.
         _ => Effect::AtMostOnce,
     }
 }
@@ -82,7 +81,8 @@
     }
 }
 
-/// The endpoint kinds: as many as are named or described, whichever is more.
+/// Returns the endpoint kinds. Their number is that of the names in `flavors` or of the entries in `kindApart`, whichever is
+/// greater.
 fn kinds(file: &DeploymentFile) -> Vec<EndpointKind> {
     let info = &file.family_info;
     let count = file.flavors.len().max(info.separate_routes.len());
@@ -104,7 +104,7 @@
     }
 }
 
-/// The longest time between two polls; `None` where discovery pushes its list.
+/// Returns the maximum time between two polls; `None` if discovery pushes its list.
 fn poll_interval(file: &DeploymentFile) -> Option<Nanos> {
     match file.registry_mode.as_deref() {
         Some("on_request") => Some(Nanos(file.rules.poll_interval_ns.unwrap_or(0))),
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,11 +1,12 @@
-//! Why a configuration cannot be used.
+//! Errors of a configuration that cannot be used.
 use crate::config_error::ConfigError;
 use std::io;
 use std::net::AddrParseError;
 use std::num::ParseIntError;
 use std::path::PathBuf;
 
-/// Why the configuration cannot be loaded. `micaladder check` reports the same errors, and more, by file and key.
+/// An error that prevents the configuration from being loaded. `micaladder check` reports these and further errors by file
+/// and key.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file cannot be read: correct `--config` or the file's permissions.
@@ -20,7 +21,7 @@
     #[error(transparent)]
     Parse(ConfigError),
     /// `discovery` is not `HOST:PORT`: correct the key, `--discovery` or `RELAY_DISCOVERY`.
-    #[error("discovery {address}: no address")]
+    #[error("discovery address {address}: not HOST:PORT")]
     DiscoveryAddress {
         /// The value in force, from the file or from the command line.
         address: String,
@@ -30,7 +31,7 @@
     ListenAddress {
         /// The value in force, from the file or from the command line.
         address: String,
-        /// What the parser rejected.
+        /// The parser's error.
         source: AddrParseError,
     },
     /// `mgmt` is not `IP:PORT`: correct the key, `--mgmt` or `RELAY_MGMT`.
@@ -38,7 +39,7 @@
     ManagementAddress {
         /// The value in force, from the file or from the command line.
         address: String,
-        /// What the parser rejected.
+        /// The parser's error.
         source: AddrParseError,
     },
     /// `seed` is not a number of up to 16 hexadecimal digits: correct the key.
@@ -46,7 +47,7 @@
     Seed {
         /// The value in the file.
         seed: String,
-        /// What the parser rejected.
+        /// The parser's error.
         source: ParseIntError,
     },
 }
--- a/src/settings/file.rs
+++ b/src/settings/file.rs
@@ -1,78 +1,78 @@
-//! The format of the platform's configuration file (JSON). Keys keep the platform's names; fields have the terms that
-//! this program uses. Keys that the program does not use are listed in `check`.
+//! The format of the platform's configuration file (JSON). Keys have the platform's names, and fields the terms of this
+//! program. `check` lists the keys that the program does not use.
 use super::error::SettingsError;
 use crate::config_error::explain_parse_failure;
 use miniserde::{json, Deserialize};
 use std::path::Path;
 
-/// The whole file.
+/// The configuration file.
 #[derive(Deserialize, serde::Deserialize)]
 pub(super) struct ConfigFile {
     /// The forwarder's name, the same after a restart.
     pub(super) name: String,
-    /// Where platform clients connect, `IP:PORT`.
+    /// The address for platform clients, `IP:PORT`.
     pub(super) listen: String,
     /// The discovery service, `HOST:PORT`.
     pub(super) discovery: String,
-    /// Seed of the random numbers, up to 16 hexadecimal digits.
+    /// Seed of the random number generator, up to 16 hexadecimal digits.
     pub(super) seed: String,
     pub(super) limits: ProcessLimits,
-    /// The operators' address, `IP:PORT`; absent: no management listener.
+    /// The address for operators, `IP:PORT`; if absent, there is no management listener.
     pub(super) mgmt: Option<String>,
     /// The endpoint list at the start.
     pub(super) known: EndpointListUpdate,
-    /// What all forwarders of the deployment share.
+    /// The settings that all forwarders of the deployment share.
     pub(super) settings: DeploymentFile,
 }
 
-/// `limits`: what the process may use.
+/// `limits`: resource limits of the process.
 #[derive(Deserialize, serde::Deserialize)]
 pub(super) struct ProcessLimits {
-    /// Megabytes (10^6 bytes) that the state directory may hold.
+    /// Maximum size of the state folder in megabytes (10^6 bytes).
     pub(super) disk_mb: f64,
-    /// File descriptors that the process may hold.
+    /// Maximum number of file descriptors of the process.
     pub(super) sockets: u32,
 }
 
-/// Discovery's endpoint list: all of it, or what changed.
+/// An update of the endpoint list: the complete list, or the changed endpoints.
 #[derive(Deserialize, serde::Deserialize, Clone)]
 pub struct EndpointListUpdate {
-    /// The list's revision; it grows with each change.
+    /// The list's revision, which increases with each change.
     #[serde(rename = "rev")]
     pub revision: u64,
-    /// Whether this is the complete list; otherwise only the endpoints that changed.
+    /// Whether `endpoints` is the complete list; otherwise only the endpoints that changed.
     #[serde(rename = "all")]
     pub complete: bool,
-    /// The endpoints of the list or of the change.
+    /// The complete list or the changed endpoints.
     #[serde(rename = "targets")]
     pub endpoints: Vec<ListedEndpoint>,
 }
 
-/// One endpoint of discovery's list.
+/// An endpoint in discovery's list.
 #[derive(Deserialize, serde::Deserialize, Clone)]
 pub struct ListedEndpoint {
-    /// The endpoint's identity, the same for as long as it lives.
+    /// The endpoint's identity, unchanged for its lifetime.
     pub uid: String,
-    /// Where it is reached, `HOST:PORT`.
+    /// The endpoint's address, `HOST:PORT`.
     #[serde(rename = "endpoint")]
     pub address: String,
-    /// The name of its zone.
+    /// The name of the endpoint's zone.
     #[serde(rename = "az")]
     pub zone: Option<String>,
-    /// The name of its kind.
+    /// The name of the endpoint's kind.
     #[serde(rename = "model")]
     pub kind: Option<String>,
-    /// The destination that it serves.
+    /// The destination that the endpoint serves.
     #[serde(rename = "pod_group")]
     pub destination: u64,
     /// `Ready`, `Terminating` or `Gone`.
     pub state: String,
-    /// Its listed rate; `settings.weightKind` says what it means.
+    /// The endpoint's listed rate; `settings.weightKind` gives its meaning.
     #[serde(rename = "capacity_hint")]
     pub rate: Option<f64>,
 }
 
-/// `settings`: what all forwarders of the deployment share.
+/// `settings`: the settings that all forwarders of the deployment share.
 #[derive(Deserialize, serde::Deserialize)]
 pub(super) struct DeploymentFile {
     pub(super) classes: Vec<ClassEntry>,
@@ -97,12 +97,12 @@
     #[serde(rename = "registryMode")]
     pub(super) registry_mode: Option<String>,
     pub(super) reporting: Option<Reporting>,
-    /// Shortest time between two batches of decisions, in nanoseconds.
+    /// Minimum time between two batches of decisions, in nanoseconds.
     #[serde(rename = "resolutionNs")]
     pub(super) resolution_ns: u64,
     pub(super) rules: Rules,
     pub(super) tenants: Vec<TenantEntry>,
-    /// What `capacity_hint` means: `nominal`, `rough` or `off`.
+    /// The meaning of `capacity_hint`: `nominal`, `rough` or `off`.
     #[serde(rename = "weightKind")]
     pub(super) weight_kind: Option<String>,
 }
@@ -124,7 +124,7 @@
     pub(super) fifo_by_key: Option<bool>,
     /// Scope of the idempotency key: `all`, `zone` or `cell`.
     pub(super) group: Option<String>,
-    /// Share of the priority weight that remains at the deadline, 0 to 1.
+    /// Share of the priority weight that remains at the deadline, from 0 to 1.
     #[serde(rename = "lateShare")]
     pub(super) late_weight_share: f64,
     /// Priority weight.
@@ -134,7 +134,7 @@
     pub(super) window_ns: Option<u64>,
 }
 
-/// `settings.familyInfo`: how the endpoints work.
+/// `settings.familyInfo`: properties of the endpoints, and the number of attempts in flight.
 #[derive(Deserialize, serde::Deserialize)]
 pub(super) struct FamilyInfo {
     /// How a late message's weight decays: `line` or `halves`.
@@ -142,23 +142,23 @@
     /// For each kind, whether its endpoints are separate routes, each with its own limit and faults.
     #[serde(rename = "kindApart")]
     pub(super) separate_routes: Vec<bool>,
-    /// For each kind, the most messages in one call.
+    /// For each kind, the maximum number of messages in one call.
     #[serde(rename = "perCall")]
     pub(super) max_batch: Vec<u32>,
-    /// For each zone, points for a message that a separate route there accepts.
+    /// For each zone, the cost in points of a message that a separate route there accepts.
     #[serde(rename = "routeFee")]
     pub(super) route_fee: Option<Vec<f64>>,
-    /// Attempts that this forwarder has in flight at once.
+    /// Maximum number of attempts that this forwarder has in flight at once.
     pub(super) workers: u32,
 }
 
 /// `settings.fees`: costs in points, the unit of the priority weights.
 #[derive(Deserialize, serde::Deserialize)]
 pub(super) struct Fees {
-    /// Points for an attempt that crosses zones.
+    /// Cost of an attempt to an endpoint in another zone.
     #[serde(rename = "crossZone")]
     pub(super) cross_zone: f64,
-    /// Points for a new connection.
+    /// Cost of a new connection.
     pub(super) handshake: f64,
 }
 
@@ -168,19 +168,19 @@
     /// Nanoseconds after which an idle connection to an endpoint closes.
     #[serde(rename = "connIdleNs")]
     pub(super) connection_idle_ns: u64,
-    /// Nanoseconds that a connect may take.
+    /// Timeout of a connect, in nanoseconds.
     #[serde(rename = "connectTimeoutNs")]
     pub(super) connect_timeout_ns: u64,
-    /// The longest Retry-After in a rejection, in nanoseconds.
+    /// Maximum Retry-After in a rejection, in nanoseconds.
     #[serde(rename = "maxRetryAfterNs")]
     pub(super) max_retry_after_ns: u64,
     /// Whether an attempt in flight may be cancelled.
     #[serde(rename = "mayCancel")]
     pub(super) may_cancel: bool,
-    /// The most attempts for a message.
+    /// Maximum number of attempts for a message.
     #[serde(rename = "mostTries")]
     pub(super) max_attempts: u32,
-    /// The most messages accepted and not complete.
+    /// Maximum number of messages that are accepted and not complete.
     #[serde(rename = "openCap")]
     pub(super) max_pending: u32,
     /// Whether rejections carry a Retry-After.
@@ -195,19 +195,19 @@
     pub(super) source: String,
 }
 
-/// `settings.rules`: figures of the delivery decisions.
+/// `settings.rules`: parameters of the delivery decisions.
 #[derive(Deserialize, serde::Deserialize)]
 pub(super) struct Rules {
-    /// Share of its capacity that an endpoint has at the start of its warm-up.
+    /// Share of its full capacity that an endpoint has at the start of its warm-up.
     #[serde(rename = "coldFrom")]
     pub(super) cold_capacity_share: f64,
-    /// Multiple of its present capacity beyond which an endpoint is overloaded.
+    /// Multiple of its current capacity above which an endpoint is overloaded.
     #[serde(rename = "fallMultiple")]
     pub(super) overload_multiple: f64,
-    /// Where the list is polled: the longest time between two polls, in nanoseconds.
+    /// Maximum time between two polls of the endpoint list, in nanoseconds, if it is polled.
     #[serde(rename = "mustAskInNs")]
     pub(super) poll_interval_ns: Option<u64>,
-    /// Pause of an ordering key after an attempt that may still run, in nanoseconds.
+    /// Pause of an ordering key after an attempt that may still be running, in nanoseconds.
     #[serde(rename = "orderPauseNs")]
     pub(super) ordering_pause_ns: Option<u64>,
     /// Duration of the warm-up, in nanoseconds.
@@ -227,7 +227,7 @@
     pub(super) quota_rps: f64,
 }
 
-/// Reads and parses the file; unknown keys are ignored.
+/// Reads and parses the file, ignoring unknown keys.
 pub(super) fn read(path: &Path) -> Result<ConfigFile, SettingsError> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| SettingsError::Read { path: path.to_path_buf(), source })?;
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,8 +1,8 @@
-//! The platform's configuration: read at the start and on SIGHUP, and converted into what the program uses.
+//! The platform's configuration: reads it at the start and on SIGHUP, and converts it into the types of the program.
 //!
-//! `file` is the file's format, `convert` turns its `settings` into [`DeploymentSettings`], `overrides` holds what the
-//! command line puts before the file's keys, `digest` identifies the shared settings among peers, and [`check`] reports
-//! all errors by key.
+//! `file` defines the file's format, `convert` turns its `settings` into [`DeploymentSettings`], `overrides` holds the values
+//! from the command line that replace keys of the file, `digest` lets peers compare their shared settings, and [`check`]
+//! reports all errors by key.
 #![warn(missing_docs)]
 pub mod check;
 mod convert;
@@ -31,30 +31,30 @@
 pub struct Config {
     /// The forwarder's name, the same after a restart.
     pub name: String,
-    /// Where platform clients connect.
+    /// The address for platform clients.
     pub listen: SocketAddr,
     /// The discovery service, `HOST:PORT`.
     pub discovery: String,
-    /// The operators' address; `None`: no management listener.
+    /// The address for operators; `None` disables the management listener.
     pub mgmt: Option<SocketAddr>,
-    /// The directory that outlives the process.
+    /// The state folder, which persists across restarts.
     pub state_dir: PathBuf,
-    /// Bytes that the state directory may hold.
+    /// Maximum size of the state folder in bytes.
     pub disk_limit: u64,
-    /// File descriptors that the process may hold.
+    /// Maximum number of file descriptors of the process.
     pub socket_limit: usize,
-    /// Seed of the random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
     /// The endpoint list at the start.
     pub initial_endpoints: EndpointListUpdate,
-    /// What all forwarders of the deployment share.
+    /// The settings that all forwarders of the deployment share.
     pub deployment: Arc<DeploymentSettings>,
     path: PathBuf,
     overrides: CommandLineOverrides,
 }
 
-/// The settings that all forwarders of a deployment share: the decision module's, and the names that are used on the
-/// wire for the module's indices.
+/// The settings that all forwarders of a deployment share: those of the decision module, and the names that stand for its
+/// indices on the wire.
 #[derive(PartialEq)]
 pub struct DeploymentSettings {
     /// The decision module's settings.
@@ -67,16 +67,16 @@
     pub zones: Vec<String>,
     /// Names of the endpoint kinds, by index.
     pub kinds: Vec<String>,
-    /// How long a connect to an endpoint may take.
+    /// Timeout of a connect to an endpoint.
     pub connect_timeout: Nanos,
 }
 
 impl DeploymentSettings {
-    /// Number of forwarders that poll the same discovery service, by which polls are spread over time.
+    /// Returns the number of forwarders that poll the same discovery service, over which polls are spread in time.
     ///
-    /// A pushed list is available to each forwarder at no cost to the others, and its endpoints count as notified as
-    /// soon as it changes, so a forwarder that waited for its turn would keep sending to endpoints that drain: the
-    /// number is 1.
+    /// The number is 1 if discovery pushes its list. A pushed list reaches each forwarder at no cost to the others, and its
+    /// endpoints count as notified as soon as it changes, so a forwarder that waited to spread the load would keep sending to
+    /// draining endpoints.
     pub fn polling_forwarders(&self) -> usize {
         match self.module.poll_interval {
             Some(_) => self.module.forwarders,
@@ -98,7 +98,7 @@
         Config::new(path, run.state.clone(), file, overrides)
     }
 
-    /// Reads the same file again. What took precedence over its keys at the start still does.
+    /// Reads the same file again. Values that took precedence over its keys at the start still do.
     ///
     /// # Errors
     ///
@@ -108,21 +108,22 @@
         Config::new(self.path.clone(), self.state_dir.clone(), file, self.overrides.clone())
     }
 
-    /// The keys in which `fresh` differs and that only take effect after a restart. `seed` and `known` are not among
-    /// them: they only count at a start.
-    pub fn keys_needing_restart(&self, fresh: &Config) -> Vec<&'static str> {
-        let limits_differ = self.disk_limit != fresh.disk_limit || self.socket_limit != fresh.socket_limit;
+    /// Returns the keys in which `reloaded` differs and that take effect only after a restart. `seed` and `known` are not
+    /// included, because they are used only at the start.
+    pub fn keys_needing_restart(&self, reloaded: &Config) -> Vec<&'static str> {
+        let limits_differ =
+            self.disk_limit != reloaded.disk_limit || self.socket_limit != reloaded.socket_limit;
         let differences = [
-            ("name", self.name != fresh.name),
-            ("listen", self.listen != fresh.listen),
-            ("mgmt", self.mgmt != fresh.mgmt),
+            ("name", self.name != reloaded.name),
+            ("listen", self.listen != reloaded.listen),
+            ("mgmt", self.mgmt != reloaded.mgmt),
             ("limits", limits_differ),
-            ("settings", self.deployment != fresh.deployment),
+            ("settings", self.deployment != reloaded.deployment),
         ];
         differences.into_iter().filter(|(_, differs)| *differs).map(|(key, _)| key).collect()
     }
 
-    /// A digest of the settings that all forwarders of a deployment share, independent of the order and layout of the
+    /// Returns a digest of the settings that all forwarders of a deployment share, independent of the order and layout of the
     /// file's keys; 0 if the file can no longer be read.
     pub fn digest(&self) -> u64 {
         digest::deployment_digest(&self.path)
@@ -131,16 +132,16 @@
     fn new(
         path: PathBuf, state_dir: PathBuf, file: ConfigFile, overrides: CommandLineOverrides,
     ) -> Result<Config, SettingsError> {
-        let in_force = overrides.clone();
-        let discovery = in_force.discovery.unwrap_or(file.discovery);
-        let listen = in_force.listen.unwrap_or(file.listen);
-        let mgmt = in_force.mgmt.or(file.mgmt);
-        // Guards a reload: an address that cannot work must be found here, while the old one is still in use.
+        let overridden = overrides.clone();
+        let discovery = overridden.discovery.unwrap_or(file.discovery);
+        let listen = overridden.listen.unwrap_or(file.listen);
+        let mgmt = overridden.mgmt.or(file.mgmt);
+        // Validated here so that a reload rejects an unusable address while the current one stays in use.
         if !is_host_and_port(&discovery) {
             return Err(SettingsError::DiscoveryAddress { address: discovery });
         }
         Ok(Config {
-            name: in_force.name.unwrap_or(file.name),
+            name: overridden.name.unwrap_or(file.name),
             listen: parse_listen(listen)?,
             discovery,
             mgmt: mgmt.map(parse_mgmt).transpose()?,
@@ -168,7 +169,7 @@
     u64::from_str_radix(&seed, 16).map_err(|source| SettingsError::Seed { seed, source })
 }
 
-/// Whether the text is `HOST:PORT`.
+/// Returns whether the text is `HOST:PORT`.
 fn is_host_and_port(text: &str) -> bool {
     let Ok(authority) = text.parse::<Authority>() else { return false };
     authority.port_u16().is_some()
--- a/src/settings/overrides.rs
+++ b/src/settings/overrides.rs
@@ -2,7 +2,8 @@
 use super::file::ConfigFile;
 use crate::flags::RunFlags;
 
-/// What takes precedence over the file's keys. It is settled once, at the start, and stays in force over reloads.
+/// The values that take precedence over the file's keys. They are determined once, at the start, and stay in force across
+/// reloads.
 #[derive(Clone)]
 pub(super) struct CommandLineOverrides {
     pub(super) name: Option<String>,
@@ -12,7 +13,7 @@
 }
 
 impl CommandLineOverrides {
-    /// The flags, and those variables that differ from the file's keys (see `RunFlags::override_for`).
+    /// Collects the flags, and the variables that differ from the file's keys (see `RunFlags::override_for`).
     pub(super) fn new(run: &RunFlags, file: &ConfigFile) -> CommandLineOverrides {
         let listen = run.listen.map(|address| address.to_string());
         let mgmt = run.mgmt.map(|address| address.to_string());
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -43,8 +43,8 @@
 
 #[rstest]
 #[case::half(",\"weightKind\":\"nominal\"}}", "", "settings: EOF while parsing an object")]
-#[case::unknown("\"points\":2.0", "\"points\":2.0,\"point\":3", "settings.classes[1].point: no such key")]
-#[case::unknown_at_the_top("\"name\":\"example\"", "\"name\":\"example\",\"naem\":1", "naem: no such key")]
+#[case::unknown("\"points\":2.0", "\"points\":2.0,\"point\":3", "settings.classes[1].point: unknown key")]
+#[case::unknown_at_the_top("\"name\":\"example\"", "\"name\":\"example\",\"naem\":1", "naem: unknown key")]
 #[case::kind(
     "\"points\":2.0",
     "\"points\":\"two\"",
@@ -54,26 +54,30 @@
 #[case::word(
     "\"effect\":\"repeatable\"",
     "\"effect\":\"twice\"",
-    "settings.classes[1].effect: \"twice\" is none of"
+    "settings.classes[1].effect: \"twice\" is not one of"
 )]
 #[case::range("\"lateShare\":0.3", "\"lateShare\":3", "settings.classes[2].lateShare: is not from 0 to 1")]
 #[case::aim(
     "\"aimNs\":2000000000",
     "\"aimNs\":21000000000",
-    "settings.classes[2].aimNs: is beyond deadlineNs"
+    "settings.classes[2].aimNs: is greater than deadlineNs"
 )]
 #[case::window(",\"windowNs\":25000000000", "", "settings.classes[0].windowNs: is missing")]
 #[case::twice(
     "\"stats-push\"",
     "\"episode-sync\"",
-    "settings.classes[1].name: \"episode-sync\" is there twice"
+    "settings.classes[1].name: \"episode-sync\" occurs more than once"
 )]
 #[case::listen("127.0.0.1:9000", "localhost", "listen: not a socket address: \"localhost\"")]
-#[case::discovery("\"discovery\":\"127.0.0.1:9100\"", "\"discovery\":\"there\"", "discovery: no address")]
+#[case::discovery(
+    "\"discovery\":\"127.0.0.1:9100\"",
+    "\"discovery\":\"there\"",
+    "discovery: not HOST:PORT: \"there\""
+)]
 #[case::seed("8c1f30d27a5be964", "seed", "seed: not up to 16 hexadecimal digits: \"seed\"")]
 #[case::workers("\"workers\":4", "\"workers\":0", "settings.familyInfo.workers: is 0")]
-#[case::disk("\"disk_mb\":3", "\"disk_mb\":0.1", "limits.disk_mb: holds no message")]
-#[case::state("\"Ready\"", "\"Redy\"", "known.targets[0].state: \"Redy\" is none of Ready")]
+#[case::disk("\"disk_mb\":3", "\"disk_mb\":0.1", "limits.disk_mb: too small for a message")]
+#[case::state("\"Ready\"", "\"Redy\"", "known.targets[0].state: \"Redy\" is not one of Ready")]
 #[case::zone("\"az\":\"here\"", "\"az\":\"there\"", "known.targets[0].az: is not in settings.localities")]
 fn an_error_names_its_file_and_key(#[case] from: &str, #[case] to: &str, #[case] wanted: &str) {
     let (output, path) = check(from, to);
@@ -102,12 +106,12 @@
     for wanted in [
         "config.json: settings.familyInfo.workers: is 0",
         "config.json: settings.classes[1].points: is below 0",
-        "as2.json: partners[0].colour: no such key",
+        "as2.json: partners[0].colour: unknown key",
         "as2.json: receipt_url: not a URL",
         "as2.json: key: none.pem: ",
         "as2.json: partners[0].certificate: bank.pem: ",
         "as2.json: partners[0].url: is missing",
-        "as2.json: partners[0].receipt: \"later\" is none of sync, async",
+        "as2.json: partners[0].receipt: \"later\" is not one of sync, async",
         "as2.json: partners[0].forward_to: class, tenant and forward_to go together",
         "as2.json: partners[0].class: is no class of the configuration",
         "bad.rhai: ",
@@ -155,7 +159,9 @@
     let state = folder.path().to_string_lossy().into_owned();
     let output = run_program(&["run", "--config", &path, "--state", &state], &[]);
     assert_eq!(output.status.code(), Some(1));
-    let wanted = format!("cannot go on: {path}: settings.familyInfo.workers: invalid type: string \"four\"");
+    let wanted = format!(
+        "cannot start or continue: {path}: settings.familyInfo.workers: invalid type: string \"four\""
+    );
     assert!(text(&output.stderr).contains(&wanted), "{}", text(&output.stderr));
 }
 
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -39,10 +39,10 @@
 
 /// An unusable file leaves the old configuration in force; so does a variable that overrides the key.
 #[rstest]
-#[case::no_json("{\"name\"", "{\"name", &[], "not reloaded, the old one stays")]
-#[case::no_address("\"discovery\":\"", "\"discovery\":\"nowhere at all ", &[], "not reloaded, the old one stays")]
+#[case::no_json("{\"name\"", "{\"name", &[], "not reloaded, the current one stays in force")]
+#[case::no_address("\"discovery\":\"", "\"discovery\":\"nowhere at all ", &[], "not reloaded, the current one stays in force")]
 #[case::variable("\"discovery\":\"", "\"discovery\":\"127.0.0.1:1\",\"was\":\"", &["RELAY_DISCOVERY"], "configuration reloaded")]
-#[case::fixed("\"disk_mb\":3", "\"disk_mb\":4", &[], "a new limits needs a restart")]
+#[case::fixed("\"disk_mb\":3", "\"disk_mb\":4", &[], "the change of limits takes effect only after a restart")]
 fn an_unusable_or_overridden_change_leaves_the_configuration_in_force(
     #[case] from: &str, #[case] to: &str, #[case] set: &[&str], #[case] line: &str,
 ) {
