--- a/src/daemon/ownership.rs
+++ b/src/daemon/ownership.rs
@@ -16,7 +16,7 @@
     /// The owner's lock.
     pub(super) lock: FolderLock,
     /// The request for the folder. It must be held until this process serves, because the predecessor takes the journal back
-    /// if its successor neither owns nor requests it.
+    /// from a successor that neither owns nor requests it.
     pub(super) request: Option<FolderLock>,
     /// The listener for platform clients.
     pub(super) listener: TcpListener,
@@ -60,7 +60,7 @@
         Ok(Some(Request { lock, granted }))
     }
 
-    /// Replaces the request by one with a new id.
+    /// Gives the request a new id, because the predecessor ignores an expired one.
     fn renew(&self, folder: &SharedFolder) -> Result<(), DaemonError> {
         log::warn!(
             "this process was suspended and its request for the folder may have expired: requesting it again"
@@ -135,7 +135,7 @@
     }
 }
 
-/// Completes the acquisition: ends the standby and opens the client listener unless it is already open.
+/// Completes the acquisition: releases the standby lock and opens the client listener unless it is already open.
 fn start_owning(
     config: &Config, process: &mut Process, lock: FolderLock, request: Option<FolderLock>,
 ) -> Result<Ownership, DaemonError> {
@@ -151,7 +151,7 @@
 
 fn observe(folder: &SharedFolder) -> Observed {
     let request = folder.pending_request();
-    // Without a request, the caller tries the lock itself, which answers the same question.
+    // Without a request, `poll_owner_lock` tries the lock itself, which shows whether another process owns it.
     let owned_by_other = request.is_some() && folder.is_locked(LockName::Owner);
     Observed { request, owned_by_other, ..Observed::default() }
 }
--- a/src/daemon/serving.rs
+++ b/src/daemon/serving.rs
@@ -190,7 +190,7 @@
     Ok(Some(late_outcomes))
 }
 
-/// Waits until another process owns the folder, which then listens at once, or until [`LAST_ANSWERS_DELAY`] has passed.
+/// Waits until a successor owns the folder, and therefore listens, or until [`LAST_ANSWERS_DELAY`] has passed.
 async fn wait_for_owner(folder: &SharedFolder) {
     let deadline = Instant::now() + LAST_ANSWERS_DELAY;
     while !folder.is_locked(LockName::Owner) && Instant::now() < deadline {
--- a/src/daemon/startup.rs
+++ b/src/daemon/startup.rs
@@ -47,8 +47,8 @@
     });
     let (exchange, outputs) = Exchange::new(core);
     let Outputs { upstream_commands, platform_callbacks, as2_receipts } = outputs;
-    let known = discovery::endpoints(&config.deployment, &config.initial_endpoints);
-    exchange.update_endpoints(EndpointUpdate::Complete(known));
+    let initial_endpoints = discovery::endpoints(&config.deployment, &config.initial_endpoints);
+    exchange.update_endpoints(EndpointUpdate::Complete(initial_endpoints));
     if let Some(reader) = late_outcomes {
         tokio::spawn(follow_predecessor(reader, exchange.clone()));
     }
@@ -63,7 +63,7 @@
     Ok(Parts { exchange, fleet: discovery.fleet, limiter })
 }
 
-/// Returns whether a predecessor may still have calls in flight, which is so if it left a file of late outcomes.
+/// Returns the status of the predecessor. A predecessor that left late outcomes may still have calls in flight.
 fn predecessor(late_outcomes: Option<&LateOutcomeReader>) -> Predecessor {
     match late_outcomes {
         Some(_) => Predecessor::MayHaveCalls,
@@ -103,13 +103,13 @@
     let changes = peers::LocalChanges { list_version, discovery_address: address.clone() };
     let fleet = peers::start(&flags.files.peers, config, exchange, changes);
     tokio::spawn(reload::run(config.clone(), hangup, address_sender));
-    let known = discovery::EndpointListState {
+    let initial_list = discovery::EndpointListState {
         version: config.initial_endpoints.revision,
         can_serve: !config.initial_endpoints.endpoints.is_empty(),
         published_version: version_sender,
     };
     let deployment = config.deployment.clone();
-    tokio::spawn(discovery::run(deployment, known, address.clone(), exchange.clone(), config.seed));
+    tokio::spawn(discovery::run(deployment, initial_list, address.clone(), exchange.clone(), config.seed));
     DiscoveryParts { address, fleet }
 }
 
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -6,7 +6,8 @@
 
 /// Minimum of `limits.disk_mb`: less has no room for one message of 64 KiB beside the journal's reserve.
 const MIN_DISK_MB: f64 = 0.2;
-/// Minimum of `limits.sockets`: clients get a third of the descriptors, and discovery, endpoints and files need the rest.
+/// Minimum of `limits.sockets`: clients get a third of the descriptors, and discovery, the endpoints and the files need the
+/// rest. Fewer would leave hardly any for clients.
 const MIN_SOCKETS: u32 = 16;
 
 /// Keys of the platform's file that this program does not use, with `[]` for any index.
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration: reads it at the start and on SIGHUP, and converts it into the types of the program.
+//! Reads the platform's configuration at the start and on SIGHUP, and converts it into the types of the program.
 //!
 //! `file` defines the file's format, `convert` turns its `settings` into [`DeploymentSettings`], `overrides` holds the values
 //! from the command line that replace keys of the file, `digest` lets peers compare their shared settings, and [`check`]
--- a/src/takeover/lock.rs
+++ b/src/takeover/lock.rs
@@ -5,8 +5,8 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// The id of a request without one, as earlier versions of this program write it.
-const UNNAMED_REQUEST: RequestId = RequestId(0);
+/// The id assumed for a request whose file contains none; earlier versions of this program write such requests.
+const REQUEST_WITHOUT_ID: RequestId = RequestId(0);
 
 /// The state folder, as the processes of a takeover share it.
 #[derive(Clone)]
@@ -124,7 +124,7 @@
             return None;
         }
         let text = std::fs::read_to_string(self.path_of(LockName::Next.file_name())).unwrap_or_default();
-        Some(text.parse().map_or(UNNAMED_REQUEST, RequestId))
+        Some(text.parse().map_or(REQUEST_WITHOUT_ID, RequestId))
     }
 
     /// Returns whether another process holds the lock; `false` if the lock's file does not exist or cannot be opened.
