--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -43,8 +43,8 @@
 
 #[rstest]
 #[case::truncated(",\"weightKind\":\"nominal\"}}", "", "settings: EOF while parsing an object")]
-#[case::unknown_key("\"points\":2.0", "\"points\":2.0,\"point\":3", "settings.classes[1].point: no such key")]
-#[case::unknown_top_level_key("\"name\":\"example\"", "\"name\":\"example\",\"naem\":1", "naem: no such key")]
+#[case::unknown_key("\"points\":2.0", "\"points\":2.0,\"point\":3", "settings.classes[1].point: unknown key")]
+#[case::unknown_top_level_key("\"name\":\"example\"", "\"name\":\"example\",\"naem\":1", "naem: unknown key")]
 #[case::wrong_type(
     "\"points\":2.0",
     "\"points\":\"two\"",
@@ -54,7 +54,7 @@
 #[case::unknown_value(
     "\"effect\":\"repeatable\"",
     "\"effect\":\"twice\"",
-    "settings.classes[1].effect: \"twice\" is none of"
+    "settings.classes[1].effect: \"twice\" is not one of"
 )]
 #[case::out_of_range(
     "\"lateShare\":0.3",
@@ -64,24 +64,28 @@
 #[case::objective_beyond_deadline(
     "\"aimNs\":2000000000",
     "\"aimNs\":21000000000",
-    "settings.classes[2].aimNs: is beyond deadlineNs"
+    "settings.classes[2].aimNs: is greater than deadlineNs"
 )]
 #[case::missing_window(",\"windowNs\":25000000000", "", "settings.classes[0].windowNs: is missing")]
 #[case::duplicate_name(
     "\"stats-push\"",
     "\"episode-sync\"",
-    "settings.classes[1].name: \"episode-sync\" is there twice"
+    "settings.classes[1].name: \"episode-sync\" occurs more than once"
 )]
 #[case::invalid_listen_address("127.0.0.1:9000", "localhost", "listen: not a socket address: \"localhost\"")]
 #[case::invalid_discovery_address(
     "\"discovery\":\"127.0.0.1:9100\"",
     "\"discovery\":\"there\"",
-    "discovery: no address"
+    "discovery: not HOST:PORT: \"there\""
 )]
 #[case::invalid_seed("8c1f30d27a5be964", "seed", "seed: not up to 16 hexadecimal digits: \"seed\"")]
 #[case::no_workers("\"workers\":4", "\"workers\":0", "settings.familyInfo.workers: is 0")]
-#[case::too_little_disk("\"disk_mb\":3", "\"disk_mb\":0.1", "limits.disk_mb: holds no message")]
-#[case::unknown_endpoint_state("\"Ready\"", "\"Redy\"", "known.targets[0].state: \"Redy\" is none of Ready")]
+#[case::too_little_disk("\"disk_mb\":3", "\"disk_mb\":0.1", "limits.disk_mb: too small for a message")]
+#[case::unknown_endpoint_state(
+    "\"Ready\"",
+    "\"Redy\"",
+    "known.targets[0].state: \"Redy\" is not one of Ready"
+)]
 #[case::unknown_zone(
     "\"az\":\"here\"",
     "\"az\":\"there\"",
@@ -114,12 +118,12 @@
     for expected in [
         "config.json: settings.familyInfo.workers: is 0",
         "config.json: settings.classes[1].points: is below 0",
-        "as2.json: partners[0].colour: no such key",
+        "as2.json: partners[0].colour: unknown key",
         "as2.json: receipt_url: not a URL",
         "as2.json: key: none.pem: ",
         "as2.json: partners[0].certificate: bank.pem: ",
         "as2.json: partners[0].url: is missing",
-        "as2.json: partners[0].receipt: \"later\" is none of sync, async",
+        "as2.json: partners[0].receipt: \"later\" is not one of sync, async",
         "as2.json: partners[0].forward_to: class, tenant and forward_to go together",
         "as2.json: partners[0].class: is no class of the configuration",
         "bad.rhai: ",
@@ -168,8 +172,9 @@
     let state = folder.path().to_string_lossy().into_owned();
     let output = run_program(&["run", "--config", &path, "--state", &state], &[]);
     assert_eq!(output.status.code(), Some(1));
-    let expected =
-        format!("cannot go on: {path}: settings.familyInfo.workers: invalid type: string \"four\"");
+    let expected = format!(
+        "cannot start or continue: {path}: settings.familyInfo.workers: invalid type: string \"four\""
+    );
     assert!(text(&output.stderr).contains(&expected), "{}", text(&output.stderr));
 }
 
