--- a/crates/lab/tests/scenarios/mod.rs
+++ b/crates/lab/tests/scenarios/mod.rs
@@ -1,7 +1,7 @@
 //! The fleet's hard cases in virtual time: each from a seed, each with a bound. A scenario panics where it does not hold.
 #![allow(dead_code)]
 use micaladder::fleet::member::{Member, MAX_MEMBERS};
-use micaladder::fleet::node::{crash_detection_bound, dissemination_bound, GREETING_INTERVAL};
+use micaladder::fleet::node::{crash_detection_bound, dissemination_bound, ANNOUNCE_INTERVAL};
 use micaladder::fleet::partition::{PartitionSide, AGREEMENT_DELAY};
 use micaladder::fleet::view::MemberState;
 use micaladder::fleet::wire::{encode, group_tag, Attributes, Header, Message, Record};
@@ -84,7 +84,7 @@
         assert_eq!(dead, 8, "silent, and no more is known");
     }
     network.heal();
-    assert_settles(&mut network, &all, GREETING_INTERVAL * 3);
+    assert_settles(&mut network, &all, ANNOUNCE_INTERVAL * 3);
     network.run_for(AGREEMENT_DELAY + secs(3));
     for member in &all {
         let view = network.view(*member);
@@ -118,7 +118,7 @@
     }
     assert!(many.iter().all(|member| network.view(*member).side == PartitionSide::Majority));
     network.heal();
-    assert_settles(&mut network, &all, GREETING_INTERVAL * 3);
+    assert_settles(&mut network, &all, ANNOUNCE_INTERVAL * 3);
 }
 
 /// One member cannot reach another that all others reach: it stays present for all.
@@ -196,7 +196,7 @@
         network.start(*member);
         network.run_for(Duration::from_millis(80));
     }
-    assert_settles(&mut network, &all[2..], GREETING_INTERVAL * 4);
+    assert_settles(&mut network, &all[2..], ANNOUNCE_INTERVAL * 4);
 }
 
 /// The seeds run and nobody reaches them: a member that starts finds the others by its snapshot, and the seeds once they
@@ -208,7 +208,7 @@
     network.start(5);
     assert_settles(&mut network, &all[2..], secs(12));
     network.heal();
-    assert_settles(&mut network, &all, GREETING_INTERVAL * 3);
+    assert_settles(&mut network, &all, ANNOUNCE_INTERVAL * 3);
 }
 
 /// With a lost folder and a clock that was set back, a member starts below the incarnation that the others know.
--- a/src/fleet/fault_injection.rs
+++ b/src/fleet/fault_injection.rs
@@ -15,11 +15,11 @@
     /// Suspicions do not expire.
     SuspicionNeverExpires,
     /// Remembered members are not greeted, only the seed addresses.
-    RememberedNotGreeted,
+    RememberedNotAnnounced,
     /// Views are not compared, so that lost records stay lost.
     ViewsNotCompared,
     /// A member that leaves does not announce it.
-    SilentGoodbye,
+    LeaveNotAnnounced,
     /// Silent members are dropped from the quorum base.
     SilenceShrinksQuorumBase,
     /// A member that joins agrees on a fleet with a minority.
@@ -43,9 +43,9 @@
     Defect::SuspicionRestarts,
     Defect::SuspicionExpiresEarly,
     Defect::SuspicionNeverExpires,
-    Defect::RememberedNotGreeted,
+    Defect::RememberedNotAnnounced,
     Defect::ViewsNotCompared,
-    Defect::SilentGoodbye,
+    Defect::LeaveNotAnnounced,
     Defect::SilenceShrinksQuorumBase,
     Defect::JoinerFoundsFleet,
     Defect::OldRecordsAccepted,
--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -21,10 +21,10 @@
 /// authenticated changes without one.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(250);
 /// The goodbye is sent this often, as datagrams may be lost.
-const GOODBYE_ROUNDS: u32 = 4;
-const GOODBYE_INTERVAL: Duration = Duration::from_millis(30);
+const LEAVE_ROUNDS: u32 = 4;
+const LEAVE_INTERVAL: Duration = Duration::from_millis(30);
 /// A process that ends waits this long for its goodbyes.
-const GOODBYE_TIMEOUT: Duration = Duration::from_secs(1);
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Commands that wait for the node; a sender waits while there are more.
 const MAX_WAITING_COMMANDS: usize = 64;
 /// Size of the receive buffer: the largest UDP datagram, so that a longer one than ours is noticed and not cut off.
@@ -98,11 +98,11 @@
         self.send(Command::Drain).await;
     }
 
-    /// Leaves the fleet. Returns once the goodbyes are sent, or after `GOODBYE_TIMEOUT`.
+    /// Leaves the fleet. Returns once the goodbyes are sent, or after `LEAVE_TIMEOUT`.
     pub async fn leave(&self) {
         let (reply, sent) = oneshot::channel();
         if self.commands.send(Command::Leave(reply)).await.is_ok() {
-            let _ = timeout(GOODBYE_TIMEOUT, sent).await;
+            let _ = timeout(LEAVE_TIMEOUT, sent).await;
         }
     }
 
@@ -123,7 +123,7 @@
         node,
         epoch,
         known_members,
-        published_digest: None,
+        last_published_digest: None,
         snapshot: SnapshotWriter::new(snapshot),
     };
     driver.run(commands).await;
@@ -142,7 +142,7 @@
     epoch: Instant,
     known_members: watch::Sender<Arc<KnownMembers>>,
     /// The view's digest when the known members were last published.
-    published_digest: Option<u64>,
+    last_published_digest: Option<u64>,
     snapshot: SnapshotWriter,
 }
 
@@ -151,7 +151,7 @@
         let mut publish_ticks = interval(PUBLISH_INTERVAL);
         publish_ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut buffer = vec![0; RECEIVE_BUFFER_BYTES];
-        let mut goodbye_reply = None;
+        let mut leave_reply = None;
         while !self.node.has_withdrawn() {
             self.flush().await;
             let snapshot_due = self.snapshot.due_at;
@@ -170,13 +170,13 @@
                 command = commands.recv() => match self.handle_command(command) {
                     Flow::Continue => {}
                     Flow::Leave(reply) => {
-                        goodbye_reply = reply;
+                        leave_reply = reply;
                         break;
                     }
                 },
             }
         }
-        self.leave(goodbye_reply).await;
+        self.leave(leave_reply).await;
     }
 
     /// Sends what the last event has caused, and publishes a view that has changed.
@@ -185,8 +185,8 @@
         self.snapshot.store.raise_incarnation(self.node.local_member().incarnation);
         let outgoing = self.node.take_outgoing();
         send_all(&self.socket, &outgoing).await;
-        if self.published_digest != Some(self.node.digest()) {
-            self.published_digest = Some(self.node.digest());
+        if self.last_published_digest != Some(self.node.digest()) {
+            self.last_published_digest = Some(self.node.digest());
             self.publish_members();
             self.snapshot.schedule();
         }
@@ -245,10 +245,10 @@
         log::info!("neighbours: goodbye");
         let present = self.node.available_members();
         self.known_members.send_replace(Arc::default());
-        let goodbyes = self.node.leave(self.epoch.elapsed());
-        for _ in 0..GOODBYE_ROUNDS {
-            send_all(&self.socket, &goodbyes).await;
-            sleep(GOODBYE_INTERVAL).await;
+        let leave_messages = self.node.leave(self.epoch.elapsed());
+        for _ in 0..LEAVE_ROUNDS {
+            send_all(&self.socket, &leave_messages).await;
+            sleep(LEAVE_INTERVAL).await;
         }
         // A member that left counts nobody: it comes back as one that joins.
         self.snapshot.store.record(&present, &BTreeSet::new(), now_secs());
--- a/src/fleet/member_table.rs
+++ b/src/fleet/member_table.rs
@@ -29,7 +29,7 @@
     /// When it became present or departed.
     pub state_since: Duration,
     /// When a datagram of its own last came.
-    pub last_heard: Option<Duration>,
+    pub last_contact: Option<Duration>,
     /// It has presented a valid certificate in this incarnation. Members that have not do not count.
     pub authenticated: bool,
     /// Hash of what is the same in all views that agree: address, incarnation, revision and name.
@@ -47,7 +47,7 @@
             published_at: now,
             departed: false,
             state_since: now,
-            last_heard: None,
+            last_contact: None,
             authenticated: false,
             hash: 0,
             bucket: 0,
@@ -113,12 +113,12 @@
             departed_count: 0,
             change_count: 1,
         };
-        table.put(MemberEntry::new(local, now));
+        table.insert_entry(MemberEntry::new(local, now));
         table
     }
 
     /// Takes an entry out of the table, and its hash out of the digests.
-    fn take(&mut self, address: SocketAddr) -> Option<MemberEntry> {
+    fn remove_entry(&mut self, address: SocketAddr) -> Option<MemberEntry> {
         let entry = self.entries.remove(&address)?;
         self.toggle_hash(&entry);
         self.departed_count -= usize::from(entry.departed);
@@ -126,7 +126,7 @@
     }
 
     /// Puts an entry into the table, in place of one that was taken out, and its hash into the digests.
-    fn put(&mut self, entry: MemberEntry) {
+    fn insert_entry(&mut self, entry: MemberEntry) {
         self.toggle_hash(&entry);
         self.departed_count += usize::from(entry.departed);
         self.entries.insert(entry.member.address, entry);
@@ -148,7 +148,7 @@
 
     /// Publishes this member's attributes, under its own next revision or above one that others have seen.
     pub fn publish(&mut self, now: Duration, local: &Member, attributes: Attributes, above_revision: u32) {
-        let mut entry = match self.take(self.local) {
+        let mut entry = match self.remove_entry(self.local) {
             Some(mut entry) if entry.member == *local => {
                 entry.revision = entry.revision.max(above_revision);
                 entry
@@ -160,31 +160,31 @@
         entry.attributes = Some(attributes);
         entry.published_at = now;
         entry.update_hash();
-        self.put(entry);
+        self.insert_entry(entry);
     }
 
     /// A member is present, perhaps in another incarnation.
     pub fn mark_present(&mut self, now: Duration, member: &Member) {
-        let entry = match self.take(member.address) {
+        let entry = match self.remove_entry(member.address) {
             Some(entry) if entry.member == *member && !entry.departed => entry,
             previous => new_incarnation(previous, member, now),
         };
-        self.put(entry);
+        self.insert_entry(entry);
     }
 
     /// An incarnation has departed, and with it all earlier ones. Of departed members the most recent ones are kept.
     pub fn mark_departed(&mut self, now: Duration, member: &Member) {
-        let is_news = self.entries.get(&member.address).is_some_and(|entry| {
+        let is_new_departure = self.entries.get(&member.address).is_some_and(|entry| {
             entry.member == *member && !entry.departed || entry.member.incarnation < member.incarnation
         });
-        if is_news {
-            let mut entry = match self.take(member.address) {
+        if is_new_departure {
+            let mut entry = match self.remove_entry(member.address) {
                 Some(entry) if entry.member == *member => entry,
                 previous => new_incarnation(previous, member, now),
             };
             entry.departed = true;
             entry.state_since = now;
-            self.put(entry);
+            self.insert_entry(entry);
         }
         if self.departed_count > MAX_DEPARTED {
             let oldest = self.departed().min_by_key(|e| e.state_since).map(|e| e.member.address);
@@ -208,19 +208,19 @@
         if !is_newer {
             return false;
         }
-        let Some(mut entry) = self.take(address) else { return false };
+        let Some(mut entry) = self.remove_entry(address) else { return false };
         entry.revision = record.revision;
         entry.attributes.clone_from(&record.attributes);
         entry.published_at = now.saturating_sub(Duration::from_millis(u64::from(record.age_millis)));
         entry.update_hash();
-        self.put(entry);
+        self.insert_entry(entry);
         true
     }
 
     /// A datagram of the member's own came.
-    pub fn mark_heard(&mut self, now: Duration, from: SocketAddr) {
+    pub fn mark_contact(&mut self, now: Duration, from: SocketAddr) {
         if let Some(entry) = self.entries.get_mut(&from) {
-            entry.last_heard = Some(now);
+            entry.last_contact = Some(now);
         }
     }
 
@@ -266,7 +266,7 @@
 
     /// Removes an entry.
     pub fn remove(&mut self, address: SocketAddr) {
-        self.take(address);
+        self.remove_entry(address);
         self.change_count += 1;
     }
 
@@ -298,7 +298,7 @@
 /// An entry for an incarnation that was not known. When the address was last heard is kept.
 fn new_incarnation(previous: Option<MemberEntry>, member: &Member, now: Duration) -> MemberEntry {
     let mut entry = MemberEntry::new(member.clone(), now);
-    entry.last_heard = previous.and_then(|p| p.last_heard);
+    entry.last_contact = previous.and_then(|p| p.last_contact);
     entry
 }
 
--- a/src/fleet/membership.rs
+++ b/src/fleet/membership.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 /// Most members that are sent their own datagram when this one leaves; further ones learn of it by gossip.
-const MAX_GOODBYES: usize = 64;
+const MAX_LEAVE_MESSAGES: usize = 64;
 /// Largest message of foca, in bytes: with the header it fits into a datagram.
 const MAX_PACKET_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES;
 /// How long foca remembers departed members. After that a late message about such an incarnation changes nothing any more.
@@ -106,7 +106,7 @@
     /// The highest incarnation that others state for this address, if not below its own.
     superseding_incarnation: Option<u64>,
     /// Addresses that have sent datagrams themselves; besides members at most as many others.
-    heard_from: BTreeSet<SocketAddr>,
+    direct_senders: BTreeSet<SocketAddr>,
 }
 
 impl Membership {
@@ -126,7 +126,7 @@
             runtime: AccumulatingRuntime::new(),
             local_address,
             superseding_incarnation: None,
-            heard_from: BTreeSet::new(),
+            direct_senders: BTreeSet::new(),
         }
     }
 
@@ -160,7 +160,7 @@
 
     /// Others know another identity at this member's address. If it is not an earlier one, the state folder was lost and
     /// the clock set back, or another name was at this address: this member then rejoins above it.
-    fn note_incarnation_here(&mut self, incarnation: u64) {
+    fn note_incarnation_at_local_address(&mut self, incarnation: u64) {
         if incarnation >= self.foca.identity().incarnation {
             self.superseding_incarnation = self.superseding_incarnation.max(Some(incarnation));
         }
@@ -261,18 +261,22 @@
     pub fn leave(&mut self) -> Effects {
         let local = self.foca.identity().clone();
         let departed = foca::Member::new(local.clone(), 0, foca::State::Down);
-        let receivers = self.heard_members();
-        let goodbyes = receivers.iter().filter_map(|to| single_update(&local, to, departed.clone()));
+        let receivers = self.direct_members();
+        let leave_messages = receivers.iter().filter_map(|to| single_update(&local, to, departed.clone()));
         let result = self.foca.leave_cluster(&mut self.runtime);
         let mut effects = self.collect_effects("leaving", result);
-        effects.messages.extend(goodbyes);
+        effects.messages.extend(leave_messages);
         effects
     }
 
     /// Some of the members that have sent datagrams themselves, which forged members do not.
-    pub fn heard_members(&self) -> Vec<Member> {
+    pub fn direct_members(&self) -> Vec<Member> {
         let members = self.foca.iter_members().map(|m| m.id());
-        members.filter(|m| self.heard_from.contains(&m.address)).take(MAX_GOODBYES).cloned().collect()
+        members
+            .filter(|m| self.direct_senders.contains(&m.address))
+            .take(MAX_LEAVE_MESSAGES)
+            .cloned()
+            .collect()
     }
 
     /// Passes recent changes on to a few members at once: foca's own next message may be 0.2 s away.
@@ -303,25 +307,25 @@
             effects.timers.push(SwimTimer { after, timer });
         }
         while let Some(notification) = self.runtime.to_notify() {
-            effects.add_notification(notification);
+            effects.handle_notification(notification);
         }
         effects
     }
 }
 
 impl Effects {
-    fn add_notification(&mut self, notification: OwnedNotification<Member>) {
+    fn handle_notification(&mut self, notification: OwnedNotification<Member>) {
         match notification {
             OwnedNotification::MemberUp(member) => {
-                log_change("neighbour is there", &member);
+                log_member_event("neighbour is there", &member);
                 self.changes.push(Change::Up(member));
             }
             OwnedNotification::MemberDown(member) => {
-                log_change("neighbour is gone", &member);
+                log_member_event("neighbour is gone", &member);
                 self.changes.push(Change::Down(member));
             }
             OwnedNotification::Rename(_, member) => {
-                log_change("neighbour started anew", &member);
+                log_member_event("neighbour started anew", &member);
                 self.changes.push(Change::Up(member));
             }
             OwnedNotification::ProbeFailed(_, member) => self.failed_probes.push(member),
@@ -333,7 +337,7 @@
     }
 }
 
-fn log_change(event: &str, member: &Member) {
+fn log_member_event(event: &str, member: &Member) {
     log::info!(
         neighbour = member.name, address = member.address.to_string(), life = member.incarnation; "{event}"
     );
--- a/src/fleet/membership/admission.rs
+++ b/src/fleet/membership/admission.rs
@@ -44,7 +44,7 @@
         if sender == self.local_address || header.src.name.len() > MAX_NAME_BYTES {
             return None;
         }
-        self.mark_heard(sender);
+        self.note_direct_sender(sender);
         let admission = self.admission_for(sender)?;
         if rest.len() < UPDATE_COUNT_BYTES || header.message == Message::Broadcast {
             return Some(Admitted { sender, bytes: bytes.into() });
@@ -60,12 +60,12 @@
         Some(Admitted { sender, bytes: filtered.into() })
     }
 
-    fn mark_heard(&mut self, sender: SocketAddr) {
-        if self.heard_from.len() >= 2 * MAX_MEMBERS {
+    fn note_direct_sender(&mut self, sender: SocketAddr) {
+        if self.direct_senders.len() >= 2 * MAX_MEMBERS {
             let active = self.active_addresses();
-            self.heard_from.retain(|address| active.contains(address));
+            self.direct_senders.retain(|address| active.contains(address));
         }
-        self.heard_from.insert(sender);
+        self.direct_senders.insert(sender);
     }
 
     /// Whom a datagram of this sender may bring into the table; none if not even the sender. In a full table the sender
@@ -79,7 +79,7 @@
         }
         let mut known = self.active_addresses();
         if is_full && !known.contains(&sender) {
-            let replaced = self.first_never_heard()?;
+            let replaced = self.first_indirect_member()?;
             if is_state_full {
                 return None;
             }
@@ -91,9 +91,9 @@
         Some(Admission::Only(known))
     }
 
-    fn first_never_heard(&self) -> Option<Member> {
-        let never_heard = self.foca.iter_members().find(|m| !self.heard_from.contains(&m.id().address))?;
-        Some(never_heard.id().clone())
+    fn first_indirect_member(&self) -> Option<Member> {
+        let indirect = self.foca.iter_members().find(|m| !self.direct_senders.contains(&m.id().address))?;
+        Some(indirect.id().clone())
     }
 
     /// Reads the updates of a datagram and gives those that are admitted; none if they are malformed. What they say of
@@ -106,7 +106,7 @@
             let update: foca::Member<Member> = PostcardCodec.decode_member(&mut *bytes).ok()?;
             let member = update.id();
             if member.address == self.local_address && member != self.foca.identity() {
-                self.note_incarnation_here(member.incarnation);
+                self.note_incarnation_at_local_address(member.incarnation);
             } else if member.name.len() <= MAX_NAME_BYTES && admission.admits(member.address) {
                 admitted.push(update);
             }
--- a/src/fleet/membership/tests.rs
+++ b/src/fleet/membership/tests.rs
@@ -165,8 +165,8 @@
     network.run(1);
     assert!(network.seen_by(0).contains(&member(3, 1)), "a joining member is admitted");
     assert!(network.seen_by(0).contains(&member(1, 1)) && network.seen_by(0).contains(&member(2, 1)));
-    let goodbye = network.nodes.get_mut(&address(1)).expect("it runs").leave();
-    network.apply(address(1), goodbye);
+    let leave_message = network.nodes.get_mut(&address(1)).expect("it runs").leave();
+    network.apply(address(1), leave_message);
     network.run(1);
     assert!(!network.seen_by(0).contains(&member(1, 1)), "a leaving member is removed");
     assert!(network.seen_by(0).len() < MAX_MEMBERS + 20);
--- a/src/fleet/node/anti_entropy.rs
+++ b/src/fleet/node/anti_entropy.rs
@@ -54,12 +54,12 @@
     /// Asks a member whose view differs for what differs. A view that this very datagram has just changed is not
     /// compared, unless it had been the same for a while: the change is probably still being passed on.
     pub(super) fn compare_views(&mut self, peer: SocketAddr, peer_digest: u64) {
-        let own_digest = self.table.digest();
-        if peer_digest == own_digest || is_injected(Defect::ViewsNotCompared) {
+        let local_digest = self.table.digest();
+        if peer_digest == local_digest || is_injected(Defect::ViewsNotCompared) {
             return;
         }
         let was_stable = self.clock.now().saturating_sub(self.digest_since) >= COMPARISON_INTERVAL;
-        let is_unchanged = own_digest == self.digest;
+        let is_unchanged = local_digest == self.digest;
         let may_compare = self.clock.active() >= self.anti_entropy.next_comparison_at;
         if may_compare && (was_stable || is_unchanged) {
             self.anti_entropy.next_comparison_at = self.clock.active() + COMPARISON_INTERVAL;
--- a/src/fleet/node/departure.rs
+++ b/src/fleet/node/departure.rs
@@ -15,7 +15,7 @@
 
     /// Leaves the fleet; nothing is to be called after it. The datagrams may be lost: they are to be sent several times.
     pub fn leave(&mut self, now: Duration) -> Vec<OutgoingDatagram> {
-        if !is_injected(Defect::SilentGoodbye) {
+        if !is_injected(Defect::LeaveNotAnnounced) {
             self.drain(now);
         }
         let effects = self.membership.leave();
@@ -27,7 +27,7 @@
     fn send_local_record(&mut self) {
         let records = vec![self.table.local_entry().to_record(self.clock.now())];
         let message = Message::Records { from: self.local_member().clone(), records };
-        for member in self.membership.heard_members() {
+        for member in self.membership.direct_members() {
             self.send(member.address, &message);
         }
     }
--- a/src/fleet/node/dissemination.rs
+++ b/src/fleet/node/dissemination.rs
@@ -13,7 +13,7 @@
 const MEMBERSHIP_ROUNDS: u32 = 3;
 /// While more updates than these wait in foca, they are passed on in every interval: once a partition has healed there is
 /// an update for each member.
-const MAX_QUIET_BACKLOG: usize = 32;
+const MAX_IDLE_BACKLOG: usize = 32;
 /// A record is passed on in this many rounds, each time to `GOSSIP_FANOUT` members: 27 times in all, by the same reckoning
 /// as `membership::MAX_TRANSMISSIONS`.
 const RECORD_ROUNDS: u32 = 9;
@@ -21,7 +21,7 @@
 /// Most records that wait to be passed on; further ones are found by anti-entropy.
 const MAX_PENDING_RECORDS: usize = 64;
 /// How many members are notified of a failed probe.
-const SUSPICION_WITNESSES: usize = 8;
+const SUSPICION_FANOUT: usize = 8;
 
 /// What is still to be passed on.
 pub(super) struct Dissemination {
@@ -55,7 +55,7 @@
     }
 
     /// One of the record's rounds is done.
-    fn record_sent(&mut self, address: SocketAddr) {
+    fn mark_record_sent(&mut self, address: SocketAddr) {
         let rounds_left = self.pending_records.get(&address).copied().unwrap_or(0);
         if rounds_left > 1 {
             self.pending_records.insert(address, rounds_left - 1);
@@ -67,12 +67,12 @@
 
 impl Node {
     /// A member became present or departed: foca's updates are passed on at once and a few times more.
-    pub(super) fn spread_membership(&mut self) {
+    pub(super) fn queue_membership_updates(&mut self) {
         self.dissemination.schedule(self.clock.active(), MEMBERSHIP_ROUNDS);
     }
 
     /// The record of a member is new, and is passed on. This member's own always is.
-    pub(super) fn spread_record(&mut self, address: SocketAddr) {
+    pub(super) fn queue_record(&mut self, address: SocketAddr) {
         let is_local = address == self.local_member().address;
         if self.dissemination.pending_records.len() >= MAX_PENDING_RECORDS && !is_local {
             return;
@@ -92,7 +92,7 @@
         self.send_pending_records();
         let has_more = self.dissemination.membership_rounds > 0
             || !self.dissemination.pending_records.is_empty()
-            || self.membership.backlog() > MAX_QUIET_BACKLOG;
+            || self.membership.backlog() > MAX_IDLE_BACKLOG;
         self.dissemination.next_at = has_more.then_some(self.clock.active() + GOSSIP_INTERVAL);
     }
 
@@ -104,7 +104,7 @@
         let records: Vec<Record> = entries.map(|entry| entry.to_record(now)).collect();
         let Some(records) = self.pack_records(records).into_iter().next() else { return };
         for record in &records {
-            self.dissemination.record_sent(record.member.address);
+            self.dissemination.mark_record_sent(record.member.address);
         }
         let message = Message::Records { from: self.local_member().clone(), records };
         for to in self.random_members(GOSSIP_FANOUT) {
@@ -127,12 +127,12 @@
     /// Members that are notified of failed probes of a suspect. They are the same for all probers whose views agree, so that
     /// each of them is notified of all failures. With random ones none of 300 members was notified by two others in time,
     /// and a crash was detected after 7 s.
-    pub(super) fn witnesses(&self, suspect: &Member) -> Vec<SocketAddr> {
+    pub(super) fn suspicion_recipients(&self, suspect: &Member) -> Vec<SocketAddr> {
         let rank =
             |address: &SocketAddr| crc32fast::hash(format!("{address} {}", suspect.address).as_bytes());
         let others = self.other_addresses().filter(|address| *address != suspect.address);
         let mut ranked: Vec<(u32, SocketAddr)> = others.map(|address| (rank(&address), address)).collect();
         ranked.sort_unstable();
-        ranked.into_iter().take(SUSPICION_WITNESSES).map(|(_, address)| address).collect()
+        ranked.into_iter().take(SUSPICION_FANOUT).map(|(_, address)| address).collect()
     }
 }
--- a/src/fleet/node/effects.rs
+++ b/src/fleet/node/effects.rs
@@ -36,8 +36,8 @@
             suspect: probed.clone(),
             swim_incarnation,
         };
-        for witness in self.witnesses(probed) {
-            self.send(witness, &message);
+        for recipient in self.suspicion_recipients(probed) {
+            self.send(recipient, &message);
         }
     }
 
@@ -71,17 +71,17 @@
         match change {
             Change::Up(member) => {
                 self.table.mark_present(self.clock.now(), member);
-                self.greeter.forget(member.address);
+                self.announcer.forget(member.address);
             }
             Change::Down(member) => {
                 self.table.mark_departed(self.clock.now(), member);
                 self.peer_reports.remove(&member.address);
-                self.greeter.remember(member.address);
+                self.announcer.remember(member.address);
                 if self.table.get(member.address).is_some_and(MemberEntry::left_gracefully) {
                     self.partition.remove_departed(&member.name);
                 }
             }
         }
-        self.spread_membership();
+        self.queue_membership_updates();
     }
 }
--- a/src/fleet/node/greeting.rs
+++ b/src/fleet/node/greeting.rs
@@ -8,14 +8,14 @@
 use std::time::Duration;
 
 /// How often absent members are greeted.
-pub const GREETING_INTERVAL: Duration = Duration::from_secs(2);
+pub const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(2);
 /// Most remembered members that are greeted at a time, in rotation, so that not all members greet all of a large fleet.
-const MAX_GREETED: usize = 4;
+const MAX_ANNOUNCED_PER_ROUND: usize = 4;
 /// Most addresses that are remembered while the process runs.
 const MAX_REMEMBERED: usize = MAX_MEMBERS;
 
 /// Whom to greet, and when.
-pub(super) struct Greeter {
+pub(super) struct Announcer {
     seed_addresses: Vec<SocketAddr>,
     /// Absent members, the one that departed first in front.
     remembered_addresses: Vec<SocketAddr>,
@@ -24,11 +24,11 @@
     next_at: Duration,
 }
 
-impl Greeter {
+impl Announcer {
     pub(super) fn new(
         seed_addresses: Vec<SocketAddr>, remembered_addresses: Vec<SocketAddr>, next_at: Duration,
-    ) -> Greeter {
-        Greeter { seed_addresses, remembered_addresses, rotation: 0, next_at }
+    ) -> Announcer {
+        Announcer { seed_addresses, remembered_addresses, rotation: 0, next_at }
     }
 
     pub(super) fn next_at(&self) -> Duration {
@@ -40,7 +40,7 @@
     }
 
     pub(super) fn schedule_next(&mut self, now: Duration) {
-        self.next_at = now + GREETING_INTERVAL;
+        self.next_at = now + ANNOUNCE_INTERVAL;
     }
 
     /// A member departed: it may come back. The one remembered for the longest makes room.
@@ -65,23 +65,23 @@
             .iter()
             .filter(is_absent)
             .filter(|address| !self.seed_addresses.contains(address))
-            .filter(|_| !is_injected(Defect::RememberedNotGreeted))
+            .filter(|_| !is_injected(Defect::RememberedNotAnnounced))
             .copied()
             .collect();
         if !remembered.is_empty() {
             let first = self.rotation % remembered.len();
-            let count = MAX_GREETED.min(remembered.len());
+            let count = MAX_ANNOUNCED_PER_ROUND.min(remembered.len());
             addresses.extend(remembered.iter().cycle().skip(first).take(count));
         }
-        self.rotation = self.rotation.wrapping_add(MAX_GREETED);
+        self.rotation = self.rotation.wrapping_add(MAX_ANNOUNCED_PER_ROUND);
         addresses
     }
 }
 
 impl Node {
-    pub(super) fn greet(&mut self) {
+    pub(super) fn announce_to_absent_members(&mut self) {
         let present = self.table.present().map(|entry| entry.member.address).collect();
-        for address in self.greeter.next_addresses(&present) {
+        for address in self.announcer.next_addresses(&present) {
             let effects = self.membership.announce(address);
             self.apply_effects(effects);
         }
--- a/src/fleet/node/inbound.rs
+++ b/src/fleet/node/inbound.rs
@@ -11,7 +11,7 @@
     pub(super) fn handle_message(&mut self, header: Header, message: Message) {
         let Some(sender) = self.dispatch(message) else { return };
         let now = self.clock.now();
-        self.table.mark_heard(now, sender);
+        self.table.mark_contact(now, sender);
         if self.table.get_present(sender).is_some() {
             self.peer_reports.insert(sender, PeerReport { header, received_at: now });
             self.compare_views(sender, header.digest);
@@ -74,12 +74,12 @@
             self.apply_record_about_self(record);
             return;
         }
-        if self.is_news(record) {
+        if self.changes_membership(record) {
             self.apply_claim(record);
         }
         let address = record.member.address;
         if self.table.apply_record(self.clock.now(), record) {
-            self.spread_record(address);
+            self.queue_record(address);
         }
         if let Some(entry) = self.table.get(address).filter(|entry| entry.left_gracefully()) {
             self.partition.remove_departed(&entry.member.name);
@@ -88,13 +88,13 @@
 
     /// Nobody else writes this member's entry: what others claim is overridden or refuted.
     fn apply_record_about_self(&mut self, record: &Record) {
-        let own = self.table.local_entry();
-        if record.member != own.member || record.departed {
+        let local_entry = self.table.local_entry();
+        if record.member != local_entry.member || record.departed {
             self.apply_claim(record);
             return;
         }
-        let differs = record.revision > own.revision
-            || record.revision == own.revision && record.attributes != own.attributes;
+        let differs = record.revision > local_entry.revision
+            || record.revision == local_entry.revision && record.attributes != local_entry.attributes;
         let is_forged = differs && record.attributes.is_some();
         if is_forged && !is_injected(Defect::ForgedAttributesStand) {
             self.publish_local_entry(record.revision);
@@ -102,7 +102,7 @@
     }
 
     /// Whether a record is news to membership: that an incarnation departed, or that there is a later one.
-    fn is_news(&self, record: &Record) -> bool {
+    fn changes_membership(&self, record: &Record) -> bool {
         match self.table.get(record.member.address) {
             Some(entry) if entry.member == record.member => record.departed && !entry.departed,
             Some(entry) => record.member.supersedes(&entry.member) && (!record.departed || !entry.departed),
--- a/src/fleet/node/mod.rs
+++ b/src/fleet/node/mod.rs
@@ -30,7 +30,7 @@
 use anti_entropy::AntiEntropy;
 use clock::NodeClock;
 use dissemination::Dissemination;
-use greeting::Greeter;
+use greeting::Announcer;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -39,7 +39,7 @@
 use timers::TimerQueue;
 
 pub use bounds::{crash_detection_bound, dissemination_bound};
-pub use greeting::GREETING_INTERVAL;
+pub use greeting::ANNOUNCE_INTERVAL;
 
 /// How often the side of a partition, conflicts of names and ages are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
@@ -91,7 +91,7 @@
     clock: NodeClock,
     random: StdRng,
     timers: TimerQueue,
-    greeter: Greeter,
+    announcer: Announcer,
     dissemination: Dissemination,
     anti_entropy: AntiEntropy,
     next_check_at: Duration,
@@ -119,7 +119,7 @@
         table.mark_authenticated(&local);
         let mut random = StdRng::seed_from_u64(config.random_seed);
         // Spread out, so that members that start at the same time do not greet in step.
-        let first_greeting = now + GREETING_INTERVAL.mul_f64(random.random_range(0.0..1.0));
+        let first_announcement = now + ANNOUNCE_INTERVAL.mul_f64(random.random_range(0.0..1.0));
         let mut node = Node {
             group_tag: wire::group_tag(&config.group),
             membership: Membership::new(local, config.expected_members, random.random()),
@@ -131,7 +131,7 @@
             clock: NodeClock::new(now),
             random,
             timers: TimerQueue::default(),
-            greeter: Greeter::new(config.seed_addresses, config.remembered_addresses, first_greeting),
+            announcer: Announcer::new(config.seed_addresses, config.remembered_addresses, first_announcement),
             dissemination: Dissemination::new(now),
             anti_entropy: AntiEntropy::new(now),
             next_check_at: now + CHECK_INTERVAL,
@@ -143,7 +143,7 @@
             suspicion_count: 0,
             outgoing: Vec::new(),
         };
-        node.greet();
+        node.announce_to_absent_members();
         node.end_call();
         node
     }
@@ -166,9 +166,9 @@
         if self.dissemination.is_due(self.clock.active()) {
             self.disseminate();
         }
-        if self.greeter.is_due(self.clock.active()) {
-            self.greeter.schedule_next(self.clock.active());
-            self.greet();
+        if self.announcer.is_due(self.clock.active()) {
+            self.announcer.schedule_next(self.clock.active());
+            self.announce_to_absent_members();
         }
         if self.next_check_at <= self.clock.active() {
             self.next_check_at = self.clock.active() + CHECK_INTERVAL;
@@ -190,7 +190,7 @@
 
     fn expire_suspicions(&mut self) {
         let others = self.membership.active_count();
-        for expired in self.suspicions.take_expired(self.clock.active(), others) {
+        for expired in self.suspicions.remove_expired(self.clock.active(), others) {
             // A suspect that has refuted the suspicion is suspected no more, or under another number.
             let suspected = self.membership.suspected_incarnation(&expired.suspect);
             if suspected != Some(expired.swim_incarnation) {
@@ -206,7 +206,7 @@
 
     /// When `handle_wakeup` is to be called, at the latest.
     pub fn next_wakeup(&self) -> Duration {
-        let mut first = self.greeter.next_at().min(self.next_check_at);
+        let mut first = self.announcer.next_at().min(self.next_check_at);
         let optional = [
             self.timers.next_at(),
             self.suspicions.next_expiry(self.membership.active_count()),
@@ -241,7 +241,7 @@
     /// Present members that have sent datagrams and are not authenticated yet.
     pub fn unauthenticated_members(&self) -> Vec<Member> {
         let present = self.table.present();
-        let waiting = present.filter(|entry| !entry.authenticated && entry.last_heard.is_some());
+        let waiting = present.filter(|entry| !entry.authenticated && entry.last_contact.is_some());
         waiting.map(|entry| entry.member.clone()).collect()
     }
 
@@ -319,6 +319,6 @@
         let local = self.local_member().clone();
         self.table.publish(self.clock.now(), &local, self.attributes.clone(), above_revision);
         self.table.mark_authenticated(&local);
-        self.spread_record(local.address);
+        self.queue_record(local.address);
     }
 }
--- a/src/fleet/node/partition_check.rs
+++ b/src/fleet/node/partition_check.rs
@@ -12,12 +12,12 @@
 /// A report with another digest is a disagreement for this long; later the peer may just not have reported again.
 const DISAGREEMENT_TTL: Duration = Duration::from_secs(1);
 /// This many others must report the same view, or all where there are fewer.
-const MAX_AGREEING_REPORTS: usize = 8;
+const MAX_REQUIRED_REPORTS: usize = 8;
 
 impl Node {
     /// Whether all views that were reported lately are the same as this one, and enough were.
     pub fn views_agree(&self) -> bool {
-        let needed = self.membership.active_count().min(MAX_AGREEING_REPORTS);
+        let needed = self.membership.active_count().min(MAX_REQUIRED_REPORTS);
         let mut agreeing = 0;
         for report in self.peer_reports.values() {
             // Reports from before this view changed say nothing of the present one.
@@ -70,15 +70,15 @@
             return;
         }
         let local = self.local_member();
-        let conflict = self.table.present().find(|entry| {
+        let superseding = self.table.present().find(|entry| {
             entry.authenticated
                 && entry.member.address != local.address
                 && entry.member.name == local.name
                 && entry.member.supersedes(local)
         });
-        let Some(conflict) = conflict else { return };
+        let Some(superseding) = superseding else { return };
         log::error!(
-            name = local.name, other = conflict.member.address.to_string();
+            name = local.name, other = superseding.member.address.to_string();
             "another forwarder bears this one's name and started later: this one withdraws from the fleet"
         );
         self.has_withdrawn = true;
@@ -120,8 +120,8 @@
     fn best_reported_side(&self) -> PartitionSide {
         let mut best = PartitionSide::default();
         for (address, report) in &self.peer_reports {
-            let counts = self.table.get_present(*address).is_some_and(|entry| entry.authenticated);
-            if counts && self.is_fresh(report, PEER_REPORT_TTL) {
+            let is_counted = self.table.get_present(*address).is_some_and(|entry| entry.authenticated);
+            if is_counted && self.is_fresh(report, PEER_REPORT_TTL) {
                 best = best.max(report.header.side);
             }
         }
--- a/src/fleet/node/view.rs
+++ b/src/fleet/node/view.rs
@@ -38,7 +38,7 @@
             incarnation: entry.member.incarnation,
             state,
             state_age_secs: secs_since(entry.state_since),
-            last_heard_secs_ago: entry.last_heard.map(secs_since),
+            last_contact_secs_ago: entry.last_contact.map(secs_since),
             counted: entry.authenticated && !entry.departed && state != MemberState::Superseded,
             attributes_age_secs: entry.attributes.as_ref().map(|_| secs_since(entry.published_at)),
             zone: attributes.zone,
@@ -59,7 +59,7 @@
         if entry.departed {
             return MemberState::Dead;
         }
-        if self.table.present().any(|other| takes_name_of(other, entry)) {
+        if self.table.present().any(|other| supersedes_by_name(other, entry)) {
             return MemberState::Superseded;
         }
         if suspects.contains(&entry.member) {
@@ -69,7 +69,7 @@
             return MemberState::Draining;
         }
         let is_local = entry.member.address == self.local_member().address;
-        if !is_local && entry.last_heard.is_none() {
+        if !is_local && entry.last_contact.is_none() {
             return MemberState::Joining;
         }
         MemberState::Alive
@@ -86,6 +86,6 @@
     }
 }
 
-fn takes_name_of(other: &MemberEntry, entry: &MemberEntry) -> bool {
+fn supersedes_by_name(other: &MemberEntry, entry: &MemberEntry) -> bool {
     other.authenticated && other.member.name == entry.member.name && other.member.supersedes(&entry.member)
 }
--- a/src/fleet/partition.rs
+++ b/src/fleet/partition.rs
@@ -84,7 +84,7 @@
 
     /// Takes in the best side that others report, and whether all views received are the same. Returns whether a new
     /// fleet was agreed by that.
-    pub fn observe(&mut self, now: Duration, others_side: PartitionSide, views_agree: bool) -> bool {
+    pub fn observe(&mut self, now: Duration, best_reported_side: PartitionSide, views_agree: bool) -> bool {
         if !views_agree {
             self.views_agree_since = None;
             return false;
@@ -93,7 +93,7 @@
         if now - since < AGREEMENT_DELAY || self.agreed_fleet == self.quorum_base {
             return false;
         }
-        if !self.may_agree(others_side) {
+        if !self.may_agree(best_reported_side) {
             return false;
         }
         self.agreed_fleet.clone_from(&self.quorum_base);
@@ -101,11 +101,11 @@
         true
     }
 
-    fn may_agree(&self, others_side: PartitionSide) -> bool {
+    fn may_agree(&self, best_reported_side: PartitionSide) -> bool {
         if self.agreed_fleet.is_empty() {
             // A member that joins knows no fleet and relies on those that do. If nobody does, the fleet is a new one. It
             // must not found one within a minority.
-            return others_side != PartitionSide::Minority || is_injected(Defect::JoinerFoundsFleet);
+            return best_reported_side != PartitionSide::Minority || is_injected(Defect::JoinerFoundsFleet);
         }
         self.status.is_majority
     }
--- a/src/fleet/snapshot.rs
+++ b/src/fleet/snapshot.rs
@@ -15,7 +15,7 @@
 
 const FILE_NAME: &str = "fleet";
 /// The next file, until it is complete and renamed.
-const TEMPORARY_NAME: &str = "fleet.new";
+const TEMPORARY_FILE_NAME: &str = "fleet.new";
 /// Rises with each format that an older program cannot read.
 const FORMAT: u8 = 2;
 /// This format had no agreed fleet; its incarnation and members are still read.
@@ -64,14 +64,14 @@
     max_bytes: u64,
     snapshot: Snapshot,
     /// The last write failed, which was logged.
-    is_failing: bool,
+    last_write_failed: bool,
 }
 
 impl SnapshotStore {
     /// Reads the snapshot of a folder that may hold `folder_bytes`. One that cannot be read is logged and counts as none.
     pub fn open(disk: Box<dyn Disk>, folder_bytes: u64) -> SnapshotStore {
         // Left where a process was killed while it wrote; the old file is still in place.
-        let _ = disk.remove(TEMPORARY_NAME);
+        let _ = disk.remove(TEMPORARY_FILE_NAME);
         let snapshot = load(disk.as_ref()).unwrap_or_else(|e| {
             match &e {
                 FleetError::SnapshotCorrupt => {
@@ -83,7 +83,7 @@
         });
         let share = (folder_bytes as f64 * DISK_SHARE) as u64;
         let max_bytes = (share / BLOCK_BYTES * BLOCK_BYTES).min(MAX_BYTES);
-        SnapshotStore { disk, max_bytes, snapshot, is_failing: false }
+        SnapshotStore { disk, max_bytes, snapshot, last_write_failed: false }
     }
 
     /// Begins a new incarnation: one above the last, and on disk before any peer learns of it. Without a last one it is
@@ -140,13 +140,13 @@
     fn write(&mut self) {
         let Some(bytes) = self.encode_within_limit() else { return };
         match self.replace(&bytes).map_err(FleetError::SnapshotWrite) {
-            Ok(()) => self.is_failing = false,
+            Ok(()) => self.last_write_failed = false,
             Err(e) => {
                 // Logged once, not with each write to a disk that is full.
-                if !self.is_failing {
+                if !self.last_write_failed {
                     log::warn!("fleet: the view is not remembered: {e}");
                 }
-                self.is_failing = true;
+                self.last_write_failed = true;
             }
         }
     }
@@ -172,13 +172,13 @@
     }
 
     fn replace(&self, bytes: &[u8]) -> io::Result<()> {
-        let mut file = self.disk.create(TEMPORARY_NAME)?;
+        let mut file = self.disk.create(TEMPORARY_FILE_NAME)?;
         if let Err(e) = file.append(bytes) {
             // A partial file would take space that the journal may need.
-            let _ = self.disk.remove(TEMPORARY_NAME);
+            let _ = self.disk.remove(TEMPORARY_FILE_NAME);
             return Err(e);
         }
-        self.disk.rename(TEMPORARY_NAME, FILE_NAME)
+        self.disk.rename(TEMPORARY_FILE_NAME, FILE_NAME)
     }
 }
 
--- a/src/fleet/suspicion.rs
+++ b/src/fleet/suspicion.rs
@@ -56,8 +56,8 @@
             return self.since + Duration::from_secs(86_400);
         }
         // Confirmations are those beyond the first accuser, who is this member where its own probe has failed.
-        let accusers = self.confirmed_by.len() + usize::from(self.timer.is_some());
-        self.since + suspicion_timeout(accusers.saturating_sub(1), others.saturating_sub(1))
+        let suspecting_members = self.confirmed_by.len() + usize::from(self.timer.is_some());
+        self.since + suspicion_timeout(suspecting_members.saturating_sub(1), others.saturating_sub(1))
     }
 }
 
@@ -77,7 +77,7 @@
 pub struct SuspicionTracker {
     suspicions: BTreeMap<SocketAddr, Suspicion>,
     /// 0 for a member whose probes succeed; one less than the factor by which probes are slowed down.
-    slowness: u32,
+    local_health_score: u32,
     /// A probe of the current round has failed.
     has_probe_failed: bool,
 }
@@ -113,7 +113,7 @@
     }
 
     /// Takes the suspicions that have expired; `others` is the number of members beside this one.
-    pub fn take_expired(&mut self, now: Duration, others: usize) -> Vec<ExpiredSuspicion> {
+    pub fn remove_expired(&mut self, now: Duration, others: usize) -> Vec<ExpiredSuspicion> {
         let expired: Vec<SocketAddr> = self
             .suspicions
             .iter()
@@ -151,21 +151,21 @@
             self.suspicions.get(&probed.address).is_some_and(|suspicion| suspicion.suspect == *probed);
         if !is_suspected {
             self.has_probe_failed = true;
-            self.slowness = (self.slowness + 1).min(MAX_PROBE_MULTIPLIER - 1);
+            self.local_health_score = (self.local_health_score + 1).min(MAX_PROBE_MULTIPLIER - 1);
         }
     }
 
     /// A probe round begins: the one before succeeded unless a failure was noted.
     pub fn begin_probe_round(&mut self) {
         if !self.has_probe_failed {
-            self.slowness = self.slowness.saturating_sub(1);
+            self.local_health_score = self.local_health_score.saturating_sub(1);
         }
         self.has_probe_failed = false;
     }
 
     /// The factor by which probes are slowed down now (Lifeguard's local health multiplier).
     pub fn probe_multiplier(&self) -> u32 {
-        1 + self.slowness
+        1 + self.local_health_score
     }
 }
 
--- a/src/fleet/suspicion/tests.rs
+++ b/src/fleet/suspicion/tests.rs
@@ -32,8 +32,8 @@
     assert_eq!(tracker.next_expiry(9), Some(MIN_TIMEOUT));
     // The same suspicion reported again does not restart.
     tracker.suspect(Duration::from_secs(1), &member(1, 1), 0, timer(1));
-    assert!(tracker.take_expired(MIN_TIMEOUT - Duration::from_millis(1), 9).is_empty());
-    assert_eq!(tracker.take_expired(MIN_TIMEOUT, 9), [expired(1, Some(timer(1)))]);
+    assert!(tracker.remove_expired(MIN_TIMEOUT - Duration::from_millis(1), 9).is_empty());
+    assert_eq!(tracker.remove_expired(MIN_TIMEOUT, 9), [expired(1, Some(timer(1)))]);
     assert!(tracker.is_empty());
     // After a refutation the next suspicion has no confirmations yet.
     tracker.confirm(MIN_TIMEOUT, &member(2, 1), 0, address(9));
@@ -49,7 +49,7 @@
     for n in 5..8 {
         tracker.confirm(Duration::ZERO, &member(1, 1), 0, address(n));
     }
-    assert_eq!(tracker.take_expired(MIN_TIMEOUT, 9), [expired(1, None)]);
+    assert_eq!(tracker.remove_expired(MIN_TIMEOUT, 9), [expired(1, None)]);
 }
 
 #[test]
--- a/src/fleet/view.rs
+++ b/src/fleet/view.rs
@@ -43,7 +43,7 @@
     /// How long ago the observer last received a datagram of its own; none for the observer itself, and where it never
     /// did.
     #[serde(rename = "heard_secs_ago")]
-    pub last_heard_secs_ago: Option<f64>,
+    pub last_contact_secs_ago: Option<f64>,
     /// It has presented a valid certificate to the observer and counts for a majority.
     #[serde(rename = "counts")]
     pub counted: bool,
@@ -145,7 +145,7 @@
             self.address.clone(),
             serialized_name(&self.state),
             format_span(self.state_age_secs),
-            format_optional_span(self.last_heard_secs_ago),
+            format_optional_span(self.last_contact_secs_ago),
             if self.counted { "yes" } else { "no" }.into(),
             or_unknown(&self.zone),
             or_unknown(&self.version),
--- a/src/fleet/view/tests.rs
+++ b/src/fleet/view/tests.rs
@@ -9,7 +9,7 @@
         incarnation: 7,
         state: MemberState::Superseded,
         state_age_secs: 300.0,
-        last_heard_secs_ago: Some(0.25),
+        last_contact_secs_ago: Some(0.25),
         counted: true,
         attributes_age_secs: None,
         zone: String::new(),
--- a/src/fleet/wire.rs
+++ b/src/fleet/wire.rs
@@ -112,7 +112,8 @@
 }
 
 /// The sides by their byte in the header.
-const SIDES: [PartitionSide; 3] = [PartitionSide::Unknown, PartitionSide::Minority, PartitionSide::Majority];
+const SIDE_BY_CODE: [PartitionSide; 3] =
+    [PartitionSide::Unknown, PartitionSide::Minority, PartitionSide::Majority];
 
 /// The tag of a group.
 pub fn group_tag(group: &str) -> u32 {
@@ -169,7 +170,7 @@
     }
     let mut digest = [0; 8];
     digest.copy_from_slice(&head[5..13]);
-    let Some(side) = SIDES.get(usize::from(head[13])) else {
+    let Some(side) = SIDE_BY_CODE.get(usize::from(head[13])) else {
         return Err(FleetError::MalformedDatagram { part: "side of a partition" });
     };
     let header = Header { digest: u64::from_be_bytes(digest), side: *side };
