--- a/src/fleet/error.rs
+++ b/src/fleet/error.rs
@@ -1,42 +1,44 @@
-//! What can go wrong in this package.
+//! Errors of the fleet package.
 use std::io;
 
-/// An error of the fleet's package.
+/// An error of the fleet package.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// The node has left the fleet or its task has ended, so it answers no more commands.
+    /// The node has left the fleet or its task has ended, so it no longer executes commands.
     #[error("this forwarder has left the fleet; start it again to see its view")]
     Stopped,
-    /// A datagram is shorter than a header or longer than any forwarder sends.
-    #[error("datagram of {bytes} bytes is no forwarder's; check what else sends to this address")]
+    /// A datagram is shorter than the header or longer than the largest valid datagram.
+    #[error("datagram has an invalid size of {bytes} bytes; check what else sends to this address")]
     DatagramSize {
-        /// Its size.
+        /// Size of the datagram in bytes.
         bytes: usize,
     },
-    /// A datagram has a format that this program does not read.
-    #[error("datagram has format {found}, this program reads {expected}; run one version on all forwarders")]
+    /// A datagram has a format version that this program does not support.
+    #[error(
+        "datagram has format version {found}, this program reads {expected}; run the same version on all forwarders"
+    )]
     DatagramVersion {
-        /// Its format.
+        /// Format version of the datagram.
         found: u8,
-        /// The format of this program.
+        /// Format version that this program supports.
         expected: u8,
     },
-    /// A datagram comes from a member of another group.
-    #[error("datagram is of another group; check the seed addresses of both groups")]
+    /// A datagram was sent by a member of another group.
+    #[error("datagram belongs to another group; check the seed addresses of both groups")]
     ForeignGroup,
-    /// A datagram has a valid header and content that cannot be read.
+    /// A datagram has a field that cannot be decoded.
     #[error("datagram is malformed: {part}; check what else sends to this address")]
     MalformedDatagram {
-        /// The part that cannot be read.
+        /// The field that cannot be decoded.
         part: &'static str,
     },
     /// The snapshot file cannot be read.
-    #[error("{0}")]
+    #[error("snapshot file cannot be read: {0}")]
     SnapshotRead(#[source] io::Error),
-    /// The snapshot file is torn, altered or of an unknown format.
-    #[error("the file is torn, altered or of an unknown format; it is replaced with the next change")]
+    /// The snapshot file is truncated, altered or of an unknown format.
+    #[error("snapshot file is truncated, altered or of an unknown format; the next change of the view replaces it")]
     SnapshotCorrupt,
     /// The snapshot file cannot be replaced.
-    #[error("{0}")]
+    #[error("snapshot file cannot be replaced: {0}")]
     SnapshotWrite(#[source] io::Error),
 }
--- a/src/fleet/fault_injection.rs
+++ b/src/fleet/fault_injection.rs
@@ -1,38 +1,38 @@
-//! Defects that can be switched on in the fleet's code, to check that the lab's scenarios detect them. Without the cargo
-//! feature `seeded` nothing is ever injected, and the compiler removes each of these places from the daemon.
+//! Fault injection: defects of the fleet's code that can be enabled to check that the lab's scenarios detect them. Without
+//! the cargo feature `seeded` no defect can be enabled, and the compiler removes all injection points from the daemon.
 
-/// A defect. `crates/lab/tests/seeded.rs` checks that each is detected by some scenario.
+/// A defect. `crates/lab/tests/seeded.rs` checks that at least one scenario detects each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// A member that was declared dead does not rejoin under a later incarnation.
+    /// A member that was declared dead does not rejoin under a higher incarnation.
     NeverRenews,
-    /// A member keeps its incarnation although others know a later one.
+    /// A member keeps its incarnation although other members know a higher one.
     KeepsEarlierIncarnation,
-    /// Each failed probe restarts the suspicion.
+    /// Each failed probe restarts the timeout of the suspicion.
     SuspicionRestarts,
-    /// Suspicions expire ten times too early.
+    /// Suspicions expire after a tenth of their timeout.
     SuspicionExpiresEarly,
-    /// Suspicions do not expire.
+    /// Suspicions never expire.
     SuspicionNeverExpires,
-    /// Remembered members are not greeted, only the seed addresses.
+    /// A member announces itself to the seed addresses only, and not to remembered members.
     RememberedNotAnnounced,
-    /// Views are not compared, so that lost records stay lost.
+    /// Views are not compared, so that lost records are never repaired.
     ViewsNotCompared,
-    /// A member that leaves does not announce it.
+    /// A member does not announce that it leaves.
     LeaveNotAnnounced,
-    /// Silent members are dropped from the quorum base.
+    /// Silent members are removed from the quorum base.
     SilenceShrinksQuorumBase,
-    /// A member that joins agrees on a fleet with a minority.
-    JoinerFoundsFleet,
-    /// Records are accepted whatever their revision.
+    /// A joining member agrees on a fleet within a minority.
+    JoinerAgreesWithinMinority,
+    /// Records are accepted regardless of their revision.
     OldRecordsAccepted,
-    /// Forged attributes are not overridden by the member that they are about.
-    ForgedAttributesStand,
+    /// A member does not override forged attributes of its own record.
+    ForgedAttributesKept,
     /// Datagrams of other groups are accepted.
     GroupsNotSeparated,
-    /// Of two members with one name, neither withdraws.
+    /// Neither of two members with the same name withdraws.
     BothKeepName,
-    /// Members count without having been authenticated.
+    /// Members count for a majority without being authenticated.
     UnauthenticatedCount,
 }
 
@@ -47,9 +47,9 @@
     Defect::ViewsNotCompared,
     Defect::LeaveNotAnnounced,
     Defect::SilenceShrinksQuorumBase,
-    Defect::JoinerFoundsFleet,
+    Defect::JoinerAgreesWithinMinority,
     Defect::OldRecordsAccepted,
-    Defect::ForgedAttributesStand,
+    Defect::ForgedAttributesKept,
     Defect::GroupsNotSeparated,
     Defect::BothKeepName,
     Defect::UnauthenticatedCount,
@@ -60,19 +60,19 @@
     static INJECTED: std::cell::Cell<Option<Defect>> = const { std::cell::Cell::new(None) };
 }
 
-/// Injects a defect into all nodes that this thread runs, or removes it.
+/// Enables a defect in all nodes that run on this thread; `None` disables it.
 #[cfg(feature = "seeded")]
 pub fn inject(defect: Option<Defect>) {
     INJECTED.set(defect);
 }
 
-/// Whether a defect is injected on this thread.
+/// Returns whether a defect is enabled on this thread.
 #[cfg(feature = "seeded")]
 pub(crate) fn is_injected(defect: Defect) -> bool {
     INJECTED.get() == Some(defect)
 }
 
-/// Whether a defect is injected: never in this build.
+/// Returns whether a defect is enabled; always `false` in a build without the feature `seeded`.
 #[cfg(not(feature = "seeded"))]
 #[inline(always)]
 pub(crate) const fn is_injected(_: Defect) -> bool {
--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -1,5 +1,5 @@
-//! Runs a node on its socket: receives and sends datagrams, wakes it, writes its snapshot and carries out the commands of
-//! the rest of the program.
+//! The driver of a node: receives and sends datagrams on its UDP socket, calls the node when it is due, writes its
+//! snapshot and executes commands from the rest of the program.
 use super::error::FleetError;
 use super::member::Member;
 use super::node::{Node, OutgoingDatagram};
@@ -15,19 +15,20 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{interval, sleep, sleep_until, timeout, Instant, MissedTickBehavior};
 
-/// The snapshot is written no more often than this.
+/// Minimum time between two writes of the snapshot.
 const SNAPSHOT_INTERVAL: Duration = Duration::from_secs(1);
-/// How often the known members are published to the rest of the program, besides each change of the view: who is to be
-/// authenticated changes without one.
+/// How often the known members are published to the rest of the program, in addition to each change of the view. The list
+/// of unauthenticated members changes without a change of the view.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(250);
-/// The goodbye is sent this often, as datagrams may be lost.
+/// How many times the leave messages are sent, as datagrams may be lost.
 const LEAVE_ROUNDS: u32 = 4;
+/// Pause after each time that the leave messages are sent.
 const LEAVE_INTERVAL: Duration = Duration::from_millis(30);
-/// A process that ends waits this long for its goodbyes.
+/// Maximum time that `FleetHandle::leave` waits until the leave messages are sent.
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Commands that wait for the node; a sender waits while there are more.
+/// Capacity of the command channel. A sender waits while the channel is full.
 const MAX_WAITING_COMMANDS: usize = 64;
-/// Size of the receive buffer: the largest UDP datagram, so that a longer one than ours is noticed and not cut off.
+/// Size of the receive buffer: the largest UDP datagram, so that an oversized datagram is detected and not truncated.
 const RECEIVE_BUFFER_BYTES: usize = 64 * 1024;
 
 enum Command {
@@ -38,33 +39,33 @@
     Leave(oneshot::Sender<()>),
 }
 
-/// What the node knows, for the tasks that connect to members.
+/// The members that the node knows, for the tasks that connect to them.
 #[derive(Clone, Default, PartialEq)]
 pub struct KnownMembers {
-    /// This member; none before the node has begun, and after it has left.
+    /// This member; `None` before the node has started and after it has left.
     pub local: Option<Member>,
     /// Present members, without this one and those that are draining.
     pub available: Vec<Member>,
-    /// Present members that have presented no certificate in their incarnation.
+    /// Present members that have sent datagrams and have not presented a certificate in their current incarnation.
     pub unauthenticated: Vec<Member>,
 }
 
-/// Commands for a running node.
+/// A handle that sends commands to a running node.
 #[derive(Clone)]
 pub struct FleetHandle {
     commands: mpsc::Sender<Command>,
-    /// What the node knows, at most `PUBLISH_INTERVAL` old.
+    /// The members that the node knows, at most `PUBLISH_INTERVAL` old.
     pub known_members: watch::Receiver<Arc<KnownMembers>>,
 }
 
-/// The driver's ends of the channels of a `FleetHandle`.
+/// The driver's side of the channels of a `FleetHandle`.
 pub struct DriverChannels {
     commands: mpsc::Receiver<Command>,
     known_members: watch::Sender<Arc<KnownMembers>>,
 }
 
 impl FleetHandle {
-    /// A handle, and what `run` needs to serve it.
+    /// Creates a handle, and the channels by which `run` serves it.
     pub fn new() -> (FleetHandle, DriverChannels) {
         let (command_sender, command_receiver) = mpsc::channel(MAX_WAITING_COMMANDS);
         let (members_sender, members_receiver) = watch::channel(Arc::default());
@@ -72,33 +73,33 @@
         (handle, DriverChannels { commands: command_receiver, known_members: members_sender })
     }
 
-    /// The view of this moment.
+    /// Returns the current view of the fleet.
     ///
     /// # Errors
     ///
-    /// `FleetError::Stopped` once the node has left.
+    /// `FleetError::Stopped` if the node has left.
     pub async fn view(&self) -> Result<FleetView, FleetError> {
         let (reply, view) = oneshot::channel();
         self.commands.send(Command::View(reply)).await.map_err(|_| FleetError::Stopped)?;
         view.await.map_err(|_| FleetError::Stopped)
     }
 
-    /// A member has presented a valid certificate on a connection, in this incarnation.
+    /// Marks a member as authenticated: it has presented a valid certificate on a connection in this incarnation.
     pub async fn mark_authenticated(&self, member: Member) {
         self.send(Command::MarkAuthenticated(member)).await;
     }
 
-    /// Publishes this forwarder's attributes.
+    /// Publishes the attributes of this forwarder.
     pub async fn publish_attributes(&self, attributes: Attributes) {
         self.send(Command::PublishAttributes(attributes)).await;
     }
 
-    /// Notifies the fleet that this forwarder is shutting down and takes nothing new.
+    /// Notifies the fleet that this forwarder is shutting down and accepts no new messages.
     pub async fn drain(&self) {
         self.send(Command::Drain).await;
     }
 
-    /// Leaves the fleet. Returns once the goodbyes are sent, or after `LEAVE_TIMEOUT`.
+    /// Leaves the fleet. Returns once the leave messages are sent, or after `LEAVE_TIMEOUT`.
     pub async fn leave(&self) {
         let (reply, sent) = oneshot::channel();
         if self.commands.send(Command::Leave(reply)).await.is_ok() {
@@ -106,14 +107,14 @@
         }
     }
 
-    /// A node that has left needs no further command.
+    /// Sends a command. A node that has left ignores it.
     async fn send(&self, command: Command) {
         let _ = self.commands.send(command).await;
     }
 }
 
-/// Runs a node until its forwarder leaves or withdraws, or all handles are dropped. `epoch` is the moment from which the
-/// node's times count.
+/// Runs a node until its forwarder leaves or withdraws, or until all handles are dropped. The times passed to the node are
+/// relative to `epoch`.
 pub async fn run(
     socket: UdpSocket, node: Node, epoch: Instant, snapshot: SnapshotStore, channels: DriverChannels,
 ) {
@@ -129,10 +130,10 @@
     driver.run(commands).await;
 }
 
-/// Whether the driver goes on after a command.
+/// Whether the driver continues after a command.
 enum Flow {
     Continue,
-    /// Leaves the fleet; the goodbyes are reported to whoever asked for it.
+    /// Leaves the fleet, and notifies the sender of the command once the leave messages are sent.
     Leave(Option<oneshot::Sender<()>>),
 }
 
@@ -141,7 +142,7 @@
     node: Node,
     epoch: Instant,
     known_members: watch::Sender<Arc<KnownMembers>>,
-    /// The view's digest when the known members were last published.
+    /// Digest of the view when the known members were last published.
     last_published_digest: Option<u64>,
     snapshot: SnapshotWriter,
 }
@@ -179,9 +180,10 @@
         self.leave(leave_reply).await;
     }
 
-    /// Sends what the last event has caused, and publishes a view that has changed.
+    /// Sends the datagrams that the last event caused. If the view has changed, publishes the members and schedules a
+    /// snapshot.
     async fn flush(&mut self) {
-        // A raised incarnation must be on disk before any peer learns of it.
+        // A raised incarnation must be on disk before any peer receives it.
         self.snapshot.store.raise_incarnation(self.node.local_member().incarnation);
         let outgoing = self.node.take_outgoing();
         send_all(&self.socket, &outgoing).await;
@@ -197,7 +199,7 @@
             Ok(size) if size <= MAX_DATAGRAM_BYTES => {
                 self.node.handle_datagram(self.epoch.elapsed(), &buffer[..size]);
             }
-            // On loopback an ICMP answer to a datagram that was sent earlier comes back as an error.
+            // On loopback, `recv_from` reports an ICMP error for a datagram that was sent earlier.
             Ok(_) | Err(_) => {}
         }
     }
@@ -205,7 +207,7 @@
     fn handle_command(&mut self, command: Option<Command>) -> Flow {
         let now = self.epoch.elapsed();
         match command {
-            // Whoever asked may have gone meanwhile.
+            // The caller may have dropped the receiver.
             Some(Command::View(reply)) => drop(reply.send(self.node.view(now))),
             Some(Command::MarkAuthenticated(member)) => self.node.mark_authenticated(now, &member),
             Some(Command::PublishAttributes(attributes)) => {
@@ -213,7 +215,7 @@
             }
             Some(Command::Drain) => self.node.drain(now),
             Some(Command::Leave(reply)) => return Flow::Leave(Some(reply)),
-            // All handles are dropped: the process ends.
+            // All handles are dropped: the process is exiting.
             None => return Flow::Leave(None),
         }
         Flow::Continue
@@ -242,7 +244,7 @@
     }
 
     async fn leave(mut self, reply: Option<oneshot::Sender<()>>) {
-        log::info!("neighbours: goodbye");
+        log::info!("leaving the fleet");
         let present = self.node.available_members();
         self.known_members.send_replace(Arc::default());
         let leave_messages = self.node.leave(self.epoch.elapsed());
@@ -250,7 +252,7 @@
             send_all(&self.socket, &leave_messages).await;
             sleep(LEAVE_INTERVAL).await;
         }
-        // A member that left counts nobody: it comes back as one that joins.
+        // A member that leaves stores no agreed fleet, as it later returns as a joining member.
         self.snapshot.store.record(&present, &BTreeSet::new(), now_secs());
         if let Some(reply) = reply {
             let _ = reply.send(());
@@ -258,7 +260,7 @@
     }
 }
 
-/// Writes the snapshot, at most once in `SNAPSHOT_INTERVAL`.
+/// Writes the snapshot, at most once per `SNAPSHOT_INTERVAL`.
 struct SnapshotWriter {
     store: SnapshotStore,
     due_at: Option<Instant>,
@@ -283,12 +285,12 @@
     }
 }
 
-/// Seconds since 1970 by this machine's clock.
+/// Returns the seconds since 1970 by this machine's clock.
 fn now_secs() -> u64 {
     clock::now().0 / 1_000_000_000
 }
 
-/// Sends datagrams. One that cannot be sent is lost like any other: the members repair that by comparing views.
+/// Sends datagrams. Errors are ignored: a datagram that is not sent counts as lost, and anti-entropy repairs the loss.
 async fn send_all(socket: &UdpSocket, datagrams: &[OutgoingDatagram]) {
     for datagram in datagrams {
         let _ = socket.send_to(&datagram.bytes, datagram.to).await;
--- a/src/fleet/gossip/tests.rs
+++ b/src/fleet/gossip/tests.rs
@@ -1,9 +1,9 @@
 //! Tests of `gossip`.
 use super::*;
 
-/// A node ends at any moment, with commands before, while and after it does.
+/// A node may stop while commands are queued, and further commands may follow. None of them may block.
 #[tokio::test]
-async fn a_handle_of_a_stopped_node_reports_that_and_never_waits() {
+async fn commands_to_a_stopped_node_fail_without_blocking() {
     let (handle, channels) = FleetHandle::new();
     let waiting = tokio::spawn({
         let handle = handle.clone();
--- a/src/fleet/member.rs
+++ b/src/fleet/member.rs
@@ -1,28 +1,28 @@
-//! A member's identity, and the bounds that the package puts on identities. A leaf: it imports nothing of the package.
+//! The identity of a member, and the limits on member names and on the number of members.
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Members kept in the tables. Once they are full, a member known from gossip only is ignored, and one that sends
-/// datagrams itself replaces one that never did.
+/// Maximum number of members in the tables. When a table is full, members known only from gossip are ignored, and a member
+/// that sends datagrams itself replaces one that never sent any.
 pub const MAX_MEMBERS: usize = 1000;
 /// Longest accepted member name, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// One run of a forwarder, as its peers identify it. A restart under the same name is a later incarnation at the same
-/// address.
+/// The identity of one incarnation of a forwarder. A forwarder that restarts under the same name and address has a higher
+/// incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Member {
-    /// Where it receives datagrams and accepts connections.
+    /// The address where the member receives datagrams and accepts connections.
     pub address: SocketAddr,
-    /// The forwarder's name.
+    /// The name of the forwarder.
     pub name: String,
-    /// Rises with each start, and each time that the member was wrongly declared dead.
+    /// The incarnation number. It increases with each start, and whenever the member was wrongly declared dead.
     pub incarnation: u64,
 }
 
 impl Member {
-    /// Whether this one keeps an address or a name that both claim: the later incarnation does. Ties are broken by name
-    /// and address, so that all members decide alike.
+    /// Returns whether this member keeps an address or a name that both members claim. The higher incarnation wins. Ties
+    /// are broken by name and address, so that all members decide the same way.
     pub fn supersedes(&self, other: &Member) -> bool {
         (self.incarnation, &self.name, self.address) > (other.incarnation, &other.name, other.address)
     }
--- a/src/fleet/member_table.rs
+++ b/src/fleet/member_table.rs
@@ -1,5 +1,5 @@
-//! The table behind the view: for each member its last known incarnation, what it published, how old that is, and whether
-//! it is present. Bounded. Its digest is one number for all of it, kept up to date with each change. Pure.
+//! The member table: for each member its last known incarnation, its published attributes and their age, and whether it is
+//! present. The number of entries is bounded. A digest of the present members is updated with each change. Does no I/O.
 use super::fault_injection::{is_injected, Defect};
 use super::member::{Member, MAX_MEMBERS};
 use super::wire::{Attributes, Record, DIGEST_BUCKETS};
@@ -8,33 +8,33 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Entries of departed members, in addition to as many of present ones.
+/// Maximum number of entries of departed members, in addition to up to `MAX_MEMBERS` present ones.
 pub const MAX_DEPARTED: usize = MAX_MEMBERS;
-/// Most records in answer to one comparison.
+/// Maximum number of records in the response to one comparison.
 const MAX_RECORDS_PER_COMPARISON: usize = 256;
 
-/// What is known of one member. Times are of this member's clock.
+/// Everything that is known about one member. Times are by the clock of the local member.
 #[derive(Clone, Debug)]
 pub struct MemberEntry {
-    /// Its last known incarnation.
+    /// The member, in its last known incarnation.
     pub member: Member,
-    /// How often it has published its attributes in this incarnation.
+    /// How many times the member has published its attributes in this incarnation.
     pub revision: u32,
-    /// What it published, where that is known.
+    /// The published attributes, if known.
     pub attributes: Option<Attributes>,
-    /// When it published that.
+    /// When the member published its attributes.
     pub published_at: Duration,
-    /// It has left or was declared dead.
+    /// Whether the member has left or was declared dead.
     pub departed: bool,
-    /// When it became present or departed.
+    /// When the member became present or departed.
     pub state_since: Duration,
-    /// When a datagram of its own last came.
+    /// When the last datagram sent by the member itself arrived.
     pub last_contact: Option<Duration>,
-    /// It has presented a valid certificate in this incarnation. Members that have not do not count.
+    /// Whether the member has presented a valid certificate in this incarnation. Only such members count for a majority.
     pub authenticated: bool,
-    /// Hash of what is the same in all views that agree: address, incarnation, revision and name.
+    /// Hash of the fields on which all agreeing views are equal: address, incarnation, revision and name.
     hash: u64,
-    /// The bucket that its hash belongs to, by address.
+    /// Index of the digest bucket that the hash belongs to, derived from the address.
     bucket: usize,
 }
 
@@ -67,12 +67,12 @@
         self.bucket = leading_u64(&Sha256::digest(&address)) as usize % DIGEST_BUCKETS;
     }
 
-    /// Whether it announced that it leaves before it departed.
+    /// Returns whether the member announced that it leaves before it departed.
     pub fn left_gracefully(&self) -> bool {
         self.departed && self.attributes.as_ref().is_some_and(|a| a.draining)
     }
 
-    /// The entry as it is sent to others.
+    /// Converts the entry to a record, the form that is sent to other members.
     pub fn to_record(&self, now: Duration) -> Record {
         let age_millis = now.saturating_sub(self.published_at).as_millis();
         Record {
@@ -85,24 +85,25 @@
     }
 }
 
-/// The first eight bytes of a hash as a number.
+/// Returns the first eight bytes of a hash as a big-endian number.
 fn leading_u64(hash: &[u8]) -> u64 {
     hash.iter().take(8).fold(0u64, |number, byte| number << 8 | u64::from(*byte))
 }
 
-/// All members by address, this one included.
+/// All known members by address, including the local one.
 pub struct MemberTable {
     local: SocketAddr,
     entries: BTreeMap<SocketAddr, MemberEntry>,
-    /// XOR of the hashes of the present members, for all and by bucket.
+    /// XOR of the hashes of all present members.
     digest: u64,
+    /// XOR of the hashes of the present members, by bucket.
     bucket_digests: Vec<u64>,
     departed_count: usize,
     change_count: u64,
 }
 
 impl MemberTable {
-    /// This member alone.
+    /// Creates a table that contains only the local member.
     pub fn new(local: Member, now: Duration) -> MemberTable {
         let address = local.address;
         let mut table = MemberTable {
@@ -117,7 +118,7 @@
         table
     }
 
-    /// Takes an entry out of the table, and its hash out of the digests.
+    /// Removes an entry from the table, and its hash from the digests.
     fn remove_entry(&mut self, address: SocketAddr) -> Option<MemberEntry> {
         let entry = self.entries.remove(&address)?;
         self.toggle_hash(&entry);
@@ -125,7 +126,7 @@
         Some(entry)
     }
 
-    /// Puts an entry into the table, in place of one that was taken out, and its hash into the digests.
+    /// Inserts an entry into the table, and its hash into the digests. An entry at the same address must be removed first.
     fn insert_entry(&mut self, entry: MemberEntry) {
         self.toggle_hash(&entry);
         self.departed_count += usize::from(entry.departed);
@@ -133,7 +134,7 @@
         self.change_count += 1;
     }
 
-    /// Adds the hash of a present member to the digests, or removes it: XOR does either.
+    /// Adds the hash of a present member to the digests or removes it; both are the same XOR.
     fn toggle_hash(&mut self, entry: &MemberEntry) {
         if !entry.departed {
             self.digest ^= entry.hash;
@@ -141,19 +142,20 @@
         }
     }
 
-    /// This member's own entry.
+    /// Returns the entry of the local member.
     pub fn local_entry(&self) -> &MemberEntry {
         &self.entries[&self.local]
     }
 
-    /// Publishes this member's attributes, under its own next revision or above one that others have seen.
+    /// Publishes the attributes of the local member with a revision above both its last one and `above_revision`, a revision
+    /// that other members have received.
     pub fn publish(&mut self, now: Duration, local: &Member, attributes: Attributes, above_revision: u32) {
         let mut entry = match self.remove_entry(self.local) {
             Some(mut entry) if entry.member == *local => {
                 entry.revision = entry.revision.max(above_revision);
                 entry
             }
-            // A new incarnation begins with no revision.
+            // A new incarnation starts at revision 0.
             _ => MemberEntry::new(local.clone(), now),
         };
         entry.revision = entry.revision.saturating_add(1);
@@ -163,7 +165,7 @@
         self.insert_entry(entry);
     }
 
-    /// A member is present, perhaps in another incarnation.
+    /// Marks a member as present, possibly in another incarnation than before.
     pub fn mark_present(&mut self, now: Duration, member: &Member) {
         let entry = match self.remove_entry(member.address) {
             Some(entry) if entry.member == *member && !entry.departed => entry,
@@ -172,7 +174,8 @@
         self.insert_entry(entry);
     }
 
-    /// An incarnation has departed, and with it all earlier ones. Of departed members the most recent ones are kept.
+    /// Marks an incarnation and all lower ones of a member as departed. If there are too many departed members, the one that
+    /// departed first is removed.
     pub fn mark_departed(&mut self, now: Duration, member: &Member) {
         let is_new_departure = self.entries.get(&member.address).is_some_and(|entry| {
             entry.member == *member && !entry.departed || entry.member.incarnation < member.incarnation
@@ -194,8 +197,8 @@
         }
     }
 
-    /// Takes in another member's record of a third. Returns whether it was newer than what was known, and so is worth
-    /// passing on.
+    /// Applies the attributes of a record received from another member. Returns whether they were newer than the known
+    /// ones, and so are to be disseminated.
     pub fn apply_record(&mut self, now: Duration, record: &Record) -> bool {
         let address = record.member.address;
         if address == self.local || record.attributes.is_none() {
@@ -217,71 +220,72 @@
         true
     }
 
-    /// A datagram of the member's own came.
+    /// Notes that a datagram sent by the member itself arrived.
     pub fn mark_contact(&mut self, now: Duration, from: SocketAddr) {
         if let Some(entry) = self.entries.get_mut(&from) {
             entry.last_contact = Some(now);
         }
     }
 
-    /// A member has presented a valid certificate in this incarnation. Ignored where another one is known.
+    /// Marks a member as authenticated: it has presented a valid certificate in this incarnation. Ignored if the table has
+    /// another incarnation.
     pub fn mark_authenticated(&mut self, member: &Member) {
         let Some(entry) = self.entries.get_mut(&member.address) else { return };
-        // Peers connect again and again: only the first time is a change.
+        // Peers reconnect often; only the first authentication of an incarnation is a change.
         if entry.member == *member && !entry.departed && !entry.authenticated {
             entry.authenticated = true;
             self.change_count += 1;
         }
     }
 
-    /// Rises with each change of who is present, authenticated, or has published what.
+    /// Returns a counter that increases whenever the presence, the authentication or the attributes of a member change.
     pub fn change_count(&self) -> u64 {
         self.change_count
     }
 
-    /// The entry at an address.
+    /// Returns the entry at an address.
     pub fn get(&self, address: SocketAddr) -> Option<&MemberEntry> {
         self.entries.get(&address)
     }
 
-    /// The entry at an address, if the member there is present.
+    /// Returns the entry at an address if the member is present.
     pub fn get_present(&self, address: SocketAddr) -> Option<&MemberEntry> {
         self.get(address).filter(|entry| !entry.departed)
     }
 
-    /// All entries, by address.
+    /// Returns all entries in order of address.
     pub fn iter(&self) -> impl Iterator<Item = &MemberEntry> {
         self.entries.values()
     }
 
-    /// Present members, this one included.
+    /// Returns the entries of present members, including the local one.
     pub fn present(&self) -> impl Iterator<Item = &MemberEntry> {
         self.entries.values().filter(|entry| !entry.departed)
     }
 
-    /// Departed members.
+    /// Returns the entries of departed members.
     pub fn departed(&self) -> impl Iterator<Item = &MemberEntry> {
         self.entries.values().filter(|entry| entry.departed)
     }
 
-    /// Removes an entry.
+    /// Removes the entry at an address.
     pub fn remove(&mut self, address: SocketAddr) {
         self.remove_entry(address);
         self.change_count += 1;
     }
 
-    /// One number for who is present, in which incarnation, with which revision of its attributes.
+    /// Returns the digest of the present members, their incarnations and the revisions of their attributes.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// The digest by buckets.
+    /// Returns the digest of each bucket.
     pub fn bucket_digests(&self) -> &[u64] {
         &self.bucket_digests
     }
 
-    /// Records of the buckets in which another view differs, by bucket from `first_bucket` on. Callers vary that one, so
-    /// that an answer which was cut short is followed by a different one.
+    /// Returns the records of the buckets whose digests differ from `other_digests`, in order of bucket from `first_bucket`
+    /// on. Callers vary `first_bucket`, so that successive truncated responses contain different records.
     pub fn differing_records(
         &self, now: Duration, other_digests: &[u64], first_bucket: usize,
     ) -> Vec<Record> {
@@ -295,7 +299,7 @@
     }
 }
 
-/// An entry for an incarnation that was not known. When the address was last heard is kept.
+/// Creates the entry of an incarnation that was not known. It keeps the last contact with the address.
 fn new_incarnation(previous: Option<MemberEntry>, member: &Member, now: Duration) -> MemberEntry {
     let mut entry = MemberEntry::new(member.clone(), now);
     entry.last_contact = previous.and_then(|p| p.last_contact);
--- a/src/fleet/member_table/tests.rs
+++ b/src/fleet/member_table/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn digests_are_equal_if_and_only_if_the_views_are() {
+fn digests_are_equal_if_and_only_if_the_views_are_equal() {
     let mut one = table_of(3);
     let mut other = MemberTable::new(member(2, 1), Duration::ZERO);
     for n in [1, 0] {
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn only_newer_attributes_of_the_known_incarnation_are_taken_and_none_about_itself() {
+fn accepts_only_newer_attributes_of_the_known_incarnation_and_none_of_the_local_member() {
     let mut table = table_of(3);
     let record = |n, incarnation, revision| Record {
         member: member(n, incarnation),
@@ -49,13 +49,13 @@
     for old in [record(1, 1, 5), record(1, 1, 4), record(1, 2, 9), record(0, 1, 9), record(7, 1, 9)] {
         assert!(!table.apply_record(now, &old), "{old:?}");
     }
-    // A later incarnation has published nothing yet.
+    // A new incarnation has not published attributes yet.
     table.mark_present(now, &member(1, 2));
     assert_eq!(table.get(address(1)).and_then(|e| e.attributes.clone()), None);
 }
 
 #[test]
-fn buckets_narrow_down_what_differs() {
+fn only_records_of_differing_buckets_are_returned() {
     let one = table_of(100);
     let mut other = table_of(100);
     other.mark_present(Duration::ZERO, &member(40, 2));
--- a/src/fleet/membership.rs
+++ b/src/fleet/membership.rs
@@ -1,5 +1,7 @@
-//! Who is present: the SWIM protocol (Das, Gupta and Motivala, 2002) by `foca`. It says where a member can be reached and no
-//! more; whom to trust is decided by certificates, on the connections. This module drives foca and holds no socket.
+//! Failure detection and membership with the SWIM protocol (Das, Gupta and Motivala, 2002), implemented by `foca`.
+//!
+//! Membership establishes only at which addresses members are reachable. Trust is established by certificates on the
+//! connections between members. This module drives foca and does no I/O.
 mod admission;
 
 use super::fault_injection::{is_injected, Defect};
@@ -16,20 +18,21 @@
 use std::num::{NonZeroU32, NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// Most members that are sent their own datagram when this one leaves; further ones learn of it by gossip.
+/// Maximum number of members that receive a leave message directly. Further members receive it by gossip.
 const MAX_LEAVE_MESSAGES: usize = 64;
-/// Largest message of foca, in bytes: with the header it fits into a datagram.
+/// Maximum size of a foca message, in bytes: with the header it fits into one datagram.
 const MAX_PACKET_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES;
-/// How long foca remembers departed members. After that a late message about such an incarnation changes nothing any more.
+/// How long foca remembers departed members, so that delayed messages do not add them again: longer than any message
+/// about such an incarnation is delayed.
 const REMEMBER_DEPARTED: Duration = Duration::from_secs(3600);
-/// How often a member is probed. A restart announces itself sooner than a probe finds it; this is for real failures.
+/// Interval between two probes. Probes detect failures only: a member that restarts announces itself.
 pub const PROBE_PERIOD: Duration = Duration::from_millis(500);
-/// How long a direct probe may take before others are asked to probe as well.
+/// Timeout of a direct probe, after which other members are requested to probe indirectly.
 const PROBE_RTT: Duration = Duration::from_millis(150);
-/// How often each member passes a change on. Each of n members then receives it this often on the average; that one of
-/// them never does has the probability n e^(-0.85 MAX_TRANSMISSIONS) at a datagram loss of 15%: under one in a million at
-/// 1,000 members. With foca's default (4 at 8 members) one of eight missed a goodbye in one run of six, and noticed it 4 s
-/// later by its own suspicion.
+/// How many times each member transmits an update. Each of n members then receives it this many times on average. At 15%
+/// datagram loss, the probability that some member never receives it is n e^(-0.85 MAX_TRANSMISSIONS): below one in a
+/// million for 1,000 members. With foca's default (4 for 8 members), one of eight members missed a leave message in one of
+/// six runs, and detected the departure by a suspicion 4 s later.
 const MAX_TRANSMISSIONS: NonZeroU8 = NonZeroU8::new(26).expect("26 is not zero");
 
 impl Identity for Member {
@@ -49,47 +52,47 @@
     }
 }
 
-/// A message of foca's protocol, to be sent as `Message::Swim`.
+/// An encoded foca message, to be sent as `wire::Message::Swim`.
 pub struct SwimMessage {
-    /// The receiver.
+    /// Address of the receiver.
     pub to: SocketAddr,
-    /// foca's bytes.
+    /// The message as encoded by foca.
     pub bytes: Vec<u8>,
 }
 
-/// A timer of foca, to be handed back by `Membership::handle_timer`.
+/// A timer that foca sets, to be passed to `Membership::handle_timer` when it expires.
 pub struct SwimTimer {
-    /// After this time.
+    /// Time until the timer expires.
     pub after: Duration,
-    /// What is handed back.
+    /// The foca timer.
     pub timer: Timer<Member>,
 }
 
-/// What is to be done after a call.
+/// Actions that the caller of a `Membership` method must perform.
 #[derive(Default)]
 pub struct Effects {
-    /// Messages to be sent.
+    /// Messages to send.
     pub messages: Vec<SwimMessage>,
-    /// Timers to be set.
+    /// Timers to set.
     pub timers: Vec<SwimTimer>,
-    /// Members that became present or departed: worth passing on at once.
+    /// Members that became present or departed. The caller disseminates them at once.
     pub changes: Vec<Change>,
-    /// Members that have not answered a probe of this member's own.
+    /// Members that did not answer a probe by this member.
     pub failed_probes: Vec<Member>,
-    /// The sender of the datagram, as it states itself.
+    /// Address of the sender as stated in the datagram.
     pub sender: Option<SocketAddr>,
 }
 
-/// A change of who is present.
+/// A change in the presence of a member.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// A member is present, or present in a new incarnation.
+    /// A member became present, or is present in a new incarnation.
     Up(Member),
     /// A member has departed.
     Down(Member),
 }
 
-/// What is claimed about a member.
+/// Presence of a member as claimed by a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Presence {
     /// The incarnation is present.
@@ -103,19 +106,19 @@
     foca: Foca<Member, PostcardCodec, StdRng, foca::NoCustomBroadcast>,
     runtime: AccumulatingRuntime<Member>,
     local_address: SocketAddr,
-    /// The highest incarnation that others state for this address, if not below its own.
+    /// The highest incarnation that other members state for the local address, if not below that of this member.
     superseding_incarnation: Option<u64>,
-    /// Addresses that have sent datagrams themselves; besides members at most as many others.
+    /// Addresses that have sent datagrams to this member; limited to twice the maximum number of members.
     direct_senders: BTreeSet<SocketAddr>,
 }
 
 impl Membership {
-    /// This member alone, in a fleet of about `expected_members`.
+    /// Creates the membership of a fleet of about `expected_members` that contains only this member so far.
     pub fn new(local: Member, expected_members: u32, random_seed: u64) -> Membership {
         let mut config = Config::new_lan(NonZeroU32::new(expected_members).unwrap_or(NonZeroU32::MIN));
         config.probe_period = PROBE_PERIOD;
         config.probe_rtt = PROBE_RTT;
-        // foca's own timeout of a suspicion is not used: `SuspicionTracker` decides when its timer is handed back.
+        // foca's suspicion timeout is not used: `SuspicionTracker` decides when foca's timer expires.
         config.remove_down_after = REMEMBER_DEPARTED;
         config.max_transmissions = MAX_TRANSMISSIONS;
         config.max_packet_size = NonZeroUsize::new(MAX_PACKET_BYTES).unwrap_or(NonZeroUsize::MIN);
@@ -135,13 +138,13 @@
         if to == self.local_address {
             return Effects::default();
         }
-        // foca uses the address alone for a receiver that is not a member yet.
+        // foca uses only the address of a receiver that is not a member yet.
         let receiver = Member { address: to, name: String::new(), incarnation: 0 };
         let result = self.foca.announce(receiver, &mut self.runtime);
-        self.collect_effects("announcing", result)
+        self.collect_effects("an announcement", result)
     }
 
-    /// Takes in a datagram, whatever it holds.
+    /// Processes a received foca message, which may be malformed or forged.
     pub fn handle_datagram(&mut self, bytes: &[u8]) -> Effects {
         let Some(admitted) = self.admit(bytes) else { return Effects::default() };
         let mut result = self.foca.handle_data(&admitted.bytes, &mut self.runtime);
@@ -153,13 +156,14 @@
         effects
     }
 
-    /// Whether the table takes in no further member that is known from gossip only.
+    /// Returns whether the table is full, so that members known only from gossip are not added.
     pub fn is_full(&self) -> bool {
         self.foca.num_members() >= MAX_MEMBERS
     }
 
-    /// Others know another identity at this member's address. If it is not an earlier one, the state folder was lost and
-    /// the clock set back, or another name was at this address: this member then rejoins above it.
+    /// Notes the incarnation of another identity that other members know at the local address. If it is not lower than
+    /// that of this member, the state folder was lost and the clock set back, or a forwarder of another name used this
+    /// address. This member then rejoins with a higher incarnation.
     fn note_incarnation_at_local_address(&mut self, incarnation: u64) {
         if incarnation >= self.foca.identity().incarnation {
             self.superseding_incarnation = self.superseding_incarnation.max(Some(incarnation));
@@ -172,11 +176,14 @@
         }
         let incarnation = incarnation.saturating_add(1);
         let renewed = Member { incarnation, ..self.foca.identity().clone() };
-        log::warn!(life = incarnation; "others know a later life of this forwarder: living above it");
+        log::warn!(
+            life = incarnation;
+            "other members know this incarnation as superseded or departed: rejoining with a higher one"
+        );
         self.foca.change_identity(renewed, &mut self.runtime)
     }
 
-    /// Takes in what another member's record claims about a member.
+    /// Applies what a record from another member claims about the presence of a member.
     pub fn apply_claim(&mut self, member: &Member, presence: Presence) -> Effects {
         let result = if member.address == self.local_address {
             self.apply_claim_about_self(member, presence)
@@ -188,10 +195,11 @@
             let update = foca::Member::new(member.clone(), 0, state);
             self.foca.apply_many(std::iter::once(update), true, &mut self.runtime)
         };
-        self.collect_effects("records", result)
+        self.collect_effects("a record", result)
     }
 
-    /// This member refutes that its incarnation has departed, and supersedes a later one at its address.
+    /// Refutes a claim that the current incarnation of this member has departed, and supersedes a higher incarnation at
+    /// the local address.
     fn apply_claim_about_self(&mut self, member: &Member, presence: Presence) -> Result<(), foca::Error> {
         let local = self.foca.identity();
         let is_declared_departed = member == local && presence == Presence::Departed;
@@ -201,23 +209,23 @@
         Ok(())
     }
 
-    /// This member in its current incarnation.
+    /// Returns the identity of this member in its current incarnation.
     pub fn local_member(&self) -> &Member {
         self.foca.identity()
     }
 
-    /// Suspected members, each with foca's number of the suspected state.
+    /// Returns the suspected members, each with its SWIM incarnation: foca's own counter within one `Member::incarnation`.
     pub fn suspects(&self) -> impl Iterator<Item = (&Member, u16)> {
         let suspects = self.foca.iter_members().filter(|m| m.state() == foca::State::Suspect);
         suspects.map(|m| (m.id(), m.incarnation()))
     }
 
-    /// foca's number of the suspected state of a member, if it is suspected.
+    /// Returns the SWIM incarnation in which a member is suspected, or `None` if it is not suspected.
     pub fn suspected_incarnation(&self, member: &Member) -> Option<u16> {
         self.suspects().find(|(suspect, _)| *suspect == member).map(|(_, incarnation)| incarnation)
     }
 
-    /// Another member's probe has failed: its suspect is suspected here as well, unless it has refuted that already.
+    /// Suspects a member because the probe of another member failed, unless the suspect has already refuted the suspicion.
     pub fn apply_suspicion(&mut self, suspect: &Member, swim_incarnation: u16) -> Effects {
         let known = self.foca.iter_members().find(|m| m.id() == suspect).map(|m| m.incarnation());
         let result = match known {
@@ -225,23 +233,23 @@
                 let update = foca::Member::new(suspect.clone(), swim_incarnation, foca::State::Suspect);
                 self.foca.apply_many(std::iter::once(update), true, &mut self.runtime)
             }
-            // Nobody gets into the table by being suspected.
+            // A suspicion does not add an unknown member to the table.
             _ => Ok(()),
         };
         self.collect_effects("a suspicion", result)
     }
 
-    /// Number of updates that are still to be passed on.
+    /// Returns the number of updates that foca has yet to transmit.
     pub fn backlog(&self) -> usize {
         self.foca.updates_backlog()
     }
 
-    /// Number of members that are not known to have departed, without this one.
+    /// Returns the number of members that are not known to have departed, without this one.
     pub fn active_count(&self) -> usize {
         self.foca.num_members()
     }
 
-    /// The message that notifies a member that it is suspected, so that it can refute that at once.
+    /// Returns the message that notifies a member that it is suspected, so that it can refute the suspicion at once.
     pub fn suspicion_notice(&self, suspect: &Member) -> Option<SwimMessage> {
         let known = self.foca.iter_members().find(|m| m.id() == suspect)?;
         if known.state() != foca::State::Suspect {
@@ -250,26 +258,27 @@
         single_update(self.foca.identity(), suspect, known.clone())
     }
 
-    /// Takes a timer back.
+    /// Processes an expired timer.
     pub fn handle_timer(&mut self, timer: Timer<Member>) -> Effects {
         let result = self.foca.handle_timer(timer, &mut self.runtime);
         self.collect_effects("a timer", result)
     }
 
-    /// Leaves the fleet: a planned restart needs no suspicion. Each member that has sent datagrams gets its own message,
-    /// so that forged members take nobody's place; foca notifies a few of all members.
+    /// Leaves the fleet, so that other members detect a planned restart without a suspicion. Members that have sent
+    /// datagrams receive a leave message directly, as forged members could fill the few receivers that foca chooses.
     pub fn leave(&mut self) -> Effects {
         let local = self.foca.identity().clone();
         let departed = foca::Member::new(local.clone(), 0, foca::State::Down);
         let receivers = self.direct_members();
         let leave_messages = receivers.iter().filter_map(|to| single_update(&local, to, departed.clone()));
         let result = self.foca.leave_cluster(&mut self.runtime);
-        let mut effects = self.collect_effects("leaving", result);
+        let mut effects = self.collect_effects("a leave request", result);
         effects.messages.extend(leave_messages);
         effects
     }
 
-    /// Some of the members that have sent datagrams themselves, which forged members do not.
+    /// Returns up to `MAX_LEAVE_MESSAGES` of the members that have sent datagrams to this member. Forged members are not
+    /// among them, as they send none.
     pub fn direct_members(&self) -> Vec<Member> {
         let members = self.foca.iter_members().map(|m| m.id());
         members
@@ -279,13 +288,13 @@
             .collect()
     }
 
-    /// Passes recent changes on to a few members at once: foca's own next message may be 0.2 s away.
+    /// Gossips recent updates to a few members at once: foca would send its next gossip up to 0.2 s later.
     pub fn gossip(&mut self) -> Effects {
         let result = self.foca.gossip(&mut self.runtime);
-        self.collect_effects("passing on", result)
+        self.collect_effects("a gossip round", result)
     }
 
-    /// Members that are not known to have departed, without this one.
+    /// Returns the members that are not known to have departed, without this one.
     pub fn active_members(&self) -> Vec<Member> {
         self.foca.iter_members().map(|m| m.id().clone()).collect()
     }
@@ -296,8 +305,8 @@
 
     fn collect_effects(&mut self, input: &str, result: Result<(), foca::Error>) -> Effects {
         if let Err(e) = result {
-            // Anybody can send what foca rejects. It changes nothing.
-            log::debug!("{input}: {e}");
+            // Any host can send datagrams that foca rejects. They change nothing, so this is no warning.
+            log::debug!("foca rejected {input}: {e}");
         }
         let mut effects = Effects::default();
         while let Some((to, bytes)) = self.runtime.to_send() {
@@ -317,20 +326,23 @@
     fn handle_notification(&mut self, notification: OwnedNotification<Member>) {
         match notification {
             OwnedNotification::MemberUp(member) => {
-                log_member_event("neighbour is there", &member);
+                log_member_event("member is up", &member);
                 self.changes.push(Change::Up(member));
             }
             OwnedNotification::MemberDown(member) => {
-                log_member_event("neighbour is gone", &member);
+                log_member_event("member is down", &member);
                 self.changes.push(Change::Down(member));
             }
             OwnedNotification::Rename(_, member) => {
-                log_member_event("neighbour started anew", &member);
+                log_member_event("member restarted", &member);
                 self.changes.push(Change::Up(member));
             }
             OwnedNotification::ProbeFailed(_, member) => self.failed_probes.push(member),
             OwnedNotification::Rejoin(member) => {
-                log::info!(neighbour = member.name, life = member.incarnation; "taken for dead, joined again");
+                log::info!(
+                    neighbour = member.name, life = member.incarnation;
+                    "this member was declared dead and has rejoined the fleet"
+                );
             }
             _ => {}
         }
@@ -343,7 +355,7 @@
     );
 }
 
-/// A message to one member with one update.
+/// Encodes a gossip message with a single update.
 fn single_update(from: &Member, to: &Member, update: foca::Member<Member>) -> Option<SwimMessage> {
     let header =
         foca::Header { src: from.clone(), src_incarnation: 0, dst: to.clone(), message: Message::Gossip };
@@ -351,7 +363,7 @@
     Some(SwimMessage { to: to.address, bytes })
 }
 
-/// A message as foca reads it: its header and updates of members.
+/// Encodes a message in foca's format: the header, the number of updates and the updates.
 fn encode(header: &foca::Header<Member>, updates: &[foca::Member<Member>]) -> Option<Vec<u8>> {
     let mut bytes = Vec::new();
     PostcardCodec.encode_header(header, &mut bytes).ok()?;
--- a/src/fleet/membership/admission.rs
+++ b/src/fleet/membership/admission.rs
@@ -1,4 +1,4 @@
-//! Decides which updates of a received datagram membership takes in, so that its tables stay bounded.
+//! Filters the updates of received datagrams, so that the membership tables stay bounded.
 use super::{encode, Membership};
 use crate::fleet::member::{Member, MAX_MEMBERS, MAX_NAME_BYTES};
 use foca::{Codec, Message, PostcardCodec};
@@ -6,14 +6,14 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Size of the count of updates behind foca's header, in bytes.
+/// Size of the number of updates that follows foca's header, in bytes.
 const UPDATE_COUNT_BYTES: usize = 2;
 
-/// Which members a datagram may bring into the table.
+/// The members that the updates of a datagram may add or change.
 enum Admission {
-    /// There is room for all.
+    /// The table has room: all members.
     Anyone,
-    /// There is no room: only members at these addresses.
+    /// The table is full: only members at these addresses.
     Only(BTreeSet<SocketAddr>),
 }
 
@@ -26,21 +26,21 @@
     }
 }
 
-/// A datagram with the updates that are taken in.
+/// A datagram reduced to its admitted updates.
 pub(super) struct Admitted<'a> {
     pub(super) sender: SocketAddr,
     pub(super) bytes: Cow<'a, [u8]>,
 }
 
 impl Membership {
-    /// Filters a datagram. Guards against forged members: they may fill the table, but must neither keep updates of real
-    /// members out nor shut out those that join. The sender is what the datagram states; whom to trust is decided
-    /// elsewhere.
+    /// Filters a datagram; returns `None` if it is to be dropped. Guards against forged members: they can fill the table,
+    /// but must not block updates of real members or members that join. The sender is not verified here but by its
+    /// certificate on a connection.
     pub(super) fn admit<'a>(&mut self, bytes: &'a [u8]) -> Option<Admitted<'a>> {
         let mut rest = bytes;
         let header: foca::Header<Member> = PostcardCodec.decode_header(&mut rest).ok()?;
         let sender = header.src.address;
-        // No other process has this member's address.
+        // Only this process has the local address, so such a sender is forged.
         if sender == self.local_address || header.src.name.len() > MAX_NAME_BYTES {
             return None;
         }
@@ -68,11 +68,11 @@
         self.direct_senders.insert(sender);
     }
 
-    /// Whom a datagram of this sender may bring into the table; none if not even the sender. In a full table the sender
-    /// takes the place of a member that never sent a datagram.
+    /// Returns the members that a datagram from this sender may add or change, or `None` if not even the sender may be
+    /// added. In a full table the sender replaces a member that never sent a datagram.
     fn admission_for(&mut self, sender: SocketAddr) -> Option<Admission> {
         let is_full = self.is_full();
-        // foca keeps departed members for a while: these are bounded as well.
+        // foca keeps departed members for `REMEMBER_DEPARTED`, so they are bounded as well.
         let is_state_full = self.foca.iter_membership_state().len() >= 2 * MAX_MEMBERS;
         if !is_full && !is_state_full {
             return Some(Admission::Anyone);
@@ -96,8 +96,8 @@
         Some(indirect.id().clone())
     }
 
-    /// Reads the updates of a datagram and gives those that are admitted; none if they are malformed. What they say of
-    /// this member's address is noted here.
+    /// Decodes the updates of a datagram and returns the admitted ones, or `None` if they are malformed. Notes the
+    /// incarnation of another identity at the local address.
     fn admitted_updates(
         &mut self, count: u16, bytes: &mut &[u8], admission: &Admission,
     ) -> Option<Vec<foca::Member<Member>>> {
--- a/src/fleet/membership/tests.rs
+++ b/src/fleet/membership/tests.rs
@@ -3,14 +3,14 @@
 use crate::fleet::member::tests::{address, member};
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// Forwarders on a network that a test partitions and heals, in virtual time.
+/// A simulated network of forwarders in virtual time, which a test can partition and heal.
 struct Network {
     nodes: BTreeMap<SocketAddr, Membership>,
     queue: BinaryHeap<std::cmp::Reverse<(Duration, u64)>>,
     events: BTreeMap<u64, (SocketAddr, Event)>,
     now: Duration,
     last_event: u64,
-    /// Datagrams between ports below and above this one are lost.
+    /// If set, datagrams between a port below this one and a port from this one on are lost.
     partitioned_at: Option<u16>,
 }
 
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn members_find_each_other_and_notice_a_crash() {
+fn members_discover_each_other_and_detect_a_crash() {
     let mut network = Network::new();
     (0..5).for_each(|n| network.start(n, 1, 0));
     network.run(20);
@@ -88,7 +88,7 @@
     network.nodes.remove(&address(3));
     network.run(20);
     assert!(network.seen_by(0).iter().all(|m| m.name != "n3"));
-    // Under the same name and address again: the new incarnation is present at once, whatever is known of the old one.
+    // A restart under the same name and address is present at once, although the old incarnation was declared dead.
     network.start(3, 2, 0);
     network.run(5);
     for n in [0, 1, 2, 4] {
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn two_halves_find_each_other_after_a_partition() {
+fn both_sides_merge_after_a_partition_heals() {
     let mut network = Network::new();
     (0..6).for_each(|n| network.start(n, 1, 0));
     network.run(20);
@@ -105,7 +105,7 @@
     network.run(30);
     assert!(network.seen_by(0).iter().all(|m| m.address.port() < 1003), "{:?}", network.seen_by(0));
     network.partitioned_at = None;
-    // As the daemon does: members seen before are greeted again from time to time.
+    // The daemon also announces itself periodically to members that it knew before.
     let effects = network.nodes.get_mut(&address(5)).expect("it runs").announce(address(0));
     network.apply(address(5), effects);
     network.run(40);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_rolling_restart_by_thirds_loses_no_member() {
+fn a_rolling_restart_by_thirds_keeps_all_members() {
     let mut network = Network::new();
     (0..9).for_each(|n| network.start(n, 1, 0));
     network.run(20);
@@ -137,26 +137,26 @@
     }
 }
 
-/// Gossip of a forger about `count` members that do not exist, from number `from` on.
-fn forged(forger: u16, to: &Member, from: u16, count: u16) -> Vec<u8> {
+/// Returns a gossip message about `count` members that do not exist, numbered from `from` on.
+fn forged_gossip(forger: u16, to: &Member, from: u16, count: u16) -> Vec<u8> {
     let src = member(forger, 1);
     let header = foca::Header { src, src_incarnation: 0, dst: to.clone(), message: Message::Gossip };
     let alive = |n| foca::Member::new(member(n, 1), 0, foca::State::Alive);
     encode(&header, &(from..from + count).map(alive).collect::<Vec<_>>()).expect("it fits")
 }
 
-/// Forged members fill the table of one member: it still learns who is present, who leaves and who joins, and its
-/// table stays bounded.
+/// Gossip about forged members fills the table of one member. Real members must still be seen to join and leave, and the
+/// table must stay bounded.
 #[test]
-fn a_table_full_of_forged_members_still_learns_of_real_ones() {
+fn a_table_full_of_forged_members_still_tracks_real_members() {
     let mut network = Network::new();
     (0..3).for_each(|n| network.start(n, 1, 0));
     network.run(10);
-    let me = member(0, 1);
+    let receiver = member(0, 1);
     for part in 0..80 {
-        let bytes = forged(9000, &me, 10_000 + part * 20, 20);
+        let bytes = forged_gossip(9000, &receiver, 10_000 + part * 20, 20);
         assert!(bytes.len() <= MAX_PACKET_BYTES);
-        // Its answers would be sent to nobody.
+        // The effects are dropped: replies would go to members that do not exist.
         network.nodes.get_mut(&address(0)).expect("it runs").handle_datagram(&bytes);
     }
     let full = network.seen_by(0).len();
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn noise_changes_nothing() {
+fn ignores_malformed_datagrams() {
     let mut membership = Membership::new(member(0, 1), 10, 1);
     for n in 0..200u8 {
         let effects = membership.handle_datagram(&vec![n; usize::from(n)]);
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,14 +1,15 @@
-//! The forwarders' own view of their fleet: who is present, what each publishes about itself, and on which side of a
-//! network partition this one is.
+//! Fleet membership: which forwarders are present, what each one publishes about itself, and on which side of a network
+//! partition this forwarder is.
 //!
-//! [`node`] is all of it without I/O, on top of [`membership`] (SWIM), [`suspicion`] (how long a silent member is only
-//! suspected), [`member_table`] (what each published) and [`partition`] (majority or minority). [`wire`] has the bytes of
-//! the datagrams, [`view`] the form that is shown, [`gossip`] the socket, and [`snapshot`] what outlasts a process.
-//! [`member`] has the identity of a member, and imports nothing else of the package.
+//! [`node`] implements the protocol without I/O, on top of [`membership`] (SWIM), [`suspicion`] (timeouts of suspected
+//! members), [`member_table`] (the published attributes) and [`partition`] (majority or minority). [`wire`] defines the
+//! datagram format, [`view`] the output for people and programs, [`gossip`] drives a node on its UDP socket, and
+//! [`snapshot`] stores the state that survives a restart. [`member`] defines the identity of a member and does not depend
+//! on the other modules.
 //!
-//! The peers' connections (`peers`) start it, if they are given an address; otherwise there is no socket, no file and no
-//! work. It is a module and not a crate as it shares the state folder's limits, the clock and the log with the program,
-//! and the lab drives the library as a whole.
+//! The `peers` module starts the fleet if a listen address is configured. Otherwise no socket is opened, no file is
+//! written and no task runs. The fleet is a module and not a crate because it shares the limits of the state folder, the
+//! clock and the log with the program, and because the lab drives the library as a whole.
 #![warn(missing_docs)]
 pub mod error;
 pub mod fault_injection;
--- a/src/fleet/node/anti_entropy.rs
+++ b/src/fleet/node/anti_entropy.rs
@@ -1,27 +1,28 @@
-//! Repairs what dissemination missed: members compare the digests of their views, bucket by bucket, and send each other
-//! the records of buckets that differ.
+//! Anti-entropy: repairs changes that dissemination missed. Members compare the digests of their views by bucket, and send
+//! each other the records of the buckets that differ.
 use super::Node;
 use crate::fleet::fault_injection::{is_injected, Defect};
 use crate::fleet::wire::{Message, Record, HEADER_BYTES, MAX_DATAGRAM_BYTES, MAX_RECORD_BYTES};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A view is compared with one that differs from it no more often than this.
+/// Minimum time between two comparisons with views that differ.
 const COMPARISON_INTERVAL: Duration = Duration::from_millis(250);
-/// Most datagrams in answer to one comparison.
-const MAX_DATAGRAMS_PER_ANSWER: usize = 8;
-/// Most datagrams a second in answer to all comparisons, and the burst that is allowed.
-const ANSWER_DATAGRAMS_PER_SEC: f64 = 40.0;
-/// Upper bound of a record's member without its name, and of the sender before the records, in bytes.
+/// Maximum number of datagrams in the response to one comparison.
+const MAX_DATAGRAMS_PER_RESPONSE: usize = 8;
+/// Maximum rate of datagrams in responses to all comparisons, and size of the token bucket.
+const RESPONSE_DATAGRAMS_PER_SEC: f64 = 40.0;
+/// Upper bound of the encoded size of a member without its name, in bytes: in a record, and for the sender before the
+/// records.
 const MEMBER_OVERHEAD_BYTES: usize = 48;
-/// Upper bound of attributes without their texts, in bytes.
+/// Upper bound of the encoded size of attributes without their texts, in bytes.
 const ATTRIBUTES_OVERHEAD_BYTES: usize = 64;
 
-/// When views may be compared, and how many answers are left.
+/// Rate limits of comparisons and of the responses to them.
 pub(super) struct AntiEntropy {
     next_comparison_at: Duration,
-    /// Token bucket: datagrams that may be sent.
-    answer_tokens: f64,
+    /// Tokens in the bucket: number of datagrams that may be sent now.
+    response_tokens: f64,
     tokens_refilled_at: Duration,
 }
 
@@ -29,30 +30,31 @@
     pub(super) fn new(now: Duration) -> AntiEntropy {
         AntiEntropy {
             next_comparison_at: now,
-            answer_tokens: ANSWER_DATAGRAMS_PER_SEC,
+            response_tokens: RESPONSE_DATAGRAMS_PER_SEC,
             tokens_refilled_at: now,
         }
     }
 
     fn refill_tokens(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.tokens_refilled_at).as_secs_f64();
-        let refilled = self.answer_tokens + passed * ANSWER_DATAGRAMS_PER_SEC;
-        self.answer_tokens = refilled.min(ANSWER_DATAGRAMS_PER_SEC);
+        let elapsed_secs = now.saturating_sub(self.tokens_refilled_at).as_secs_f64();
+        let refilled = self.response_tokens + elapsed_secs * RESPONSE_DATAGRAMS_PER_SEC;
+        self.response_tokens = refilled.min(RESPONSE_DATAGRAMS_PER_SEC);
         self.tokens_refilled_at = now;
     }
 
     fn take_token(&mut self) -> bool {
-        if self.answer_tokens < 1.0 {
+        if self.response_tokens < 1.0 {
             return false;
         }
-        self.answer_tokens -= 1.0;
+        self.response_tokens -= 1.0;
         true
     }
 }
 
 impl Node {
-    /// Asks a member whose view differs for what differs. A view that this very datagram has just changed is not
-    /// compared, unless it had been the same for a while: the change is probably still being passed on.
+    /// Sends the digests of this view to a member whose view differs, to request the records that differ. Does not if the
+    /// datagram from that member has just changed this view and the view had changed shortly before as well: the changes
+    /// are then probably still being disseminated.
     pub(super) fn compare_views(&mut self, peer: SocketAddr, peer_digest: u64) {
         let local_digest = self.table.digest();
         if peer_digest == local_digest || is_injected(Defect::ViewsNotCompared) {
@@ -73,10 +75,10 @@
         self.send(to, &Message::Digests { from, digests, is_reply });
     }
 
-    /// Sends records in answer to a comparison, as far as the limits allow.
-    pub(super) fn answer_with_records(&mut self, to: SocketAddr, records: Vec<Record>) {
+    /// Sends records in response to a comparison, within the rate limits.
+    pub(super) fn send_response_records(&mut self, to: SocketAddr, records: Vec<Record>) {
         self.anti_entropy.refill_tokens(self.clock.now());
-        for records in self.pack_records(records).into_iter().take(MAX_DATAGRAMS_PER_ANSWER) {
+        for records in self.pack_records(records).into_iter().take(MAX_DATAGRAMS_PER_RESPONSE) {
             if !self.anti_entropy.take_token() {
                 return;
             }
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Divides records into parts that each fit into a datagram, by an upper bound of their size.
+    /// Divides records into parts that each fit into a datagram, by the upper bound of their encoded size.
     pub(super) fn pack_records(&self, records: Vec<Record>) -> Vec<Vec<Record>> {
         let sender_bytes = MEMBER_OVERHEAD_BYTES + self.local_member().name.len();
         let mut parts: Vec<Vec<Record>> = Vec::new();
--- a/src/fleet/node/clock.rs
+++ b/src/fleet/node/clock.rs
@@ -1,16 +1,15 @@
-//! The node's time, without the time for which its process was suspended.
+//! The clock of a node, which excludes the time for which the process was suspended.
 use std::time::Duration;
 
-/// A call that comes later than expected by more than this shows that the process was suspended: a busy machine delays it
-/// less.
+/// A call that is late by more than this indicates that the process was suspended: a busy machine causes shorter delays.
 const SUSPENSION_THRESHOLD: Duration = Duration::from_millis(250);
 
-/// The moment of the current call, on two clocks.
+/// The time of the current call, in the driver's time and in active time.
 pub(super) struct NodeClock {
     now: Duration,
     active: Duration,
     suspended_for: Duration,
-    /// When the next call was to come at the latest.
+    /// Latest time at which the driver was to make the current call.
     expected_call_at: Option<Duration>,
 }
 
@@ -19,14 +18,17 @@
         NodeClock { now, active: now, suspended_for: Duration::ZERO, expected_call_at: None }
     }
 
-    /// Moves on to a call. It never goes back.
+    /// Sets the time of the current call, which never goes back. Detects a suspension of the process.
     pub(super) fn advance(&mut self, now: Duration) {
         self.now = self.now.max(now);
         if let Some(expected_at) = self.expected_call_at {
-            let late = self.now.saturating_sub(expected_at);
-            if late > SUSPENSION_THRESHOLD {
-                self.suspended_for += late;
-                log::warn!(seconds = late.as_secs_f64(); "stood still: that time counts against nobody");
+            let delay = self.now.saturating_sub(expected_at);
+            if delay > SUSPENSION_THRESHOLD {
+                self.suspended_for += delay;
+                log::warn!(
+                    seconds = delay.as_secs_f64();
+                    "process was suspended: the time does not count for probes and suspicions"
+                );
             }
         }
         self.active = self.now - self.suspended_for;
@@ -36,17 +38,17 @@
         self.expected_call_at = Some(at);
     }
 
-    /// The driver's time: for ages, which pass while the process is suspended.
+    /// Returns the driver's time, for ages: data gets older while the process is suspended.
     pub(super) fn now(&self) -> Duration {
         self.now
     }
 
-    /// The time for which the process was active: for timers, so that a suspended process blames nobody for its silence.
+    /// Returns the active time, for timers: a process that was suspended must not suspect members for its own inactivity.
     pub(super) fn active(&self) -> Duration {
         self.active
     }
 
-    /// The driver's time of a moment of active time that is ahead.
+    /// Converts a future active time to the driver's time.
     pub(super) fn to_wall(&self, active: Duration) -> Duration {
         active + self.suspended_for
     }
--- a/src/fleet/node/departure.rs
+++ b/src/fleet/node/departure.rs
@@ -1,11 +1,11 @@
-//! Leaving the fleet: first draining, then the goodbye.
+//! Leaving the fleet: draining, then the leave messages.
 use super::{Node, OutgoingDatagram};
 use crate::fleet::fault_injection::{is_injected, Defect};
 use crate::fleet::wire::{Attributes, Message};
 use std::time::Duration;
 
 impl Node {
-    /// This member is shutting down: the others learn at once that it takes nothing new.
+    /// Starts to drain this member, and notifies other members at once that it accepts no new messages.
     pub fn drain(&mut self, now: Duration) {
         self.begin_call(now);
         self.set_attributes(Attributes { draining: true, ..self.attributes.clone() });
@@ -13,7 +13,8 @@
         self.end_call();
     }
 
-    /// Leaves the fleet; nothing is to be called after it. The datagrams may be lost: they are to be sent several times.
+    /// Leaves the fleet and returns the leave messages. The caller sends them several times, as datagrams may be lost, and
+    /// must not call the node again.
     pub fn leave(&mut self, now: Duration) -> Vec<OutgoingDatagram> {
         if !is_injected(Defect::LeaveNotAnnounced) {
             self.drain(now);
@@ -23,7 +24,7 @@
         self.take_outgoing()
     }
 
-    /// Sends this member's record directly to members that have sent datagrams themselves.
+    /// Sends the record of this member directly to members that have sent datagrams to it.
     fn send_local_record(&mut self) {
         let records = vec![self.table.local_entry().to_record(self.clock.now())];
         let message = Message::Records { from: self.local_member().clone(), records };
--- a/src/fleet/node/dissemination.rs
+++ b/src/fleet/node/dissemination.rs
@@ -1,4 +1,4 @@
-//! Passes recent changes on to a few random members, sooner than SWIM's own messages would.
+//! Dissemination: gossips recent changes to a few random members, faster than SWIM's own messages would.
 use super::Node;
 use crate::fleet::member::Member;
 use crate::fleet::wire::{Message, Record};
@@ -7,29 +7,30 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Changes are passed on at once, but not more often than this.
+/// Minimum time between two gossip rounds. The first round after a change starts at once.
 pub(super) const GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
-/// How often foca's updates are passed on after a member became present or departed.
+/// Number of rounds that gossip foca's updates after a member became present or departed.
 const MEMBERSHIP_ROUNDS: u32 = 3;
-/// While more updates than these wait in foca, they are passed on in every interval: once a partition has healed there is
-/// an update for each member.
+/// If foca has more pending updates than this, a round follows in every interval. After a partition has healed, there is an
+/// update for each member.
 const MAX_IDLE_BACKLOG: usize = 32;
-/// A record is passed on in this many rounds, each time to `GOSSIP_FANOUT` members: 27 times in all, by the same reckoning
-/// as `membership::MAX_TRANSMISSIONS`.
+/// Number of rounds that send a record, each to `GOSSIP_FANOUT` members. The 27 transmissions in total follow from the same
+/// calculation as `membership::MAX_TRANSMISSIONS`.
 const RECORD_ROUNDS: u32 = 9;
+/// Number of random members that receive the records of one round.
 const GOSSIP_FANOUT: usize = 3;
-/// Most records that wait to be passed on; further ones are found by anti-entropy.
+/// Maximum number of records that wait for dissemination. Anti-entropy delivers further ones.
 const MAX_PENDING_RECORDS: usize = 64;
-/// How many members are notified of a failed probe.
+/// Number of members that are notified of a failed probe.
 const SUSPICION_FANOUT: usize = 8;
 
-/// What is still to be passed on.
+/// The changes that are pending for dissemination.
 pub(super) struct Dissemination {
     next_at: Option<Duration>,
     last_at: Duration,
-    /// Rounds in which foca's updates are still to be passed on.
+    /// Number of remaining rounds that gossip foca's updates.
     membership_rounds: u32,
-    /// Rounds left, by the address of the member that a record is about.
+    /// Number of remaining rounds of each record, by the address of the member that the record is about.
     pending_records: BTreeMap<SocketAddr, u32>,
 }
 
@@ -46,7 +47,8 @@
         self.next_at.is_some_and(|at| at <= now)
     }
 
-    /// Plans a round as soon as the interval allows, unless one is planned, with foca's updates in so many rounds.
+    /// Schedules a round as soon as the interval allows, unless one is already scheduled. At least the next
+    /// `membership_rounds` rounds gossip foca's updates.
     fn schedule(&mut self, now: Duration, membership_rounds: u32) {
         self.membership_rounds = self.membership_rounds.max(membership_rounds);
         if self.next_at.is_none() {
@@ -54,7 +56,7 @@
         }
     }
 
-    /// One of the record's rounds is done.
+    /// Notes that a record was sent in one round, and removes it after its last round.
     fn mark_record_sent(&mut self, address: SocketAddr) {
         let rounds_left = self.pending_records.get(&address).copied().unwrap_or(0);
         if rounds_left > 1 {
@@ -66,12 +68,12 @@
 }
 
 impl Node {
-    /// A member became present or departed: foca's updates are passed on at once and a few times more.
+    /// Schedules the gossip of foca's updates after a member became present or departed.
     pub(super) fn queue_membership_updates(&mut self) {
         self.dissemination.schedule(self.clock.active(), MEMBERSHIP_ROUNDS);
     }
 
-    /// The record of a member is new, and is passed on. This member's own always is.
+    /// Queues the record of a member for dissemination. If the queue is full, only the record of this member is added.
     pub(super) fn queue_record(&mut self, address: SocketAddr) {
         let is_local = address == self.local_member().address;
         if self.dissemination.pending_records.len() >= MAX_PENDING_RECORDS && !is_local {
@@ -81,7 +83,7 @@
         self.dissemination.schedule(self.clock.active(), 1);
     }
 
-    /// One round.
+    /// Executes one gossip round.
     pub(super) fn disseminate(&mut self) {
         self.dissemination.last_at = self.clock.active();
         if self.dissemination.membership_rounds > 0 {
@@ -96,7 +98,7 @@
         self.dissemination.next_at = has_more.then_some(self.clock.active() + GOSSIP_INTERVAL);
     }
 
-    /// Sends one datagram of records; those that do not fit wait for a later round.
+    /// Sends one datagram of pending records to random members. Records that do not fit wait for a later round.
     fn send_pending_records(&mut self) {
         let now = self.clock.now();
         let pending = self.dissemination.pending_records.keys();
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Addresses of present members, without this one.
+    /// Returns the addresses of the present members, without this one.
     fn other_addresses(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         let local = self.local_member().address;
         let present = self.table.present().map(|entry| entry.member.address);
@@ -124,9 +126,9 @@
         others.choose_multiple(&mut self.random, count).copied().collect()
     }
 
-    /// Members that are notified of failed probes of a suspect. They are the same for all probers whose views agree, so that
-    /// each of them is notified of all failures. With random ones none of 300 members was notified by two others in time,
-    /// and a crash was detected after 7 s.
+    /// Returns the members that are notified of failed probes of a suspect. All probers with equal views choose the same
+    /// members, so that each recipient is notified of all failures. With random recipients, none of 300 members was notified
+    /// by two others in time, and a crash was detected only after 7 s.
     pub(super) fn suspicion_recipients(&self, suspect: &Member) -> Vec<SocketAddr> {
         let rank =
             |address: &SocketAddr| crc32fast::hash(format!("{address} {}", suspect.address).as_bytes());
--- a/src/fleet/node/effects.rs
+++ b/src/fleet/node/effects.rs
@@ -1,4 +1,4 @@
-//! Carries out what membership asks for.
+//! Executes the actions that membership returns.
 use super::Node;
 use crate::fleet::member::Member;
 use crate::fleet::member_table::MemberEntry;
@@ -27,9 +27,9 @@
 
     fn handle_probe_failure(&mut self, probed: &Member) {
         self.suspicions.note_probe_failure(probed);
-        // None where it has refuted another suspicion since the probe began. The witnesses would suspect it under its new
-        // number while foca here does not, and it would not be notified: so one of twelve live members was declared dead
-        // at 15% loss.
+        // `None` if the member has refuted another suspicion since the probe started. The recipients of a notice would then
+        // suspect the member in its new SWIM incarnation while foca here does not, and the member would not be notified.
+        // At 15% datagram loss, one of twelve live members was declared dead in this way.
         let Some(swim_incarnation) = self.membership.suspected_incarnation(probed) else { return };
         let message = Message::Suspicion {
             from: self.local_member().clone(),
@@ -57,9 +57,10 @@
         self.timers.insert(self.clock.active() + after, timer);
     }
 
-    /// foca suspects a member; its timer is kept until the suspicion expires.
+    /// Starts the suspicion of a member that foca suspects, keeps foca's timer until the suspicion expires, and notifies the
+    /// suspect.
     fn begin_suspicion(&mut self, suspect: &Member, swim_incarnation: u16, timer: foca::Timer<Member>) {
-        log::info!(neighbour = suspect.name; "neighbour is suspected");
+        log::info!(neighbour = suspect.name; "member is suspected");
         self.suspicion_count += 1;
         self.suspicions.suspect(self.clock.active(), suspect, swim_incarnation, timer);
         if let Some(notice) = self.membership.suspicion_notice(suspect) {
--- a/src/fleet/node/greeting.rs
+++ b/src/fleet/node/greeting.rs
@@ -1,5 +1,5 @@
-//! Announces this member to addresses where no present member is known: by that groups which a network partition has
-//! separated meet again.
+//! Announces this member to addresses where no member is known to be present, so that the sides of a network partition merge
+//! after it has healed.
 use super::Node;
 use crate::fleet::fault_injection::{is_injected, Defect};
 use crate::fleet::member::MAX_MEMBERS;
@@ -7,19 +7,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How often absent members are greeted.
+/// Interval between announcements to absent members.
 pub const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(2);
-/// Most remembered members that are greeted at a time, in rotation, so that not all members greet all of a large fleet.
+/// Maximum number of remembered members that receive an announcement in each interval, in rotation. Limits the traffic in a
+/// large fleet.
 const MAX_ANNOUNCED_PER_ROUND: usize = 4;
-/// Most addresses that are remembered while the process runs.
+/// Maximum number of remembered addresses while the process runs.
 const MAX_REMEMBERED: usize = MAX_MEMBERS;
 
-/// Whom to greet, and when.
+/// Schedules announcements and selects the addresses that receive them.
 pub(super) struct Announcer {
     seed_addresses: Vec<SocketAddr>,
-    /// Absent members, the one that departed first in front.
+    /// Addresses of absent members, in the order in which they departed.
     remembered_addresses: Vec<SocketAddr>,
-    /// Where the rotation over the remembered addresses goes on.
+    /// Position in the rotation over the remembered addresses.
     rotation: usize,
     next_at: Duration,
 }
@@ -43,7 +44,7 @@
         self.next_at = now + ANNOUNCE_INTERVAL;
     }
 
-    /// A member departed: it may come back. The one remembered for the longest makes room.
+    /// Remembers the address of a departed member, which may return. If there are too many, the oldest address is removed.
     pub(super) fn remember(&mut self, address: SocketAddr) {
         if self.remembered_addresses.len() >= MAX_REMEMBERED {
             self.remembered_addresses.remove(0);
@@ -51,12 +52,12 @@
         self.remembered_addresses.push(address);
     }
 
-    /// A member is present and need not be greeted.
+    /// Forgets the address of a member that is present again.
     pub(super) fn forget(&mut self, address: SocketAddr) {
         self.remembered_addresses.retain(|remembered| *remembered != address);
     }
 
-    /// All absent seeds, and the next ones in the rotation over absent remembered members.
+    /// Returns all absent seed addresses and the next absent remembered addresses in the rotation.
     fn next_addresses(&mut self, present: &BTreeSet<SocketAddr>) -> Vec<SocketAddr> {
         let is_absent = |address: &&SocketAddr| !present.contains(address);
         let mut addresses: Vec<SocketAddr> = self.seed_addresses.iter().filter(is_absent).copied().collect();
--- a/src/fleet/node/inbound.rs
+++ b/src/fleet/node/inbound.rs
@@ -1,4 +1,4 @@
-//! Takes messages of other members in.
+//! Processes messages received from other members.
 use super::{Node, PeerReport};
 use crate::fleet::fault_injection::{is_injected, Defect};
 use crate::fleet::member::Member;
@@ -18,7 +18,7 @@
         }
     }
 
-    /// Returns the sender; none where the message is not to count as one of its own.
+    /// Processes a message and returns its sender, or `None` if the message does not count as a contact with the sender.
     fn dispatch(&mut self, message: Message) -> Option<SocketAddr> {
         match message {
             Message::Swim(bytes) => {
@@ -43,14 +43,15 @@
     }
 
     fn handle_digests(&mut self, sender: SocketAddr, digests: &[u64], is_reply: bool) -> Option<SocketAddr> {
-        // Only members are answered: an answer is longer than the question, so a forged sender could flood somebody.
+        // Responds to members only: a response is larger than the request, so that requests with a forged sender address
+        // could flood another host.
         self.table.get_present(sender)?;
         if !is_reply && digests != self.table.bucket_digests() {
             self.send_digests(sender, true);
         }
         let first_bucket = self.random.random_range(0..DIGEST_BUCKETS);
         let records = self.table.differing_records(self.clock.now(), digests, first_bucket);
-        self.answer_with_records(sender, records);
+        self.send_response_records(sender, records);
         Some(sender)
     }
 
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Nobody else writes this member's entry: what others claim is overridden or refuted.
+    /// Refutes or overrides a record about this member that differs from its own entry: no other member may change it.
     fn apply_record_about_self(&mut self, record: &Record) {
         let local_entry = self.table.local_entry();
         if record.member != local_entry.member || record.departed {
@@ -96,12 +97,12 @@
         let differs = record.revision > local_entry.revision
             || record.revision == local_entry.revision && record.attributes != local_entry.attributes;
         let is_forged = differs && record.attributes.is_some();
-        if is_forged && !is_injected(Defect::ForgedAttributesStand) {
+        if is_forged && !is_injected(Defect::ForgedAttributesKept) {
             self.publish_local_entry(record.revision);
         }
     }
 
-    /// Whether a record is news to membership: that an incarnation departed, or that there is a later one.
+    /// Returns whether a record changes the membership: an incarnation departed, or a new or higher one is present.
     fn changes_membership(&self, record: &Record) -> bool {
         match self.table.get(record.member.address) {
             Some(entry) if entry.member == record.member => record.departed && !entry.departed,
--- a/src/fleet/node/mod.rs
+++ b/src/fleet/node/mod.rs
@@ -1,14 +1,15 @@
-//! One forwarder's part in the fleet, without I/O: membership, suspicion, the member table and the side of a partition.
-//! Time, randomness and datagrams are arguments, so the same code runs on sockets, in virtual time and under a model.
+//! The fleet protocol of one forwarder, without I/O: membership, suspicion, the member table and the side of a partition.
+//! Time, the random seed and datagrams are arguments, so the same code runs on sockets, in virtual time and in a model.
 //!
-//! The driver calls [`Node::handle_datagram`] with what it receives and [`Node::handle_wakeup`] at [`Node::next_wakeup`],
-//! and after each call sends what [`Node::take_outgoing`] gives. A call that comes late shows that this process was
-//! suspended: that time does not count for probes and suspicions, and what the others sent meanwhile, which waits in the
-//! socket, is taken in before anybody is declared dead.
+//! The driver calls [`Node::handle_datagram`] with each received datagram and [`Node::handle_wakeup`] at
+//! [`Node::next_wakeup`]. After each call it sends the datagrams that [`Node::take_outgoing`] returns. A late call shows that
+//! the process was suspended. The time of the suspension does not count for probes and suspicions, so that datagrams waiting
+//! in the socket are processed before any member is declared dead.
 //!
-//! `inbound` takes datagrams in, `effects` carries out what membership asks for, `dissemination` passes changes on,
-//! `anti_entropy` repairs what was missed, `departure` leaves the fleet, `partition_check` decides on the side of a
-//! partition, and `view` shows all of it. `clock` and `timers` hold the time; `bounds` states how fast news spreads.
+//! `inbound` processes received messages, `effects` executes the actions of membership, `dissemination` gossips changes,
+//! `anti_entropy` repairs missed changes, `greeting` announces this member to absent ones, `departure` leaves the fleet,
+//! `partition_check` determines the side of a partition, and `view` builds the view for people and programs. `clock` and
+//! `timers` manage time; `bounds` states upper bounds of detection and dissemination times.
 mod anti_entropy;
 mod bounds;
 mod clock;
@@ -41,52 +42,52 @@
 pub use bounds::{crash_detection_bound, dissemination_bound};
 pub use greeting::ANNOUNCE_INTERVAL;
 
-/// How often the side of a partition, conflicts of names and ages are checked.
+/// How often the side of a partition, name conflicts and silent members are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What a node begins with.
+/// Configuration of a node.
 pub struct NodeConfig {
-    /// This member.
+    /// Identity of this member.
     pub local: Member,
-    /// The group that its fleet belongs to; datagrams of other groups are dropped.
+    /// Group of the fleet. Datagrams of other groups are dropped.
     pub group: String,
-    /// About how many members there are.
+    /// Approximate number of members.
     pub expected_members: u32,
-    /// Seed of the node's random choices.
+    /// Seed of the node's random number generator.
     pub random_seed: u64,
-    /// Addresses of members that are configured.
+    /// Configured addresses of members.
     pub seed_addresses: Vec<SocketAddr>,
-    /// Addresses of members that an earlier incarnation knew.
+    /// Addresses of members that an earlier incarnation of this member knew.
     pub remembered_addresses: Vec<SocketAddr>,
-    /// The fleet as an earlier incarnation last agreed on it.
+    /// Names of the members of the fleet that an earlier incarnation last agreed on.
     pub agreed_fleet: BTreeSet<String>,
-    /// What this member publishes about itself.
+    /// Attributes that this member publishes.
     pub attributes: Attributes,
 }
 
-/// A datagram to be sent.
+/// A datagram to send.
 #[derive(Clone, Debug)]
 pub struct OutgoingDatagram {
-    /// The receiver.
+    /// Address of the receiver.
     pub to: SocketAddr,
-    /// Its bytes, at most `wire::MAX_DATAGRAM_BYTES`.
+    /// The encoded datagram, at most `wire::MAX_DATAGRAM_BYTES`.
     pub bytes: Vec<u8>,
 }
 
-/// What the header of a peer's last datagram reported of its view.
+/// The view that a peer reported in the header of its last datagram.
 struct PeerReport {
     header: Header,
     received_at: Duration,
 }
 
-/// One forwarder's part in the fleet. Times in its methods are spans since any moment that is the same for all calls.
+/// The fleet protocol of one forwarder. All times passed to its methods are relative to the same arbitrary origin.
 pub struct Node {
     group_tag: u32,
     membership: Membership,
     table: MemberTable,
     suspicions: SuspicionTracker,
     partition: PartitionDetector,
-    /// What this member publishes about itself.
+    /// Attributes that this member publishes.
     attributes: Attributes,
     clock: NodeClock,
     random: StdRng,
@@ -96,29 +97,29 @@
     anti_entropy: AntiEntropy,
     next_check_at: Duration,
     peer_reports: BTreeMap<SocketAddr, PeerReport>,
-    /// Digest of the view as of the end of the last call.
+    /// Digest of the view at the end of the last call.
     digest: u64,
-    /// Since when the digest has been the same.
+    /// When the digest last changed.
     digest_since: Duration,
-    /// The side of a partition that datagrams report.
+    /// The side of a partition that outgoing datagrams report.
     side: PartitionSide,
-    /// `MemberTable::change_count` as of the last check of its entries.
+    /// `MemberTable::change_count` at the last check of the entries.
     checked_change_count: u64,
     has_withdrawn: bool,
-    /// How often this member has suspected anybody.
+    /// How many times this member suspected a member after a failed probe.
     suspicion_count: u64,
     outgoing: Vec<OutgoingDatagram>,
 }
 
 impl Node {
-    /// A node that knows nobody yet; it greets its seed addresses at once.
+    /// Creates a node that knows no other members. It announces itself to the seed addresses at once.
     pub fn new(config: NodeConfig, now: Duration) -> Node {
         let local = config.local;
         let mut table = MemberTable::new(local.clone(), now);
         table.publish(now, &local, config.attributes.clone(), 0);
         table.mark_authenticated(&local);
         let mut random = StdRng::seed_from_u64(config.random_seed);
-        // Spread out, so that members that start at the same time do not greet in step.
+        // Random delay, so that members that start at the same time do not send announcements simultaneously.
         let first_announcement = now + ANNOUNCE_INTERVAL.mul_f64(random.random_range(0.0..1.0));
         let mut node = Node {
             group_tag: wire::group_tag(&config.group),
@@ -148,17 +149,17 @@
         node
     }
 
-    /// Takes in a datagram, whatever it holds.
+    /// Processes a received datagram, which may be malformed or forged.
     pub fn handle_datagram(&mut self, now: Duration, bytes: &[u8]) {
         self.begin_call(now);
-        // Anybody can send what cannot be decoded: it is dropped silently.
+        // Any host can send datagrams that cannot be decoded, so they are dropped without a log line.
         if let Ok((header, message)) = wire::decode(self.group_tag, bytes) {
             self.handle_message(header, message);
         }
         self.end_call();
     }
 
-    /// Does what is due.
+    /// Performs all actions that are due.
     pub fn handle_wakeup(&mut self, now: Duration) {
         self.begin_call(now);
         self.run_swim_timers();
@@ -191,7 +192,7 @@
     fn expire_suspicions(&mut self) {
         let others = self.membership.active_count();
         for expired in self.suspicions.remove_expired(self.clock.active(), others) {
-            // A suspect that has refuted the suspicion is suspected no more, or under another number.
+            // A suspect that has refuted the suspicion is not suspected any more, or in another SWIM incarnation.
             let suspected = self.membership.suspected_incarnation(&expired.suspect);
             if suspected != Some(expired.swim_incarnation) {
                 continue;
@@ -204,26 +205,26 @@
         }
     }
 
-    /// When `handle_wakeup` is to be called, at the latest.
+    /// Returns the latest time at which `handle_wakeup` must be called.
     pub fn next_wakeup(&self) -> Duration {
-        let mut first = self.announcer.next_at().min(self.next_check_at);
+        let mut earliest = self.announcer.next_at().min(self.next_check_at);
         let optional = [
             self.timers.next_at(),
             self.suspicions.next_expiry(self.membership.active_count()),
             self.dissemination.next_at(),
         ];
         for at in optional.into_iter().flatten() {
-            first = first.min(at);
+            earliest = earliest.min(at);
         }
-        self.clock.to_wall(first)
+        self.clock.to_wall(earliest)
     }
 
-    /// Takes the datagrams that are to be sent now.
+    /// Removes and returns the datagrams to send.
     pub fn take_outgoing(&mut self) -> Vec<OutgoingDatagram> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Publishes new attributes of this member. Whether it drains is not taken from them: `drain` sets that.
+    /// Publishes new attributes of this member. Ignores their `draining` field, which only `drain` sets.
     pub fn publish_attributes(&mut self, now: Duration, attributes: Attributes) {
         self.begin_call(now);
         let draining = self.attributes.draining;
@@ -231,31 +232,31 @@
         self.end_call();
     }
 
-    /// A member has presented a valid certificate on a connection, in this incarnation.
+    /// Marks a member as authenticated: it has presented a valid certificate on a connection in this incarnation.
     pub fn mark_authenticated(&mut self, now: Duration, member: &Member) {
         self.begin_call(now);
         self.table.mark_authenticated(member);
         self.end_call();
     }
 
-    /// Present members that have sent datagrams and are not authenticated yet.
+    /// Returns the present members that have sent datagrams and are not authenticated yet.
     pub fn unauthenticated_members(&self) -> Vec<Member> {
         let present = self.table.present();
-        let waiting = present.filter(|entry| !entry.authenticated && entry.last_contact.is_some());
-        waiting.map(|entry| entry.member.clone()).collect()
+        let unauthenticated = present.filter(|entry| !entry.authenticated && entry.last_contact.is_some());
+        unauthenticated.map(|entry| entry.member.clone()).collect()
     }
 
-    /// This member in its current incarnation, which may have risen since the start.
+    /// Returns the identity of this member in its current incarnation, which may have been raised since the start.
     pub fn local_member(&self) -> &Member {
         self.membership.local_member()
     }
 
-    /// Whether another member with this one's name has superseded it: the driver is to leave the fleet.
+    /// Returns whether another member of the same name has superseded this one. The driver must then leave the fleet.
     pub fn has_withdrawn(&self) -> bool {
         self.has_withdrawn
     }
 
-    /// Present members, without this one and those that are draining.
+    /// Returns the present members, without this one and without draining members.
     pub fn available_members(&self) -> Vec<Member> {
         let local = self.local_member().address;
         let available = self.table.present().filter(|entry| {
@@ -265,29 +266,29 @@
         available.map(|entry| entry.member.clone()).collect()
     }
 
-    /// How often this member has suspected anybody.
+    /// Returns how many times this member suspected a member after a failed probe.
     pub fn suspicion_count(&self) -> u64 {
         self.suspicion_count
     }
 
-    /// The fleet as it was last agreed.
+    /// Returns the names of the members of the fleet last agreed on.
     pub fn agreed_fleet(&self) -> &BTreeSet<String> {
         self.partition.agreed_fleet()
     }
 
-    /// One number for the view: equal for members whose views are the same.
+    /// Returns the digest of the view. Members with equal views have equal digests.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Each public method that changes the node begins with this.
+    /// Advances the clock. Each public method that changes the node calls this first.
     fn begin_call(&mut self, now: Duration) {
         self.clock.advance(now);
     }
 
-    /// And ends with this.
+    /// Updates the local entry and the digest. Each public method that changes the node calls this last.
     fn end_call(&mut self) {
-        // Membership may have raised the incarnation, which publishes the attributes again.
+        // Publishes the attributes again if membership has raised the incarnation.
         if *self.membership.local_member() != self.table.local_entry().member {
             self.publish_local_entry(0);
         }
@@ -299,7 +300,7 @@
         self.clock.expect_call_at(self.next_wakeup());
     }
 
-    /// Queues a message. The header has the digest of this moment, with what this very call has changed.
+    /// Queues a message. The digest in the header includes the changes of the current call.
     fn send(&mut self, to: SocketAddr, message: &Message) {
         let header = Header { digest: self.table.digest(), side: self.side };
         let bytes = wire::encode(self.group_tag, header, message);
@@ -314,7 +315,7 @@
         self.publish_local_entry(0);
     }
 
-    /// Publishes this member's attributes in its current incarnation, above a revision that others have seen.
+    /// Publishes the attributes of this member in its current incarnation, with a revision above `above_revision`.
     fn publish_local_entry(&mut self, above_revision: u32) {
         let local = self.local_member().clone();
         self.table.publish(self.clock.now(), &local, self.attributes.clone(), above_revision);
--- a/src/fleet/node/partition_check.rs
+++ b/src/fleet/node/partition_check.rs
@@ -1,4 +1,5 @@
-//! The periodic check: whether views agree, on which side of a partition this member is, and whether its name is taken.
+//! The periodic check: whether the views agree, on which side of a partition this member is, and whether another member has
+//! the same name.
 use super::{Node, PeerReport};
 use crate::fleet::fault_injection::{is_injected, Defect};
 use crate::fleet::member::Member;
@@ -7,20 +8,22 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// How long a peer's report of its view is considered.
+/// How long a peer's report of its view is valid.
 const PEER_REPORT_TTL: Duration = Duration::from_secs(5);
-/// A report with another digest is a disagreement for this long; later the peer may just not have reported again.
+/// How long a report with another digest counts as a disagreement. An older one may be outdated, as the peer may not have
+/// sent another datagram since.
 const DISAGREEMENT_TTL: Duration = Duration::from_secs(1);
-/// This many others must report the same view, or all where there are fewer.
+/// Number of other members that must report an equal view. If there are fewer members, all of them must.
 const MAX_REQUIRED_REPORTS: usize = 8;
 
 impl Node {
-    /// Whether all views that were reported lately are the same as this one, and enough were.
+    /// Returns whether all recently reported views are equal to this one, enough of them were reported, and no member is
+    /// suspected.
     pub fn views_agree(&self) -> bool {
         let needed = self.membership.active_count().min(MAX_REQUIRED_REPORTS);
         let mut agreeing = 0;
         for report in self.peer_reports.values() {
-            // Reports from before this view changed say nothing of the present one.
+            // Reports from before the last change of this view are outdated.
             let is_current = report.received_at >= self.digest_since;
             if !is_current || !self.is_fresh(report, PEER_REPORT_TTL) {
                 continue;
@@ -64,7 +67,7 @@
         self.partition.set_present(counted);
     }
 
-    /// Withdraws where an authenticated member bears this one's name and supersedes it.
+    /// Withdraws this member if an authenticated member of the same name supersedes it.
     fn check_name_conflict(&mut self) {
         if self.has_withdrawn || is_injected(Defect::BothKeepName) {
             return;
@@ -79,7 +82,7 @@
         let Some(superseding) = superseding else { return };
         log::error!(
             name = local.name, other = superseding.member.address.to_string();
-            "another forwarder bears this one's name and started later: this one withdraws from the fleet"
+            "another forwarder of this name started later: withdrawing from the fleet; give each forwarder its own name"
         );
         self.has_withdrawn = true;
     }
@@ -103,20 +106,20 @@
         let others_side = self.best_reported_side();
         if self.partition.observe(self.clock.now(), others_side, views_agree) {
             let members = self.partition.agreed_fleet().len();
-            log::info!(members, digest = format!("{:016x}", self.digest); "the fleet is agreed");
+            log::info!(members, digest = format!("{:016x}", self.digest); "agreed on the members of the fleet");
         }
         let side = self.partition.side();
         if side != self.side {
             let status = self.partition.status();
             log::info!(
                 side = serialized_name(&side), counted = status.counted, base = status.quorum_base,
-                out_of_reach = status.unreachable, last_agreed = status.agreed; "side of the fleet"
+                out_of_reach = status.unreachable, last_agreed = status.agreed; "partition side changed"
             );
             self.side = side;
         }
     }
 
-    /// The side of the authenticated member that knows most.
+    /// Returns the highest side that authenticated members report.
     fn best_reported_side(&self) -> PartitionSide {
         let mut best = PartitionSide::default();
         for (address, report) in &self.peer_reports {
--- a/src/fleet/node/timers.rs
+++ b/src/fleet/node/timers.rs
@@ -1,11 +1,11 @@
-//! foca's timers until they are due.
+//! The queue of foca's timers.
 use crate::fleet::member::Member;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 type Timer = foca::Timer<Member>;
 
-/// Timers by active time. Those for the same moment are due in the order in which they were set.
+/// Timers in order of their active time. Timers for the same time are due in the order in which they were set.
 #[derive(Default)]
 pub(super) struct TimerQueue {
     timers: BTreeMap<(Duration, u64), Timer>,
--- a/src/fleet/node/view.rs
+++ b/src/fleet/node/view.rs
@@ -1,4 +1,4 @@
-//! Builds the view that is shown to people and programs.
+//! Builds the view of the fleet for people and programs.
 use super::Node;
 use crate::fleet::member::Member;
 use crate::fleet::member_table::MemberEntry;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 impl Node {
-    /// The view of this moment.
+    /// Returns the current view of the fleet.
     pub fn view(&self, now: Duration) -> FleetView {
         let now = now.max(self.clock.now());
         let suspects: BTreeSet<&Member> = self.membership.suspects().map(|(suspect, _)| suspect).collect();
@@ -43,7 +43,7 @@
             attributes_age_secs: entry.attributes.as_ref().map(|_| secs_since(entry.published_at)),
             zone: attributes.zone,
             version: attributes.version,
-            // Half of the digest: enough for people to compare.
+            // The lower half of the digest is enough for people to compare.
             settings_digest: format!("{:08x}", attributes.settings_digest as u32),
             settings_epoch: attributes.settings_epoch,
             list_version: attributes.list_version,
--- a/src/fleet/partition.rs
+++ b/src/fleet/partition.rs
@@ -1,63 +1,64 @@
-//! Decides on which side of a network partition this member is. Pure.
+//! Partition detection: decides on which side of a network partition this member is. Does no I/O.
 //!
-//! The *quorum base* is the set of members that a majority is taken of: all that were ever present, until they announce
-//! that they leave. Silence removes nobody: from here a member that ended and one that is cut off look the same. A side
-//! may call itself the majority if more than half of the quorum base is present, and more than half of the fleet as it
-//! was last *agreed*: so members that joined on one side only do not help it outvote the members on the other.
-//! `docs/design/fleet-view.md` has the proof and its limit.
+//! The *quorum base* is the set of members of which a majority is required. It contains every member that was ever present,
+//! until the member announces that it leaves. Silence does not remove a member, as a stopped member and an unreachable one
+//! cannot be told apart. A side is the majority if more than half of the quorum base is present, and also more than half of
+//! the fleet last *agreed* on. The second condition prevents members that joined on one side only from outvoting the
+//! members on the other side. `docs/design/fleet-view.md` has the proof and its limits.
 use super::fault_injection::{is_injected, Defect};
 use super::member::MAX_MEMBERS;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The fleet is agreed once all views have been the same for this long.
+/// Time for which all views must be equal before the fleet is agreed on.
 pub const AGREEMENT_DELAY: Duration = Duration::from_secs(1);
-/// A majority removes members that were silent for this long from the quorum base; a minority removes nobody.
+/// Time after which a majority removes a silent member from the quorum base. A minority never removes silent members.
 pub const SILENT_MEMBER_TTL: Duration = Duration::from_secs(86_400);
-/// Bound of the quorum base.
+/// Maximum size of the quorum base.
 const MAX_QUORUM_BASE: usize = 2 * MAX_MEMBERS;
 
-/// The side of a partition that a member takes itself to be on. Ordered by how much it knows of the fleet.
+/// The side of a network partition on which a member is, as far as it can determine. Ordered by how much the member knows
+/// of the fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PartitionSide {
-    /// It has never agreed with anybody on a fleet.
+    /// The member has never agreed on a fleet with other members.
     #[default]
     Unknown,
-    /// It is not on the majority's side, or cannot know that it is.
+    /// The member is not on the side of the majority, or cannot determine that it is.
     Minority,
-    /// It is on the side of the majority of the fleet last agreed.
+    /// The member is on the side of the majority of the fleet last agreed on.
     Majority,
 }
 
-/// Counts behind the side.
+/// The counts that determine the side of a partition.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PartitionStatus {
-    /// Members that are present and count, this one included.
+    /// Number of present members that count for a majority, including this one.
     pub counted: usize,
     /// Size of the quorum base.
     pub quorum_base: usize,
-    /// Members of the quorum base that fell silent: ended or cut off.
+    /// Number of members of the quorum base that are not present: stopped or unreachable.
     pub unreachable: usize,
-    /// Size of the fleet when it was last agreed, 0 if it never was.
+    /// Size of the fleet last agreed on; 0 if there was no agreement.
     pub agreed: usize,
-    /// More than half of the quorum base and of the agreed fleet is present.
+    /// Whether more than half of the quorum base and more than half of the agreed fleet are present.
     pub is_majority: bool,
 }
 
-/// Members by name, as this member counts them. Times are of any one clock.
+/// Detects the side of a partition from the names of the members. All times must come from the same clock.
 pub struct PartitionDetector {
     agreed_fleet: BTreeSet<String>,
     quorum_base: BTreeSet<String>,
     present: BTreeSet<String>,
-    /// Since when all views received are the same.
+    /// Since when all received views are equal.
     views_agree_since: Option<Duration>,
     status: PartitionStatus,
 }
 
 impl PartitionDetector {
-    /// Begins with the fleet as an earlier incarnation of this member last agreed on it.
+    /// Creates a detector with the fleet that an earlier incarnation of this member last agreed on.
     pub fn new(agreed_fleet: BTreeSet<String>) -> PartitionDetector {
         PartitionDetector {
             quorum_base: agreed_fleet.clone(),
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Sets who is present and counts, this member included.
+    /// Sets the present members that count for a majority, including this one.
     pub fn set_present(&mut self, present: BTreeSet<String>) {
         for name in &present {
             if self.quorum_base.len() < MAX_QUORUM_BASE && !self.quorum_base.contains(name) {
@@ -82,8 +83,8 @@
         self.update_status();
     }
 
-    /// Takes in the best side that others report, and whether all views received are the same. Returns whether a new
-    /// fleet was agreed by that.
+    /// Processes the best side that other members report, and whether all received views are equal. Returns whether a new
+    /// fleet was agreed on.
     pub fn observe(&mut self, now: Duration, best_reported_side: PartitionSide, views_agree: bool) -> bool {
         if !views_agree {
             self.views_agree_since = None;
@@ -103,14 +104,15 @@
 
     fn may_agree(&self, best_reported_side: PartitionSide) -> bool {
         if self.agreed_fleet.is_empty() {
-            // A member that joins knows no fleet and relies on those that do. If nobody does, the fleet is a new one. It
-            // must not found one within a minority.
-            return best_reported_side != PartitionSide::Minority || is_injected(Defect::JoinerFoundsFleet);
+            // A joining member knows no agreed fleet and relies on the members that do. If there are none, the fleet is a
+            // new one. Within a minority, a joining member must not agree on a new fleet.
+            return best_reported_side != PartitionSide::Minority
+                || is_injected(Defect::JoinerAgreesWithinMinority);
         }
         self.status.is_majority
     }
 
-    /// A member has announced that it leaves.
+    /// Removes a member that has announced that it leaves.
     pub fn remove_departed(&mut self, name: &str) {
         let was_in_base = self.quorum_base.remove(name);
         let was_agreed = self.agreed_fleet.remove(name);
@@ -119,14 +121,14 @@
         }
     }
 
-    /// A member has been silent for `SILENT_MEMBER_TTL`. A minority keeps it in the quorum base.
+    /// Removes a member that was silent for `SILENT_MEMBER_TTL`, unless this member is in a minority.
     pub fn remove_silent(&mut self, name: &str) {
         if self.status.is_majority {
             self.remove_departed(name);
         }
     }
 
-    /// The counts behind the side.
+    /// Returns the counts that determine the side.
     pub fn status(&self) -> PartitionStatus {
         self.status
     }
@@ -150,7 +152,7 @@
         2 * self.count_present(names) > names.len()
     }
 
-    /// The side that this member reports to others.
+    /// Returns the side that this member reports to other members.
     pub fn side(&self) -> PartitionSide {
         if self.agreed_fleet.is_empty() {
             return PartitionSide::Unknown;
@@ -161,7 +163,7 @@
         }
     }
 
-    /// The fleet as it was last agreed.
+    /// Returns the names of the members of the fleet last agreed on.
     pub fn agreed_fleet(&self) -> &BTreeSet<String> {
         &self.agreed_fleet
     }
--- a/src/fleet/partition/tests.rs
+++ b/src/fleet/partition/tests.rs
@@ -2,18 +2,18 @@
 use super::*;
 use proptest::prelude::*;
 
-fn names(of: &[u8]) -> BTreeSet<String> {
-    of.iter().map(|n| format!("n{n}")).collect()
+fn names(members: &[u8]) -> BTreeSet<String> {
+    members.iter().map(|n| format!("n{n}")).collect()
 }
 
-/// Two observations, as far apart as an agreement takes.
+/// Makes two observations that are `AGREEMENT_DELAY` apart.
 fn observe(
-    detector: &mut PartitionDetector, at: u64, present: &BTreeSet<String>, others: PartitionSide,
+    detector: &mut PartitionDetector, at_secs: u64, present: &BTreeSet<String>, others_side: PartitionSide,
 ) -> PartitionStatus {
-    let now = Duration::from_secs(at);
+    let now = Duration::from_secs(at_secs);
     detector.set_present(present.clone());
-    detector.observe(now, others, true);
-    detector.observe(now + AGREEMENT_DELAY, others, true);
+    detector.observe(now, others_side, true);
+    detector.observe(now + AGREEMENT_DELAY, others_side, true);
     detector.status()
 }
 
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn more_than_half_is_the_majority_and_half_is_not() {
+fn more_than_half_is_a_majority_and_exactly_half_is_not() {
     for (members, present, is_majority) in
         [(5, 3, true), (5, 2, false), (4, 2, false), (2, 1, false), (1, 1, true)]
     {
@@ -38,16 +38,16 @@
 }
 
 #[test]
-fn a_member_that_never_agreed_is_no_majority() {
+fn a_member_that_never_agreed_reports_no_majority() {
     let mut detector = PartitionDetector::new(BTreeSet::new());
     detector.set_present(names(&[0, 1, 2]));
     assert!(!detector.status().is_majority);
     assert_eq!(detector.side(), PartitionSide::Unknown);
 }
 
-/// A member that left and came back within a minority does not found a fleet of its own there.
+/// A member that left and returned within a minority must not agree on a new fleet there.
 #[test]
-fn a_joiner_relies_on_members_that_know_the_fleet() {
+fn a_joining_member_agrees_on_no_fleet_within_a_minority() {
     for (others, agreed) in
         [(PartitionSide::Minority, 0), (PartitionSide::Majority, 3), (PartitionSide::Unknown, 3)]
     {
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn silence_keeps_a_member_in_the_quorum_base_and_a_goodbye_removes_it() {
+fn a_silent_member_stays_in_the_quorum_base_and_a_leaving_one_is_removed() {
     let mut detector = agreed_on(&[0, 1, 2, 3]);
     let present = names(&[0, 1]);
     for n in 0..100 {
@@ -67,17 +67,17 @@
     let status = detector.status();
     assert_eq!((status.quorum_base, status.unreachable, status.is_majority), (4, 2, false));
     detector.remove_silent("n3");
-    assert_eq!(detector.status().quorum_base, 4, "a minority removes nobody");
+    assert_eq!(detector.status().quorum_base, 4, "a minority keeps silent members");
     detector.remove_departed("n3");
     let status = detector.status();
     assert_eq!((status.quorum_base, status.unreachable, status.is_majority), (3, 1, true));
     detector.remove_silent("n2");
-    assert_eq!(detector.status().quorum_base, 2, "a majority does");
+    assert_eq!(detector.status().quorum_base, 2, "a majority removes silent members");
 }
 
-/// A joiner that is known on one side only gives it no majority.
+/// Members that joined on one side of a partition must not make that side the majority.
 #[test]
-fn joiners_of_one_side_do_not_outvote_the_fleet() {
+fn members_that_joined_on_one_side_do_not_outvote_the_agreed_fleet() {
     let mut detector = agreed_on(&[0, 1, 2, 3, 4]);
     let status = observe(&mut detector, 10, &names(&[0, 1, 10, 11, 12, 13]), PartitionSide::Unknown);
     assert!(!status.is_majority);
@@ -85,7 +85,7 @@
 }
 
 proptest! {
-    /// However often a fleet is partitioned, and whoever leaves on its side: two sides are never both the majority.
+    /// After any sequence of partitions, with members that leave on their side, at most one side is the majority.
     #[test]
     fn two_sides_are_never_both_the_majority(
         count in 1..12u8, steps in prop::collection::vec((any::<u16>(), any::<u16>()), 1..8),
@@ -101,7 +101,7 @@
             let mut claims = BTreeSet::new();
             for n in &running {
                 let detector = &mut detectors[usize::from(*n)];
-                // A goodbye reaches its own side only.
+                // A leave message reaches only the members on the same side.
                 for left in leaving.iter().filter(|left| side(**left) == side(*n)) {
                     detector.remove_departed(&format!("n{left}"));
                 }
--- a/src/fleet/snapshot.rs
+++ b/src/fleet/snapshot.rs
@@ -1,10 +1,10 @@
-//! What of the fleet outlasts a process: the number of its incarnation, the members it knew and the fleet last agreed on.
-//! A fleet that restarts as a whole finds itself again although its seeds stay dead, and a clock that is set back
-//! makes nobody an earlier incarnation of itself.
+//! The snapshot of the fleet on disk: the incarnation of this member, the known members and the fleet last agreed on.
+//! With it, a fleet that restarts as a whole re-forms even if its seeds do not come up, and a member whose clock was set
+//! back still starts with a higher incarnation.
 //!
-//! It is one small file in the state folder, replaced atomically. It must not take space from the journal: it keeps
-//! within the share that the journal never uses, and where it cannot be written, the view is lost with the process and
-//! nothing else happens.
+//! The snapshot is one small file in the state folder, replaced atomically. Its size stays within the share of the folder
+//! that the journal never uses, so that it takes no space from the journal. If the file cannot be written, the view is
+//! lost when the process ends; nothing else is affected.
 use super::error::FleetError;
 use super::member::Member;
 use crate::journal::Disk;
@@ -14,44 +14,45 @@
 use std::net::SocketAddr;
 
 const FILE_NAME: &str = "fleet";
-/// The next file, until it is complete and renamed.
+/// Name of the new file until it is complete and renamed.
 const TEMPORARY_FILE_NAME: &str = "fleet.new";
-/// Rises with each format that an older program cannot read.
+/// Current format version; incremented with each format that an older program cannot read.
 const FORMAT: u8 = 2;
-/// This format had no agreed fleet; its incarnation and members are still read.
+/// Previous format version, which had no agreed fleet. The incarnation and the members are still read from it.
 const PREVIOUS_FORMAT: u8 = 1;
-/// Format byte and checksum.
+/// Size of the header, in bytes: format version and checksum.
 const HEADER_BYTES: usize = 5;
-/// Share of the folder's limit for the file; during a replacement there are two. The journal leaves three hundredths.
+/// Share of the folder's size limit that the file may use. During a replacement two files exist; the journal leaves 3% of
+/// the limit free.
 const DISK_SHARE: f64 = 0.01;
-/// Size limit in bytes, however large the folder is: enough for some thousand members.
+/// Maximum size of the file in bytes, regardless of the folder's limit: enough for several thousand members.
 const MAX_BYTES: u64 = 64 * 1024;
-/// Files are accounted in whole blocks of this many bytes.
+/// Block size by which disk usage is counted, in bytes.
 const BLOCK_BYTES: u64 = 512;
-/// Members that were absent for this many seconds are forgotten: long enough that a clock an hour off makes no difference.
+/// Members that were absent for this many seconds are removed: long enough that a clock error of an hour does not matter.
 const MAX_AGE_SECS: u64 = 7 * 86_400;
 
-/// A member that was present.
+/// A member that was present at some time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KnownMember {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// The address that it advertised.
+    /// The address that the member advertised.
     pub address: SocketAddr,
-    /// When it was last present, in seconds since 1970 by this machine's clock.
+    /// When the member was last present, in seconds since 1970 by this machine's clock.
     pub last_seen: u64,
 }
 
 #[derive(Default, Serialize, Deserialize)]
 struct Snapshot {
     incarnation: u64,
-    /// The most recently seen one first.
+    /// Members in order of `last_seen`, the most recent first.
     known_members: Vec<KnownMember>,
-    /// Names of the fleet as this member last agreed on it; none after it has left.
+    /// Names of the members of the fleet last agreed on; empty after this member has left.
     agreed_fleet: BTreeSet<String>,
 }
 
-/// The file's content in `PREVIOUS_FORMAT`.
+/// Content of the file in `PREVIOUS_FORMAT`.
 #[derive(Deserialize)]
 struct PreviousSnapshot {
     incarnation: u64,
@@ -63,21 +64,24 @@
     disk: Box<dyn Disk>,
     max_bytes: u64,
     snapshot: Snapshot,
-    /// The last write failed, which was logged.
+    /// Whether the last write failed; the failure is already logged.
     last_write_failed: bool,
 }
 
 impl SnapshotStore {
-    /// Reads the snapshot of a folder that may hold `folder_bytes`. One that cannot be read is logged and counts as none.
+    /// Reads the snapshot from a folder with a size limit of `folder_bytes`. Logs a file that cannot be read and starts
+    /// without a snapshot.
     pub fn open(disk: Box<dyn Disk>, folder_bytes: u64) -> SnapshotStore {
-        // Left where a process was killed while it wrote; the old file is still in place.
+        // Left over if a process was killed during a write. The previous snapshot is still in place.
         let _ = disk.remove(TEMPORARY_FILE_NAME);
         let snapshot = load(disk.as_ref()).unwrap_or_else(|e| {
             match &e {
                 FleetError::SnapshotCorrupt => {
-                    log::warn!("fleet: what was remembered is not whole, and is passed over");
+                    log::warn!(
+                        "fleet: ignoring a corrupt snapshot file: truncated, altered or of an unknown format"
+                    );
                 }
-                _ => log::warn!("fleet: what was remembered cannot be read: {e}"),
+                _ => log::warn!("fleet: starting without a snapshot: {e}"),
             }
             Snapshot::default()
         });
@@ -86,8 +90,8 @@
         SnapshotStore { disk, max_bytes, snapshot, last_write_failed: false }
     }
 
-    /// Begins a new incarnation: one above the last, and on disk before any peer learns of it. Without a last one it is
-    /// `first`, which must be above that of an earlier process whose folder was lost.
+    /// Starts a new incarnation, one above the last one, and writes it to disk before any peer receives it. Without a
+    /// snapshot the incarnation is `first`, which must be above that of an earlier process whose folder was lost.
     pub fn begin_incarnation(&mut self, first: u64) -> u64 {
         self.snapshot.incarnation = match self.snapshot.incarnation {
             0 => first.max(1),
@@ -97,13 +101,13 @@
         self.snapshot.incarnation
     }
 
-    /// The members that were present, the most recently seen one first.
+    /// Returns the members that were present at some time, the most recently seen one first.
     pub fn known_members(&self) -> &[KnownMember] {
         &self.snapshot.known_members
     }
 
-    /// Records that the incarnation rose while the process runs, as others knew a later one. Later starts go on from
-    /// there.
+    /// Stores an incarnation that was raised while the process runs because other members knew a higher one. Later starts
+    /// continue from it.
     pub fn raise_incarnation(&mut self, incarnation: u64) {
         if incarnation > self.snapshot.incarnation {
             self.snapshot.incarnation = incarnation;
@@ -111,13 +115,13 @@
         }
     }
 
-    /// The fleet as it was last agreed.
+    /// Returns the names of the members of the fleet last agreed on.
     pub fn agreed_fleet(&self) -> &BTreeSet<String> {
         &self.snapshot.agreed_fleet
     }
 
-    /// Records who is present at `now_secs` (since 1970), and the agreed fleet. Members that were present before stay
-    /// known for `MAX_AGE_SECS`: they may come back.
+    /// Stores the members that are present at `now_secs` (since 1970) and the agreed fleet. Members that were present
+    /// before are kept for `MAX_AGE_SECS`, as they may return.
     pub fn record(&mut self, present: &[Member], agreed_fleet: &BTreeSet<String>, now_secs: u64) {
         let mut known_members: Vec<KnownMember> = present
             .iter()
@@ -128,7 +132,7 @@
             if is_present || now_secs.saturating_sub(known.last_seen) >= MAX_AGE_SECS {
                 continue;
             }
-            // A time in the future was written before the clock was set back.
+            // `last_seen` is in the future if the clock was set back after it was written.
             let last_seen = known.last_seen.min(now_secs);
             known_members.push(KnownMember { last_seen, ..known.clone() });
         }
@@ -142,26 +146,28 @@
         match self.replace(&bytes).map_err(FleetError::SnapshotWrite) {
             Ok(()) => self.last_write_failed = false,
             Err(e) => {
-                // Logged once, not with each write to a disk that is full.
+                // Logged once, and not for each write to a full disk.
                 if !self.last_write_failed {
-                    log::warn!("fleet: the view is not remembered: {e}");
+                    log::warn!("fleet: the snapshot is not saved: {e}");
                 }
                 self.last_write_failed = true;
             }
         }
     }
 
-    /// The file's bytes, with as many members as the limit allows; none where it does not even allow the incarnation.
+    /// Encodes the snapshot with as many members as the size limit allows. Returns `None` if not even the incarnation
+    /// fits.
     fn encode_within_limit(&mut self) -> Option<Vec<u8>> {
         let mut bytes = encode(&self.snapshot);
         while !self.fits(&bytes) && !self.snapshot.known_members.is_empty() {
-            // The oldest go first, a tenth at a time.
+            // Drops a tenth of the members at a time, those seen least recently.
             let kept = self.snapshot.known_members.len() * 9 / 10;
             self.snapshot.known_members.truncate(kept);
             bytes = encode(&self.snapshot);
         }
         if !self.fits(&bytes) {
-            // A part of the agreed fleet would be another fleet, of which this member could be a false majority.
+            // Drops the agreed fleet as a whole: with only a part of it, this member could wrongly count itself to a
+            // majority.
             bytes = encode(&Snapshot { incarnation: self.snapshot.incarnation, ..Snapshot::default() });
         }
         self.fits(&bytes).then_some(bytes)
@@ -174,7 +180,7 @@
     fn replace(&self, bytes: &[u8]) -> io::Result<()> {
         let mut file = self.disk.create(TEMPORARY_FILE_NAME)?;
         if let Err(e) = file.append(bytes) {
-            // A partial file would take space that the journal may need.
+            // A partial file would use space that the journal may need.
             let _ = self.disk.remove(TEMPORARY_FILE_NAME);
             return Err(e);
         }
@@ -189,7 +195,7 @@
     }
 }
 
-/// Format byte, checksum (little-endian), content.
+/// Encodes a snapshot: format version, CRC-32 of the content (little-endian), content.
 fn encode(snapshot: &Snapshot) -> Vec<u8> {
     // Serializing these types to memory cannot fail.
     let body = postcard::to_stdvec(snapshot).unwrap_or_default();
--- a/src/fleet/snapshot/tests.rs
+++ b/src/fleet/snapshot/tests.rs
@@ -17,9 +17,9 @@
     ["n0", "n1"].map(String::from).into()
 }
 
-/// A file of the program version before this one.
+/// Reads a file in the format that had no agreed fleet.
 #[test]
-fn the_previous_format_is_read() {
+fn reads_the_previous_format() {
     let folder = tempfile::tempdir().expect("a folder");
     let known = vec![KnownMember { name: "n1".into(), address: member(1, 1).address, last_seen: 9 }];
     let body = postcard::to_stdvec(&(41u64, &known)).expect("bytes");
@@ -30,9 +30,9 @@
     assert_eq!(store.begin_incarnation(7), 42);
 }
 
-/// The bytes were written by the program of commit 19f93fd: either version reads the other's file.
+/// The expected bytes were written by the program of commit 19f93fd, so both versions can read each other's file.
 #[test]
-fn the_file_has_the_bytes_of_the_version_before() {
+fn writes_the_same_bytes_as_the_previous_version() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut store = open(folder.path(), 3_000_000);
     store.begin_incarnation(7);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn incarnations_rise_whatever_the_clock_says_and_absent_members_stay_known() {
+fn incarnations_increase_when_the_clock_is_set_back_and_absent_members_are_kept() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut store = open(folder.path(), 3_000_000);
     assert_eq!(store.begin_incarnation(5000), 5000);
@@ -64,19 +64,19 @@
     let mut store = open(folder.path(), 3_000_000);
     assert_eq!(store.begin_incarnation(10), 5001, "an earlier clock");
     assert_eq!(store.known_members().len(), 3);
-    // Only one is present now, and the clock is an hour behind: the others stay known.
+    // One member is present and the clock is an hour behind: the other members are kept.
     store.record(&members(1), &agreed_names(), 1_000_000 - 3600);
     assert_eq!(open(folder.path(), 3_000_000).known_members().len(), 3);
     store.record(&members(1), &agreed_names(), 1_000_000 + MAX_AGE_SECS);
-    assert_eq!(open(folder.path(), 3_000_000).known_members().len(), 1, "forgotten by age");
+    assert_eq!(open(folder.path(), 3_000_000).known_members().len(), 1, "removed by age");
 }
 
 #[rstest]
-#[case::torn(|b: &mut Vec<u8>| b.truncate(b.len() - 1))]
+#[case::truncated(|b: &mut Vec<u8>| b.truncate(b.len() - 1))]
 #[case::altered(|b: &mut Vec<u8>| b[9] ^= 1)]
 #[case::unknown_format(|b: &mut Vec<u8>| b[0] = 9)]
 #[case::empty(|b: &mut Vec<u8>| b.clear())]
-fn a_corrupt_file_counts_as_none(#[case] corrupt: fn(&mut Vec<u8>)) {
+fn ignores_a_corrupt_file(#[case] corrupt: fn(&mut Vec<u8>)) {
     let folder = tempfile::tempdir().expect("a folder");
     let mut store = open(folder.path(), 3_000_000);
     store.begin_incarnation(7);
@@ -89,9 +89,9 @@
     assert_eq!((store.known_members().len(), store.begin_incarnation(9)), (0, 9));
 }
 
-/// In a small folder it keeps the most recent members, within what the journal leaves; in a tiny one it keeps nothing.
+/// A small folder limit keeps the most recent members within the share that the journal leaves. A tiny one writes no file.
 #[test]
-fn the_file_stays_within_its_share() {
+fn the_file_stays_within_its_share_of_the_folder() {
     let folder = tempfile::tempdir().expect("a folder");
     for (folder_bytes, share) in [(3_000_000, 29_696), (100_000, 512), (20_000, 0)] {
         let mut store = open(folder.path(), folder_bytes);
--- a/src/fleet/suspicion.rs
+++ b/src/fleet/suspicion.rs
@@ -1,26 +1,26 @@
-//! How long a member that does not answer probes is only suspected, and how far this member's own slowness counts against
-//! its judgement: the ideas of Lifeguard (Dadgar, Phillips and Currey, DSN 2018), which foca does not have. Pure.
+//! Suspicion timeouts and local health, after Lifeguard (Dadgar, Phillips and Currey, DSN 2018), which foca does not
+//! implement. Does no I/O.
 //!
-//! A suspicion expires after `MAX_TIMEOUT`, and sooner the more other members confirm from their own probes that the
-//! suspect has not answered: with `CONFIRMATIONS_NEEDED` after `MIN_TIMEOUT`. The suspect itself is notified and can refute
-//! the suspicion at once. A member whose own probes fail often slows its probing down, as it is probably slow itself.
+//! A suspicion expires after `MAX_TIMEOUT`. Each other member whose own probe of the suspect fails confirms the suspicion
+//! and shortens the timeout, down to `MIN_TIMEOUT` with `CONFIRMATIONS_NEEDED` confirmations. The suspect is notified and
+//! can refute the suspicion at once. A member whose probes often fail is probably slow itself, and probes less often.
 use super::fault_injection::{is_injected, Defect};
 use super::member::Member;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Timeout of a confirmed suspicion: long enough for a live suspect to be notified and to answer, though datagrams are
-/// lost and delayed.
+/// Timeout of a fully confirmed suspicion: long enough for a live suspect to be notified and to refute the suspicion
+/// although datagrams are lost and delayed.
 pub const MIN_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Timeout of a suspicion that nobody confirms: it may be this member that receives nothing.
+/// Timeout of a suspicion without confirmations: it may be this member that receives no datagrams.
 pub const MAX_TIMEOUT: Duration = Duration::from_secs(6);
-/// This many others must confirm a suspicion for `MIN_TIMEOUT`, or all where there are fewer.
+/// Number of confirmations that shorten the timeout to `MIN_TIMEOUT`. If fewer members can confirm, all of them must.
 const CONFIRMATIONS_NEEDED: usize = 2;
-/// Most by which probes are slowed down while this member's own probes fail.
+/// Maximum factor by which probe intervals and timeouts grow while the probes of this member fail.
 const MAX_PROBE_MULTIPLIER: u32 = 4;
 
-/// Timeout of a suspicion that `confirmations` others share, of `possible` that could.
+/// Returns the timeout of a suspicion that `confirmations` of `possible` other members confirm.
 pub fn suspicion_timeout(confirmations: usize, possible: usize) -> Duration {
     let needed = possible.min(CONFIRMATIONS_NEEDED);
     let shortened_by = match needed {
@@ -36,12 +36,12 @@
 
 struct Suspicion {
     suspect: Member,
-    /// foca's number of the suspected state: a suspect that refutes a suspicion raises it.
+    /// The SWIM incarnation that is suspected. The suspect raises it when it refutes a suspicion.
     swim_incarnation: u16,
     since: Duration,
-    /// Others whose probes of the suspect failed.
+    /// Other members whose probes of the suspect failed.
     confirmed_by: BTreeSet<SocketAddr>,
-    /// foca's timer, where this member's own probe has failed.
+    /// foca's timer, if the probe by this member failed.
     timer: Option<foca::Timer<Member>>,
 }
 
@@ -50,12 +50,12 @@
         Suspicion { suspect, swim_incarnation, since, confirmed_by: BTreeSet::new(), timer: None }
     }
 
-    /// When it expires; `others` is the number of members beside this one.
+    /// Returns when the suspicion expires; `others` is the number of members without this one.
     fn expires_at(&self, others: usize) -> Duration {
         if is_injected(Defect::SuspicionNeverExpires) {
             return self.since + Duration::from_secs(86_400);
         }
-        // Confirmations are those beyond the first accuser, who is this member where its own probe has failed.
+        // The first member starts the suspicion, each further one confirms it. This member counts if its own probe failed.
         let suspecting_members = self.confirmed_by.len() + usize::from(self.timer.is_some());
         self.since + suspicion_timeout(suspecting_members.saturating_sub(1), others.saturating_sub(1))
     }
@@ -64,21 +64,21 @@
 /// A suspicion that has expired.
 #[derive(Debug, PartialEq)]
 pub struct ExpiredSuspicion {
-    /// The suspect.
+    /// The suspected member.
     pub suspect: Member,
-    /// foca's number of the suspected state.
+    /// The SWIM incarnation that was suspected.
     pub swim_incarnation: u16,
-    /// foca's timer that declares the suspect dead, where this member's own probe has failed.
+    /// foca's timer that declares the suspect dead, if the probe by this member failed.
     pub timer: Option<foca::Timer<Member>>,
 }
 
-/// Whom this member suspects, and how far it trusts its own probes. Times are those of the node's active clock.
+/// The suspicions of this member and its local health. Times are active time of the node's clock.
 #[derive(Default)]
 pub struct SuspicionTracker {
     suspicions: BTreeMap<SocketAddr, Suspicion>,
-    /// 0 for a member whose probes succeed; one less than the factor by which probes are slowed down.
+    /// 0 while probes succeed, higher while they fail (Lifeguard's local health multiplier).
     local_health_score: u32,
-    /// A probe of the current round has failed.
+    /// Whether a probe of the current round has failed.
     has_probe_failed: bool,
 }
 
@@ -86,8 +86,8 @@
     fn entry(&mut self, now: Duration, suspect: &Member, swim_incarnation: u16) -> &mut Suspicion {
         let start = || Suspicion::new(suspect.clone(), swim_incarnation, now);
         let suspicion = self.suspicions.entry(suspect.address).or_insert_with(start);
-        // foca reports the suspect again with each probe that fails: it is one suspicion until the suspect refutes it.
-        // Measured without this condition: a crash among three members was detected after 10 s.
+        // foca reports the suspect again after each failed probe, which must not restart the timeout. Without this
+        // condition a crash among three members was detected only after 10 s.
         let is_same = suspicion.suspect == *suspect && suspicion.swim_incarnation == swim_incarnation;
         if !is_same || is_injected(Defect::SuspicionRestarts) {
             *suspicion = start();
@@ -95,24 +95,24 @@
         suspicion
     }
 
-    /// Starts a suspicion as this member's own probe has failed; foca's timer waits here until it expires.
+    /// Starts a suspicion because the probe by this member failed. Keeps foca's timer until the suspicion expires.
     pub fn suspect(
         &mut self, now: Duration, suspect: &Member, swim_incarnation: u16, timer: foca::Timer<Member>,
     ) {
         self.entry(now, suspect, swim_incarnation).timer = Some(timer);
     }
 
-    /// Another member's probe has failed. It starts a suspicion here as well: in a large fleet few probe the suspect
-    /// themselves.
+    /// Notes that the probe by another member failed. Starts a suspicion if there is none: in a large fleet only few
+    /// members probe the suspect.
     pub fn confirm(&mut self, now: Duration, suspect: &Member, swim_incarnation: u16, by: SocketAddr) {
         let suspicion = self.entry(now, suspect, swim_incarnation);
-        // Bounded: further confirmations do not shorten the timeout.
+        // Further confirmations do not shorten the timeout, so the set is bounded.
         if suspicion.confirmed_by.len() <= CONFIRMATIONS_NEEDED {
             suspicion.confirmed_by.insert(by);
         }
     }
 
-    /// Takes the suspicions that have expired; `others` is the number of members beside this one.
+    /// Removes and returns the expired suspicions; `others` is the number of members without this one.
     pub fn remove_expired(&mut self, now: Duration, others: usize) -> Vec<ExpiredSuspicion> {
         let expired: Vec<SocketAddr> = self
             .suspicions
@@ -120,8 +120,8 @@
             .filter(|(_, suspicion)| now >= suspicion.expires_at(others))
             .map(|(address, _)| *address)
             .collect();
-        let taken = expired.iter().filter_map(|address| self.suspicions.remove(address));
-        taken
+        let removed = expired.iter().filter_map(|address| self.suspicions.remove(address));
+        removed
             .map(|Suspicion { suspect, swim_incarnation, timer, .. }| ExpiredSuspicion {
                 suspect,
                 swim_incarnation,
@@ -130,22 +130,23 @@
             .collect()
     }
 
-    /// When the next suspicion expires, unless further confirmations come.
+    /// Returns when the next suspicion expires, unless further confirmations arrive.
     pub fn next_expiry(&self, others: usize) -> Option<Duration> {
         self.suspicions.values().map(|suspicion| suspicion.expires_at(others)).min()
     }
 
-    /// Drops the suspicions that foca no longer has.
+    /// Removes the suspicions for which `is_suspected` returns `false`.
     pub fn retain(&mut self, is_suspected: impl Fn(&Member, u16) -> bool) {
         self.suspicions.retain(|_, suspicion| is_suspected(&suspicion.suspect, suspicion.swim_incarnation));
     }
 
-    /// Whether nobody is suspected.
+    /// Returns whether no member is suspected.
     pub fn is_empty(&self) -> bool {
         self.suspicions.is_empty()
     }
 
-    /// A probe of this member's own was not answered: it may be slow itself, unless others suspect the member as well.
+    /// Notes that a probe by this member failed. Raises the local health score, unless the probed member is already
+    /// suspected: then the cause is more likely that member.
     pub fn note_probe_failure(&mut self, probed: &Member) {
         let is_suspected =
             self.suspicions.get(&probed.address).is_some_and(|suspicion| suspicion.suspect == *probed);
@@ -155,7 +156,7 @@
         }
     }
 
-    /// A probe round begins: the one before succeeded unless a failure was noted.
+    /// Starts a probe round. Lowers the local health score if no probe of the previous round failed.
     pub fn begin_probe_round(&mut self) {
         if !self.has_probe_failed {
             self.local_health_score = self.local_health_score.saturating_sub(1);
@@ -163,7 +164,7 @@
         self.has_probe_failed = false;
     }
 
-    /// The factor by which probes are slowed down now (Lifeguard's local health multiplier).
+    /// Returns the current factor for probe intervals and timeouts.
     pub fn probe_multiplier(&self) -> u32 {
         1 + self.local_health_score
     }
--- a/src/fleet/suspicion/tests.rs
+++ b/src/fleet/suspicion/tests.rs
@@ -11,9 +11,9 @@
 }
 
 #[test]
-fn the_timeout_falls_with_confirmations_and_never_below_the_minimum() {
-    let enough = [(0, 0), (2, 9), (7, 9), (1, 1)];
-    for (confirmations, possible) in enough {
+fn the_timeout_shrinks_with_confirmations_down_to_the_minimum() {
+    let fully_confirmed = [(0, 0), (2, 9), (7, 9), (1, 1)];
+    for (confirmations, possible) in fully_confirmed {
         assert_eq!(suspicion_timeout(confirmations, possible), MIN_TIMEOUT, "{confirmations} of {possible}");
     }
     assert_eq!((suspicion_timeout(0, 9), suspicion_timeout(0, 1)), (MAX_TIMEOUT, MAX_TIMEOUT));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn each_member_confirms_once_and_only_one_suspicion() {
+fn each_member_confirms_a_suspicion_once_and_not_the_next_one() {
     let mut tracker = SuspicionTracker::default();
     tracker.suspect(Duration::ZERO, &member(1, 1), 0, timer(1));
     for _ in 0..9 {
@@ -30,21 +30,22 @@
     assert_eq!(tracker.next_expiry(9), Some(suspicion_timeout(1, 8)));
     tracker.confirm(Duration::ZERO, &member(1, 1), 0, address(8));
     assert_eq!(tracker.next_expiry(9), Some(MIN_TIMEOUT));
-    // The same suspicion reported again does not restart.
+    // A repeated report does not restart the timeout.
     tracker.suspect(Duration::from_secs(1), &member(1, 1), 0, timer(1));
     assert!(tracker.remove_expired(MIN_TIMEOUT - Duration::from_millis(1), 9).is_empty());
     assert_eq!(tracker.remove_expired(MIN_TIMEOUT, 9), [expired(1, Some(timer(1)))]);
     assert!(tracker.is_empty());
-    // After a refutation the next suspicion has no confirmations yet.
+    // A suspicion after a refutation starts without confirmations.
     tracker.confirm(MIN_TIMEOUT, &member(2, 1), 0, address(9));
     tracker.confirm(MIN_TIMEOUT, &member(2, 1), 0, address(8));
     tracker.confirm(MIN_TIMEOUT, &member(2, 1), 1, address(7));
     assert_eq!(tracker.next_expiry(9), Some(MIN_TIMEOUT + MAX_TIMEOUT));
 }
 
-/// A member that has not probed the suspect, and is notified by three that have, declares it dead as soon as they do.
+/// Three members report failed probes of a suspect that this member has not probed. The suspicion then expires here after
+/// the same timeout as on those members.
 #[test]
-fn a_member_that_has_not_probed_relies_on_the_confirmations_of_others() {
+fn reports_of_other_members_suffice_for_a_confirmed_suspicion() {
     let mut tracker = SuspicionTracker::default();
     for n in 5..8 {
         tracker.confirm(Duration::ZERO, &member(1, 1), 0, address(n));
@@ -53,7 +54,7 @@
 }
 
 #[test]
-fn failed_probes_slow_probing_down_until_probes_succeed_again() {
+fn failed_probes_slow_down_probing_until_probes_succeed_again() {
     let mut tracker = SuspicionTracker::default();
     for _ in 0..9 {
         tracker.note_probe_failure(&member(1, 1));
--- a/src/fleet/view.rs
+++ b/src/fleet/view.rs
@@ -1,93 +1,93 @@
-//! The view as it is shown: a table for people, JSON for programs. The names in JSON are those of `docs/operate/fleet.md`
-//! and stay, whatever the fields are called here.
+//! The output format of the view: a table for people and JSON for programs. The JSON names are documented in
+//! `docs/operate/fleet.md` and do not follow renamed fields.
 use super::partition::PartitionSide;
 use serde::{Deserialize, Serialize};
 use std::fmt::Write;
 
-/// Whether a member is present, as far as the observer knows.
+/// State of a member, as far as the observer knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MemberState {
-    /// Known from gossip; it has not sent a datagram to the observer yet.
+    /// The member is known from gossip and has not sent a datagram to the observer yet.
     Joining,
-    /// It sends datagrams.
+    /// The member sends datagrams.
     Alive,
-    /// It does not answer probes, and has not been declared dead.
+    /// The member does not answer probes and has not been declared dead.
     Suspect,
-    /// It is shutting down, and completes what is in flight.
+    /// The member is shutting down and completes its messages in flight.
     Draining,
-    /// It announced that it leaves, and departed.
+    /// The member departed after it announced that it leaves.
     Left,
-    /// Silent: it has ended or is cut off, which the observer cannot tell apart.
+    /// The member is silent: stopped or unreachable, which the observer cannot tell apart.
     Dead,
-    /// Another member with its name has a later incarnation.
+    /// Another member of the same name has a higher incarnation.
     #[serde(rename = "shut-out")]
     Superseded,
 }
 
-/// One member. Times are in seconds, as of the moment of the view.
+/// One member in the view. Ages are in seconds before the time of the view.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberView {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// Where it receives datagrams and accepts connections.
+    /// The address where the member receives datagrams and accepts connections.
     pub address: String,
-    /// Its incarnation.
+    /// Incarnation of the member.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Whether it is present.
+    /// State of the member.
     pub state: MemberState,
-    /// How long ago it became present or departed.
+    /// How long ago the member became present or departed.
     #[serde(rename = "for_secs")]
     pub state_age_secs: f64,
-    /// How long ago the observer last received a datagram of its own; none for the observer itself, and where it never
-    /// did.
+    /// How long ago the observer last received a datagram that the member itself sent. `None` for the observer, and for a
+    /// member that never sent one.
     #[serde(rename = "heard_secs_ago")]
     pub last_contact_secs_ago: Option<f64>,
-    /// It has presented a valid certificate to the observer and counts for a majority.
+    /// Whether the member has presented a valid certificate to the observer and so counts for a majority.
     #[serde(rename = "counts")]
     pub counted: bool,
-    /// How long ago it published its attributes, at least; none where they are not known.
+    /// Minimum time since the member published its attributes; `None` if they are not known.
     #[serde(rename = "facts_secs_old")]
     pub attributes_age_secs: Option<f64>,
-    /// Its zone, empty where it has none.
+    /// Zone of the member, empty if it has none.
     pub zone: String,
-    /// Its program's version.
+    /// Program version of the member.
     pub version: String,
-    /// Digest of its settings, in hexadecimal.
+    /// Digest of the member's settings, in hexadecimal.
     #[serde(rename = "config")]
     pub settings_digest: String,
-    /// Counts the settings that this incarnation has used, from 1 on.
+    /// Number of settings that this incarnation has loaded, from 1 on.
     #[serde(rename = "epoch")]
     pub settings_epoch: u64,
-    /// Version of the endpoint list that it uses.
+    /// Version of the endpoint list that the member uses.
     #[serde(rename = "list")]
     pub list_version: u64,
-    /// When it started, in seconds since 1970 by its own clock.
+    /// When the member started, in seconds since 1970 by its own clock.
     pub started: u64,
-    /// The side of a partition that it reports.
+    /// The side of a partition that the member reports.
     pub side: PartitionSide,
 }
 
-/// The view of one member, the observer.
+/// The fleet as seen by one member, the observer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FleetView {
     /// Name of the observer.
     #[serde(rename = "of")]
     pub observer: String,
-    /// One number, in hexadecimal, for who is present, in which incarnation, with which attributes.
+    /// Digest of the present members, their incarnations and attributes, in hexadecimal.
     pub digest: String,
-    /// All views that were reported to the observer lately are the same as its own.
+    /// Whether all views recently reported to the observer are equal to its own.
     pub agreed: bool,
     /// The side of a partition that the observer is on.
     pub side: PartitionSide,
-    /// Members that are present and count, the observer included.
+    /// Number of present members that count for a majority, including the observer.
     pub counted: usize,
-    /// Members that fell silent without announcing that they leave.
+    /// Number of members that became silent without announcing that they leave.
     pub out_of_reach: usize,
-    /// Size of the fleet when it was last agreed; 0 if it never was.
+    /// Size of the fleet last agreed on; 0 if there was no agreement.
     pub last_agreed: usize,
-    /// All members, by name.
+    /// All members in order of name.
     pub members: Vec<MemberView>,
 }
 
@@ -96,10 +96,10 @@
     "name", "address", "state", "for", "heard", "counts", "zone", "version", "config", "list", "life",
     "facts",
 ];
-/// Stands for what is not known.
+/// Cell of a value that is not known.
 const UNKNOWN: &str = "-";
 
-/// A time span for people, in the largest unit that still says something.
+/// Formats a time span for people, in a unit that suits its length.
 fn format_span(secs: f64) -> String {
     match secs {
         s if s < 10.0 => format!("{s:.1}s"),
@@ -124,7 +124,7 @@
     }
 }
 
-/// The name of an enum's variant in JSON, for tables and log lines.
+/// Returns the JSON name of an enum variant, for tables and log lines.
 pub(super) fn serialized_name<T: Serialize>(variant: &T) -> String {
     match serde_json::to_value(variant) {
         Ok(serde_json::Value::String(name)) => name,
@@ -158,7 +158,7 @@
 }
 
 impl FleetView {
-    /// The table: a line of headings, one a member, and a summary.
+    /// Formats the view as a table: a line of headings, a line per member and a summary.
     pub fn table(&self) -> String {
         let mut rows = vec![HEADINGS.map(String::from)];
         rows.extend(self.members.iter().map(MemberView::cells));
--- a/src/fleet/view/tests.rs
+++ b/src/fleet/view/tests.rs
@@ -2,8 +2,8 @@
 use super::*;
 
 #[test]
-fn the_table_has_a_line_per_member_and_the_json_reads_back() {
-    let line = MemberView {
+fn the_table_has_a_line_per_member_and_the_json_round_trips() {
+    let member = MemberView {
         name: "n1".into(),
         address: "127.0.0.1:1".into(),
         incarnation: 7,
@@ -28,7 +28,7 @@
         counted: 2,
         out_of_reach: 3,
         last_agreed: 5,
-        members: vec![line],
+        members: vec![member],
     };
     let table = view.table();
     let lines: Vec<&str> = table.lines().collect();
--- a/src/fleet/wire.rs
+++ b/src/fleet/wire.rs
@@ -1,74 +1,74 @@
-//! The datagrams between forwarders, as bytes, without I/O.
+//! Encodes and decodes the datagrams between forwarders. Does no I/O.
 //!
-//! A datagram is a header and one message. The header is 15 bytes, all numbers big-endian:
+//! A datagram consists of a header and one message. The header has 15 bytes, with all numbers in big-endian order:
 //!
 //! | bytes | field |
 //! | --- | --- |
 //! | 1 | format version |
-//! | 4 | group tag, which separates two fleets that reach each other by mistake |
-//! | 8 | digest of the sender's view, so that views are compared with each datagram |
-//! | 1 | the side of a network partition that the sender takes itself to be on |
+//! | 4 | group tag, which separates fleets that reach each other by mistake |
+//! | 8 | digest of the sender's view, so that each datagram compares views |
+//! | 1 | side of a network partition that the sender reports |
 //! | 1 | kind of the message |
 //!
-//! The message is what foca encoded, or the fields of the variant encoded by `postcard`.
+//! The message is either a message encoded by foca, or the fields of a `Message` variant encoded by `postcard`.
 use super::error::FleetError;
 use super::fault_injection::{is_injected, Defect};
 use super::member::{Member, MAX_NAME_BYTES};
 use super::partition::PartitionSide;
 use serde::{Deserialize, Serialize};
 
-/// Largest datagram, in bytes: below the MTU of most networks, so that no datagram is fragmented.
+/// Maximum size of a datagram, in bytes: below the MTU of most networks, so that datagrams are not fragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
 /// Size of the header, in bytes.
 pub const HEADER_BYTES: usize = 15;
-/// Rises with each format that an older program cannot read. The datagrams of the first programs had no header, and began
-/// with 0 or 1.
+/// Format version; incremented with each format that an older program cannot read. Versions 0 and 1 are unusable: the first
+/// programs sent datagrams without a header, which started with the byte 0 or 1.
 const FORMAT_VERSION: u8 = 2;
-/// Views are compared in this many buckets of members.
+/// Number of buckets into which members are divided when views are compared.
 pub const DIGEST_BUCKETS: usize = 64;
-/// Upper bound of what one record adds to a datagram, in bytes: name, attributes and numbers.
+/// Upper bound of the encoded size of a record, in bytes.
 pub const MAX_RECORD_BYTES: usize = 512;
-/// Longest text of an attribute, in bytes; its owner truncates longer ones.
+/// Maximum length of a text attribute, in bytes. The member that publishes it truncates longer ones.
 pub const MAX_TEXT_BYTES: usize = 64;
 
-/// What a member publishes about itself. No other member writes it; a newer one has a higher revision.
+/// Attributes that a member publishes about itself. Only that member changes them; newer ones have a higher revision.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Attributes {
-    /// Its zone, empty where it has none.
+    /// Zone of the member, empty if it has none.
     pub zone: String,
-    /// Its program's version.
+    /// Program version of the member.
     pub version: String,
-    /// Digest of its settings.
+    /// Digest of the member's settings.
     pub settings_digest: u64,
-    /// Counts the settings that this incarnation has used, from 1 on.
+    /// Number of settings that this incarnation has loaded, from 1 on.
     pub settings_epoch: u64,
-    /// Version of the endpoint list that it uses.
+    /// Version of the endpoint list that the member uses.
     pub list_version: u64,
-    /// When it started, in seconds since 1970 by its own clock.
+    /// When the member started, in seconds since 1970 by its own clock.
     pub started: u64,
-    /// It is shutting down, and completes what is in flight.
+    /// Whether the member is shutting down and completes its messages in flight.
     pub draining: bool,
 }
 
-/// What one member knows of another, as it is sent to a third.
+/// What one member knows about another, in the form that is sent to further members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     /// The member that the record is about.
     pub member: Member,
-    /// How often that member has published its attributes in this incarnation.
+    /// How many times that member has published its attributes in this incarnation.
     pub revision: u32,
-    /// How long ago it published them, in milliseconds, without the time that datagrams were under way.
+    /// Age of the attributes in milliseconds, not including the transit time of datagrams.
     pub age_millis: u32,
-    /// This incarnation has left or was declared dead.
+    /// Whether this incarnation has left or was declared dead.
     pub departed: bool,
-    /// What it published, where that is known.
+    /// The published attributes, if known.
     pub attributes: Option<Attributes>,
 }
 
 /// The content of a datagram.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
-    /// Membership: bytes of foca's protocol.
+    /// A membership message in foca's encoding.
     Swim(Vec<u8>),
     /// Digests of the buckets of the sender's view.
     Digests {
@@ -76,23 +76,23 @@
         from: Member,
         /// One digest for each of the `DIGEST_BUCKETS` buckets.
         digests: Vec<u64>,
-        /// It answers such a message, and is not answered by digests again.
+        /// Whether this message responds to digests. The receiver of a response does not send its digests again.
         is_reply: bool,
     },
     /// Records of members.
     Records {
         /// The sender.
         from: Member,
-        /// As many as fit.
+        /// As many records as fit into the datagram.
         records: Vec<Record>,
     },
-    /// The sender's probe was not answered by a member.
+    /// A notice that a probe by the sender failed.
     Suspicion {
         /// The sender.
         from: Member,
         /// The member that did not answer.
         suspect: Member,
-        /// The number that foca gives the suspect's state; a suspect that refutes a suspicion raises it.
+        /// The SWIM incarnation that is suspected. The suspect raises it when it refutes a suspicion.
         swim_incarnation: u16,
     },
 }
@@ -102,25 +102,25 @@
 const KIND_RECORDS: u8 = 3;
 const KIND_SUSPICION: u8 = 4;
 
-/// What the header says of the sender's view.
+/// The fields of the header that describe the sender's view.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Header {
-    /// Digest of the view.
+    /// Digest of the sender's view.
     pub digest: u64,
-    /// Side of a partition.
+    /// The side of a partition that the sender reports.
     pub side: PartitionSide,
 }
 
-/// The sides by their byte in the header.
+/// The sides of a partition, indexed by their byte in the header.
 const SIDE_BY_CODE: [PartitionSide; 3] =
     [PartitionSide::Unknown, PartitionSide::Minority, PartitionSide::Majority];
 
-/// The tag of a group.
+/// Returns the tag of a group.
 pub fn group_tag(group: &str) -> u32 {
     crc32fast::hash(group.as_bytes())
 }
 
-/// Encodes a datagram. The caller sees to it that it is not longer than `MAX_DATAGRAM_BYTES`.
+/// Encodes a datagram. The caller ensures that it does not exceed `MAX_DATAGRAM_BYTES`.
 pub fn encode(group_tag: u32, header: Header, message: &Message) -> Vec<u8> {
     let (kind, body) = encode_message(message);
     let mut datagram = Vec::with_capacity(MAX_DATAGRAM_BYTES);
@@ -147,16 +147,16 @@
 }
 
 fn encode_body(body: &impl Serialize) -> Vec<u8> {
-    // Serializing these types to memory cannot fail; an empty body would be rejected by the receiver.
+    // Serializing these types to memory cannot fail. The receiver would reject an empty body.
     postcard::to_stdvec(body).unwrap_or_default()
 }
 
-/// Decodes a datagram of a group: the sender's header and its message.
+/// Decodes a datagram of a group into the header and the message.
 ///
 /// # Errors
 ///
-/// `FleetError::DatagramSize`, `DatagramVersion`, `ForeignGroup` or `MalformedDatagram`. Anybody can send such a datagram:
-/// it is to be dropped.
+/// `FleetError::DatagramSize`, `DatagramVersion`, `ForeignGroup` or `MalformedDatagram`. Any host can send such datagrams;
+/// the caller drops them.
 pub fn decode(group_tag: u32, datagram: &[u8]) -> Result<(Header, Message), FleetError> {
     if datagram.len() > MAX_DATAGRAM_BYTES || datagram.len() < HEADER_BYTES {
         return Err(FleetError::DatagramSize { bytes: datagram.len() });
@@ -206,7 +206,7 @@
     postcard::from_bytes(body).map_err(|_| FleetError::MalformedDatagram { part })
 }
 
-/// Guards the member table against texts of any length.
+/// Returns whether the texts of a record are within their limits, which bounds the memory of the member table.
 fn is_within_bounds(record: &Record) -> bool {
     if record.member.name.len() > MAX_NAME_BYTES {
         return false;
--- a/src/fleet/wire/tests.rs
+++ b/src/fleet/wire/tests.rs
@@ -25,11 +25,11 @@
 }
 
 #[test]
-fn a_datagram_is_read_by_its_own_group_alone() {
+fn a_datagram_is_decoded_only_within_its_group() {
     for message in messages() {
         let bytes = encode(group_tag("a"), HEADER, &message);
         assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
-        assert_eq!(decode(group_tag("a"), &bytes).expect("its own"), (HEADER, message));
+        assert_eq!(decode(group_tag("a"), &bytes).expect("the same group"), (HEADER, message));
         assert!(matches!(decode(group_tag("b"), &bytes), Err(FleetError::ForeignGroup)));
     }
     let mut long = encode(group_tag("a"), HEADER, &Message::Swim(vec![0; MAX_DATAGRAM_BYTES]));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn the_longest_record_is_within_its_bound() {
+fn the_longest_record_is_within_the_size_limit() {
     let text = |length| "x".repeat(length);
     let longest = Member {
         address: "[ffff::1]:65535".parse().expect("an address"),
@@ -74,9 +74,9 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The bytes were written by the program of commit 19f93fd: members of both versions understand each other.
+/// The expected bytes were written by the program of commit 19f93fd, so members of both versions can form one fleet.
 #[test]
-fn datagrams_have_the_bytes_of_the_version_before() {
+fn encodes_the_same_bytes_as_the_previous_version() {
     let header = "02e8b7be43000000000000004d02";
     let all_digests = "ffffffffffffffffff01".repeat(DIGEST_BUCKETS);
     let expected = [
@@ -93,11 +93,11 @@
 
 proptest! {
     #[test]
-    fn noise_is_rejected_without_harm(
-        which in 0..4usize, cut in any::<prop::sample::Index>(), noise in prop::collection::vec(any::<u8>(), 0..600),
+    fn malformed_datagrams_are_rejected_without_a_panic(
+        kind in 0..4usize, body_length in any::<prop::sample::Index>(), noise in prop::collection::vec(any::<u8>(), 0..600),
     ) {
-        let mut bytes = encode(group_tag("a"), HEADER, &messages()[which]);
-        bytes.truncate(HEADER_BYTES + cut.index(bytes.len() - HEADER_BYTES + 1));
+        let mut bytes = encode(group_tag("a"), HEADER, &messages()[kind]);
+        bytes.truncate(HEADER_BYTES + body_length.index(bytes.len() - HEADER_BYTES + 1));
         bytes.extend(&noise);
         let _ = decode(group_tag("a"), &bytes);
         let is_other_format = noise.first() != Some(&FORMAT_VERSION);
--- a/tests/fleet_view.rs
+++ b/tests/fleet_view.rs
@@ -67,7 +67,7 @@
     fleet.kill(3);
     let began = fleet.start_again(3, true);
     // Those that have not missed it yet learn that it restarted; its view is complete once it knows the others.
-    fleet.members[3].wait_log("neighbour is there");
+    fleet.members[3].wait_log("member is up");
     let back = fleet.wait_for_agreement(&all, TIMEOUT).expect("it is present again");
     assert!(back - began < SUSPICION_SECS, "after {:.3} s\n{}", back - began, fleet.timeline());
 }
@@ -153,7 +153,7 @@
     for (n, from) in all[..3].iter().zip(before) {
         let log = fleet.members[*n].log()[from..].to_string();
         for other in &all[3..] {
-            assert!(!log.contains(&format!("neighbour is gone neighbour=n{other}")), "n{n}: {log}");
+            assert!(!log.contains(&format!("member is down neighbour=n{other}")), "n{n}: {log}");
         }
     }
 }
@@ -168,5 +168,6 @@
         names.map(|e| e.expect("an entry").file_name().to_string_lossy().into()).collect();
     // The journal, and the lock of whoever owns it.
     assert_eq!(names.iter().map(String::as_str).collect::<Vec<_>>(), ["journal", "owner"]);
-    assert!(!daemon.log().contains("neighbour") && !daemon.log().contains("peers"));
+    let log = daemon.log();
+    assert!(!log.contains("neighbour") && !log.contains("peers") && !log.contains("leaving the fleet"));
 }
--- a/tests/net/mod.rs
+++ b/tests/net/mod.rs
@@ -215,8 +215,8 @@
             let Some((text, name)) = line.text.split_once(" neighbour=") else { continue };
             let name = name.split(' ').next().unwrap_or_default().to_string();
             let has_changed = match text.rsplit(": ").next().unwrap_or_default() {
-                "neighbour is there" | "neighbour started anew" => present.insert(name),
-                "neighbour is gone" => present.remove(&name),
+                "member is up" | "member restarted" => present.insert(name),
+                "member is down" => present.remove(&name),
                 _ => false,
             };
             if has_changed {
