--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -1,5 +1,5 @@
-//! The driver of a node: receives and sends datagrams on its UDP socket, calls the node when it is due, writes its
-//! snapshot and executes commands from the rest of the program.
+//! The driver of a node: receives and sends datagrams on its UDP socket, wakes the node when a timer is due,
+//! writes its snapshot and executes commands from the rest of the program.
 use super::error::FleetError;
 use super::member::Member;
 use super::node::{Node, OutgoingDatagram};
@@ -27,10 +27,11 @@
 /// Maximum time that `FleetHandle::leave` waits until the leave messages are sent.
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Capacity of the command channel. A sender waits while the channel is full.
-const MAX_WAITING_COMMANDS: usize = 64;
+const COMMAND_CHANNEL_CAPACITY: usize = 64;
 /// Size of the receive buffer: the largest UDP datagram, so that an oversized datagram is detected and not truncated.
 const RECEIVE_BUFFER_BYTES: usize = 64 * 1024;
 
+/// A command for the driver.
 enum Command {
     View(oneshot::Sender<FleetView>),
     MarkAuthenticated(Member),
@@ -67,7 +68,7 @@
 impl FleetHandle {
     /// Creates a handle, and the channels by which `run` serves it.
     pub fn new() -> (FleetHandle, DriverChannels) {
-        let (command_sender, command_receiver) = mpsc::channel(MAX_WAITING_COMMANDS);
+        let (command_sender, command_receiver) = mpsc::channel(COMMAND_CHANNEL_CAPACITY);
         let (members_sender, members_receiver) = watch::channel(Arc::default());
         let handle = FleetHandle { commands: command_sender, known_members: members_receiver };
         (handle, DriverChannels { commands: command_receiver, known_members: members_sender })
@@ -137,6 +138,7 @@
     Leave(Option<oneshot::Sender<()>>),
 }
 
+/// The state of the driver task.
 struct Driver {
     socket: UdpSocket,
     node: Node,
--- a/src/fleet/member_table.rs
+++ b/src/fleet/member_table.rs
@@ -92,7 +92,7 @@
 
 /// All known members by address, including the local one.
 pub struct MemberTable {
-    local: SocketAddr,
+    local_address: SocketAddr,
     entries: BTreeMap<SocketAddr, MemberEntry>,
     /// XOR of the hashes of all present members.
     digest: u64,
@@ -105,9 +105,8 @@
 impl MemberTable {
     /// Creates a table that contains only the local member.
     pub fn new(local: Member, now: Duration) -> MemberTable {
-        let address = local.address;
         let mut table = MemberTable {
-            local: address,
+            local_address: local.address,
             entries: BTreeMap::new(),
             digest: 0,
             bucket_digests: vec![0; DIGEST_BUCKETS],
@@ -144,13 +143,13 @@
 
     /// Returns the entry of the local member.
     pub fn local_entry(&self) -> &MemberEntry {
-        &self.entries[&self.local]
+        &self.entries[&self.local_address]
     }
 
     /// Publishes the attributes of the local member with a revision above both its last one and `above_revision`, a revision
     /// that other members have received.
     pub fn publish(&mut self, now: Duration, local: &Member, attributes: Attributes, above_revision: u32) {
-        let mut entry = match self.remove_entry(self.local) {
+        let mut entry = match self.remove_entry(self.local_address) {
             Some(mut entry) if entry.member == *local => {
                 entry.revision = entry.revision.max(above_revision);
                 entry
@@ -201,7 +200,7 @@
     /// ones, and so are to be disseminated.
     pub fn apply_record(&mut self, now: Duration, record: &Record) -> bool {
         let address = record.member.address;
-        if address == self.local || record.attributes.is_none() {
+        if address == self.local_address || record.attributes.is_none() {
             return false;
         }
         let is_newer = self.entries.get(&address).is_some_and(|entry| {
--- a/src/fleet/membership/admission.rs
+++ b/src/fleet/membership/admission.rs
@@ -6,21 +6,21 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Size of the number of updates that follows foca's header, in bytes.
+/// Size of the update count that follows foca's header, in bytes.
 const UPDATE_COUNT_BYTES: usize = 2;
 
 /// The members that the updates of a datagram may add or change.
 enum Admission {
-    /// The table has room: all members.
-    Anyone,
-    /// The table is full: only members at these addresses.
+    /// There is room: all members.
+    Any,
+    /// The table or foca's list of departed members is full: only members at these addresses.
     Only(BTreeSet<SocketAddr>),
 }
 
 impl Admission {
     fn admits(&self, address: SocketAddr) -> bool {
         match self {
-            Admission::Anyone => true,
+            Admission::Any => true,
             Admission::Only(known) => known.contains(&address),
         }
     }
@@ -75,7 +75,7 @@
         // foca keeps departed members for `REMEMBER_DEPARTED`, so they are bounded as well.
         let is_state_full = self.foca.iter_membership_state().len() >= 2 * MAX_MEMBERS;
         if !is_full && !is_state_full {
-            return Some(Admission::Anyone);
+            return Some(Admission::Any);
         }
         let mut known = self.active_addresses();
         if is_full && !known.contains(&sender) {
--- a/src/fleet/membership/tests.rs
+++ b/src/fleet/membership/tests.rs
@@ -9,9 +9,9 @@
     queue: BinaryHeap<std::cmp::Reverse<(Duration, u64)>>,
     events: BTreeMap<u64, (SocketAddr, Event)>,
     now: Duration,
-    last_event: u64,
+    last_event_id: u64,
     /// If set, datagrams between a port below this one and a port from this one on are lost.
-    partitioned_at: Option<u16>,
+    partition_port: Option<u16>,
 }
 
 enum Event {
@@ -26,25 +26,25 @@
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
             now: Duration::ZERO,
-            last_event: 0,
-            partitioned_at: None,
+            last_event_id: 0,
+            partition_port: None,
         }
     }
-    fn push(&mut self, after: Duration, at: SocketAddr, event: Event) {
-        self.last_event += 1;
-        self.queue.push(std::cmp::Reverse((self.now + after, self.last_event)));
-        self.events.insert(self.last_event, (at, event));
+    fn push(&mut self, after: Duration, target: SocketAddr, event: Event) {
+        self.last_event_id += 1;
+        self.queue.push(std::cmp::Reverse((self.now + after, self.last_event_id)));
+        self.events.insert(self.last_event_id, (target, event));
     }
-    fn apply(&mut self, of: SocketAddr, effects: Effects) {
+    fn apply(&mut self, source: SocketAddr, effects: Effects) {
         for SwimMessage { to, bytes } in effects.messages {
-            self.push(Duration::from_millis(1), to, Event::Datagram(of, bytes));
+            self.push(Duration::from_millis(1), to, Event::Datagram(source, bytes));
         }
         for SwimTimer { after, timer } in effects.timers {
-            self.push(after, of, Event::Timer(timer));
+            self.push(after, source, Event::Timer(timer));
         }
     }
     fn start(&mut self, n: u16, incarnation: u64, seed: u16) {
-        self.events.retain(|_, (at, event)| *at != address(n) || !matches!(event, Event::Timer(_)));
+        self.events.retain(|_, (target, event)| *target != address(n) || !matches!(event, Event::Timer(_)));
         let mut membership = Membership::new(member(n, incarnation), 10, u64::from(n));
         let effects = membership.announce(address(seed));
         self.nodes.insert(address(n), membership);
@@ -59,7 +59,7 @@
             let Some(node) = self.nodes.get_mut(&to) else { continue };
             let effects = match event {
                 Event::Datagram(from, _)
-                    if self.partitioned_at.is_some_and(|c| (from.port() < c) != (to.port() < c)) =>
+                    if self.partition_port.is_some_and(|port| (from.port() < port) != (to.port() < port)) =>
                 {
                     continue
                 }
@@ -101,10 +101,10 @@
     let mut network = Network::new();
     (0..6).for_each(|n| network.start(n, 1, 0));
     network.run(20);
-    network.partitioned_at = Some(1003);
+    network.partition_port = Some(1003);
     network.run(30);
     assert!(network.seen_by(0).iter().all(|m| m.address.port() < 1003), "{:?}", network.seen_by(0));
-    network.partitioned_at = None;
+    network.partition_port = None;
     // The daemon also announces itself periodically to members that it knew before.
     let effects = network.nodes.get_mut(&address(5)).expect("it runs").announce(address(0));
     network.apply(address(5), effects);
@@ -153,14 +153,14 @@
     (0..3).for_each(|n| network.start(n, 1, 0));
     network.run(10);
     let receiver = member(0, 1);
-    for part in 0..80 {
-        let bytes = forged_gossip(9000, &receiver, 10_000 + part * 20, 20);
+    for batch in 0..80 {
+        let bytes = forged_gossip(9000, &receiver, 10_000 + batch * 20, 20);
         assert!(bytes.len() <= MAX_PACKET_BYTES);
         // The effects are dropped: replies would go to members that do not exist.
         network.nodes.get_mut(&address(0)).expect("it runs").handle_datagram(&bytes);
     }
-    let full = network.seen_by(0).len();
-    assert!((MAX_MEMBERS..MAX_MEMBERS + 20).contains(&full), "{full}");
+    let member_count = network.seen_by(0).len();
+    assert!((MAX_MEMBERS..MAX_MEMBERS + 20).contains(&member_count), "{member_count}");
     network.start(3, 1, 0);
     network.run(1);
     assert!(network.seen_by(0).contains(&member(3, 1)), "a joining member is admitted");
--- a/src/fleet/node/anti_entropy.rs
+++ b/src/fleet/node/anti_entropy.rs
@@ -52,9 +52,9 @@
 }
 
 impl Node {
-    /// Sends the digests of this view to a member whose view differs, to request the records that differ. Does not if the
-    /// datagram from that member has just changed this view and the view had changed shortly before as well: the changes
-    /// are then probably still being disseminated.
+    /// Sends the digests of this view to a member whose view differs, to request the records that differ. Sends nothing if
+    /// the current datagram has changed this view and the view had also changed within `COMPARISON_INTERVAL` before: such
+    /// changes are probably still being disseminated.
     pub(super) fn compare_views(&mut self, peer: SocketAddr, peer_digest: u64) {
         let local_digest = self.table.digest();
         if peer_digest == local_digest || is_injected(Defect::ViewsNotCompared) {
--- a/src/fleet/node/inbound.rs
+++ b/src/fleet/node/inbound.rs
@@ -8,6 +8,7 @@
 use std::net::SocketAddr;
 
 impl Node {
+    /// Processes a message, notes the view that its header reports, and compares the views.
     pub(super) fn handle_message(&mut self, header: Header, message: Message) {
         let Some(sender) = self.dispatch(message) else { return };
         let now = self.clock.now();
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Refutes or overrides a record about this member that differs from its own entry: no other member may change it.
+    /// Refutes or overrides a record that contradicts this member's own entry, which no other member may change.
     fn apply_record_about_self(&mut self, record: &Record) {
         let local_entry = self.table.local_entry();
         if record.member != local_entry.member || record.departed {
--- a/src/fleet/partition.rs
+++ b/src/fleet/partition.rs
@@ -2,9 +2,11 @@
 //!
 //! The *quorum base* is the set of members of which a majority is required. It contains every member that was ever present,
 //! until the member announces that it leaves. Silence does not remove a member, as a stopped member and an unreachable one
-//! cannot be told apart. A side is the majority if more than half of the quorum base is present, and also more than half of
-//! the fleet last *agreed* on. The second condition prevents members that joined on one side only from outvoting the
-//! members on the other side. `docs/design/fleet-view.md` has the proof and its limits.
+//! cannot be told apart; only a majority removes it, after `SILENT_MEMBER_TTL`.
+//!
+//! A side is the majority if more than half of the quorum base is present, and also more than half of the fleet last
+//! *agreed* on. The second condition prevents members that joined on one side only from outvoting the members on the other
+//! side. `docs/design/fleet-view.md` has the proof and its limits.
 use super::fault_injection::{is_injected, Defect};
 use super::member::MAX_MEMBERS;
 use serde::{Deserialize, Serialize};
--- a/src/fleet/snapshot.rs
+++ b/src/fleet/snapshot.rs
@@ -17,16 +17,16 @@
 /// Name of the new file until it is complete and renamed.
 const TEMPORARY_FILE_NAME: &str = "fleet.new";
 /// Current format version; incremented with each format that an older program cannot read.
-const FORMAT: u8 = 2;
+const FORMAT_VERSION: u8 = 2;
 /// Previous format version, which had no agreed fleet. The incarnation and the members are still read from it.
-const PREVIOUS_FORMAT: u8 = 1;
+const PREVIOUS_FORMAT_VERSION: u8 = 1;
 /// Size of the header, in bytes: format version and checksum.
 const HEADER_BYTES: usize = 5;
 /// Share of the folder's size limit that the file may use. During a replacement two files exist; the journal leaves 3% of
 /// the limit free.
 const DISK_SHARE: f64 = 0.01;
 /// Maximum size of the file in bytes, regardless of the folder's limit: enough for several thousand members.
-const MAX_BYTES: u64 = 64 * 1024;
+const MAX_FILE_BYTES: u64 = 64 * 1024;
 /// Block size by which disk usage is counted, in bytes.
 const BLOCK_BYTES: u64 = 512;
 /// Members that were absent for this many seconds are removed: long enough that a clock error of an hour does not matter.
@@ -52,7 +52,7 @@
     agreed_fleet: BTreeSet<String>,
 }
 
-/// Content of the file in `PREVIOUS_FORMAT`.
+/// Content of the file in `PREVIOUS_FORMAT_VERSION`.
 #[derive(Deserialize)]
 struct PreviousSnapshot {
     incarnation: u64,
@@ -86,7 +86,7 @@
             Snapshot::default()
         });
         let share = (folder_bytes as f64 * DISK_SHARE) as u64;
-        let max_bytes = (share / BLOCK_BYTES * BLOCK_BYTES).min(MAX_BYTES);
+        let max_bytes = (share / BLOCK_BYTES * BLOCK_BYTES).min(MAX_FILE_BYTES);
         SnapshotStore { disk, max_bytes, snapshot, last_write_failed: false }
     }
 
@@ -199,7 +199,7 @@
 fn encode(snapshot: &Snapshot) -> Vec<u8> {
     // Serializing these types to memory cannot fail.
     let body = postcard::to_stdvec(snapshot).unwrap_or_default();
-    [&[FORMAT][..], &crc32fast::hash(&body).to_le_bytes(), &body].concat()
+    [&[FORMAT_VERSION][..], &crc32fast::hash(&body).to_le_bytes(), &body].concat()
 }
 
 fn decode(bytes: &[u8]) -> Result<Snapshot, FleetError> {
@@ -208,8 +208,8 @@
         return Err(FleetError::SnapshotCorrupt);
     }
     let decoded = match header[0] {
-        FORMAT => postcard::from_bytes(body),
-        PREVIOUS_FORMAT => postcard::from_bytes::<PreviousSnapshot>(body).map(Snapshot::from),
+        FORMAT_VERSION => postcard::from_bytes(body),
+        PREVIOUS_FORMAT_VERSION => postcard::from_bytes::<PreviousSnapshot>(body).map(Snapshot::from),
         _ => return Err(FleetError::SnapshotCorrupt),
     };
     decoded.map_err(|_| FleetError::SnapshotCorrupt)
--- a/src/fleet/snapshot/tests.rs
+++ b/src/fleet/snapshot/tests.rs
@@ -21,12 +21,12 @@
 #[test]
 fn reads_the_previous_format() {
     let folder = tempfile::tempdir().expect("a folder");
-    let known = vec![KnownMember { name: "n1".into(), address: member(1, 1).address, last_seen: 9 }];
-    let body = postcard::to_stdvec(&(41u64, &known)).expect("bytes");
-    let bytes = [&[PREVIOUS_FORMAT][..], &crc32fast::hash(&body).to_le_bytes(), &body].concat();
+    let known_members = vec![KnownMember { name: "n1".into(), address: member(1, 1).address, last_seen: 9 }];
+    let body = postcard::to_stdvec(&(41u64, &known_members)).expect("bytes");
+    let bytes = [&[PREVIOUS_FORMAT_VERSION][..], &crc32fast::hash(&body).to_le_bytes(), &body].concat();
     std::fs::write(folder.path().join(FILE_NAME), bytes).expect("written");
     let mut store = open(folder.path(), 3_000_000);
-    assert_eq!((store.known_members(), store.agreed_fleet().len()), (&known[..], 0));
+    assert_eq!((store.known_members(), store.agreed_fleet().len()), (&known_members[..], 0));
     assert_eq!(store.begin_incarnation(7), 42);
 }
 
@@ -98,7 +98,7 @@
         store.record(&members(2000), &BTreeSet::new(), 1);
         let size = std::fs::metadata(folder.path().join(FILE_NAME)).map_or(0, |m| m.len());
         assert!(size <= share, "{size} of {share} bytes");
-        assert!(share == 0 || store.known_members().first().is_some_and(|s| s.name == "n1"));
+        assert!(share == 0 || store.known_members().first().is_some_and(|m| m.name == "n1"));
         let _ = std::fs::remove_file(folder.path().join(FILE_NAME));
     }
 }
