--- a/src/fleet/node/view.rs
+++ b/src/fleet/node/view.rs
@@ -1,4 +1,4 @@
-//! Builds the view that is shown to people and programs.
+//! Builds the view of the fleet for people and programs.
 use super::Node;
 use crate::fleet::member::Member;
 use crate::fleet::member_table::MemberEntry;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 impl Node {
-    /// The view of this moment.
+    /// Returns the current view of the fleet.
     pub fn view(&self, now: Duration) -> FleetView {
         let now = now.max(self.clock.now());
         let suspects: BTreeSet<&Member> = self.membership.suspects().map(|(suspect, _)| suspect).collect();
@@ -38,12 +38,12 @@
             incarnation: entry.member.incarnation,
             state,
             state_age_secs: secs_since(entry.state_since),
-            last_heard_secs_ago: entry.last_heard.map(secs_since),
+            last_contact_secs_ago: entry.last_contact.map(secs_since),
             counted: entry.authenticated && !entry.departed && state != MemberState::Superseded,
             attributes_age_secs: entry.attributes.as_ref().map(|_| secs_since(entry.published_at)),
             zone: attributes.zone,
             version: attributes.version,
-            // Half of the digest: enough for people to compare.
+            // The lower half of the digest is enough for people to compare.
             settings_digest: format!("{:08x}", attributes.settings_digest as u32),
             settings_epoch: attributes.settings_epoch,
             list_version: attributes.list_version,
@@ -59,7 +59,7 @@
         if entry.departed {
             return MemberState::Dead;
         }
-        if self.table.present().any(|other| takes_name_of(other, entry)) {
+        if self.table.present().any(|other| supersedes_by_name(other, entry)) {
             return MemberState::Superseded;
         }
         if suspects.contains(&entry.member) {
@@ -69,7 +69,7 @@
             return MemberState::Draining;
         }
         let is_local = entry.member.address == self.local_member().address;
-        if !is_local && entry.last_heard.is_none() {
+        if !is_local && entry.last_contact.is_none() {
             return MemberState::Joining;
         }
         MemberState::Alive
@@ -86,6 +86,6 @@
     }
 }
 
-fn takes_name_of(other: &MemberEntry, entry: &MemberEntry) -> bool {
+fn supersedes_by_name(other: &MemberEntry, entry: &MemberEntry) -> bool {
     other.authenticated && other.member.name == entry.member.name && other.member.supersedes(&entry.member)
 }
