--- a/src/client/connection.rs
+++ b/src/client/connection.rs
@@ -2,7 +2,7 @@
 //! losing a response.
 use super::limiter::{ConnectionLimiter, ConnectionPermit, ConnectionState, Phase};
 use super::socket::{ClientSocket, DISCARD_TIMEOUT};
-use super::{reached, FINAL_RESPONSES};
+use super::{reached, FINAL_RESPONSE_TIMEOUT};
 use crate::exchange::ClientConnections;
 use axum::body::Body;
 use axum::response::{IntoResponse, Response};
@@ -39,11 +39,11 @@
 /// The most header lines of a request.
 const HEADER_LINES_LIMIT: usize = 64;
 /// Once the process ends: how long one waits for the rest of a request that is arriving. Shorter than
-/// `FINAL_RESPONSES`, so that the request still gets its response.
+/// `FINAL_RESPONSE_TIMEOUT`, so that the request still gets its response.
 const CLOSING_GRACE: Duration = Duration::from_millis(100);
 
 const _: () = assert!(
-    CLOSING_GRACE.as_millis() + DISCARD_TIMEOUT.as_millis() < FINAL_RESPONSES.as_millis(),
+    CLOSING_GRACE.as_millis() + DISCARD_TIMEOUT.as_millis() < FINAL_RESPONSE_TIMEOUT.as_millis(),
     "an arriving request has its response, and its connection is closed, before the process stops waiting"
 );
 
--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -34,7 +34,7 @@
 use tokio_rustls::TlsAcceptor;
 
 /// How long responses may still be sent once connections are being closed.
-pub const FINAL_RESPONSES: Duration = Duration::from_millis(250);
+pub const FINAL_RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
 /// How long the process outlives its last client connection. Guards the last responses: one that is still in the
 /// socket's buffer when the process ends may be lost, and the client would count an accepted request as not received.
 pub const CLOSE_LINGER: Duration = Duration::from_millis(100);
--- a/src/client/tests.rs
+++ b/src/client/tests.rs
@@ -175,7 +175,7 @@
     fixture.write(&REQUEST[..REQUEST.len() - 2]);
     fixture.wait_for(Phase::InRequest).await;
     fixture.close.send_replace(ClientConnections::Closing);
-    let closed = timeout(super::FINAL_RESPONSES, fixture.read_to_end()).await;
+    let closed = timeout(super::FINAL_RESPONSE_TIMEOUT, fixture.read_to_end()).await;
     let answer = closed.expect("before the process ends").expect("an end");
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
     assert_eq!(fixture.routed(), 0);
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -40,7 +40,7 @@
 
 const _: () = assert!(
     exchange::SHUTDOWN_TIMEOUT.as_millis()
-        + client::FINAL_RESPONSES.as_millis()
+        + client::FINAL_RESPONSE_TIMEOUT.as_millis()
         + client::CLOSE_LINGER.as_millis()
         < KILL_AFTER.as_millis(),
     "the process has ended by itself before it is killed"
--- a/src/daemon/serving.rs
+++ b/src/daemon/serving.rs
@@ -95,7 +95,7 @@
     /// Waits until all clients have had their answers and are gone, or time is up.
     pub(super) async fn close_clients(self) {
         self.exchange().set_client_connections(ClientConnections::Closing);
-        let _ = timeout(client::FINAL_RESPONSES, self.accept_task).await;
+        let _ = timeout(client::FINAL_RESPONSE_TIMEOUT, self.accept_task).await;
     }
 
     fn observe(&self, folder: &SharedFolder) -> Observed {
--- a/src/daemon/standby.rs
+++ b/src/daemon/standby.rs
@@ -34,7 +34,7 @@
     /// Accepts nothing more, and waits until all clients have their answers.
     pub(super) async fn close(mut self) {
         self.connections.send_replace(ClientConnections::Closing);
-        let _ = timeout(client::FINAL_RESPONSES, &mut self.accept_task).await;
+        let _ = timeout(client::FINAL_RESPONSE_TIMEOUT, &mut self.accept_task).await;
     }
 }
 
--- a/src/exchange/shutdown.rs
+++ b/src/exchange/shutdown.rs
@@ -5,8 +5,8 @@
 const CONNECTION_GRACE_PERIOD: Duration = Duration::from_millis(500);
 /// How long new attempts still start.
 const ATTEMPT_GRACE_PERIOD: Duration = Duration::from_millis(1500);
-/// How long the process waits for attempts in flight. With the last answers (`client::FINAL_RESPONSES`) and the time that the
-/// process outlives them (`client::CLOSE_LINGER`) it must have exited before a SIGKILL that comes after 3.7 s.
+/// How long the process waits for attempts in flight. With the last answers (`client::FINAL_RESPONSE_TIMEOUT`) and the time that
+/// the process outlives them (`client::CLOSE_LINGER`) it must have exited before a SIGKILL that comes after 3.7 s.
 pub const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3300);
 /// Pause between two checks of the phase once all its deadlines have passed.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(50);
