--- a/src/as2/check.rs
+++ b/src/as2/check.rs
@@ -1,5 +1,5 @@
-//! Reports all errors in the AS2 settings file: unknown keys, malformed addresses, and certificates and keys that
-//! cannot be read or parsed.
+//! Checks the AS2 settings file and reports all errors: unknown settings keys, malformed addresses, and certificates and
+//! private keys that cannot be read or parsed.
 use super::file::{AcmeSettings, As2File, PartnerEntry};
 use super::key_dir;
 use super::smime::Identity;
@@ -11,8 +11,8 @@
 use std::path::Path;
 use x509_cert::Certificate;
 
-/// Checks the file and returns all errors; none if there is no file. `deployment` has the names of classes and tenants
-/// to which the file refers; `None` if the configuration cannot be parsed.
+/// Checks the file and returns all errors; none if the file does not exist. `deployment` has the names of the classes and
+/// tenants that partners refer to; if it is `None`, because the configuration cannot be parsed, these names are not checked.
 pub fn check_file(path: &Path, deployment: Option<&DeploymentSettings>) -> Vec<ConfigError> {
     let mut errors = ConfigErrors::new(path);
     let text = match std::fs::read_to_string(path) {
@@ -73,8 +73,8 @@
     let has_url = partner.dest.is_none() || partner.url.is_some();
     errors.require(has_url, key("url"), "is missing; a partner with a dest has one");
     errors.require(partner.rate.is_none_or(|r| r >= 0.0), key("rate"), "is below 0");
-    let for_incoming = [partner.class.is_some(), partner.tenant.is_some(), partner.forward_to.is_some()];
-    let all_or_none = for_incoming.iter().all(|p| *p) || for_incoming.iter().all(|p| !p);
+    let incoming_settings = [partner.class.is_some(), partner.tenant.is_some(), partner.forward_to.is_some()];
+    let all_or_none = incoming_settings.iter().all(|p| *p) || incoming_settings.iter().all(|p| !p);
     errors.require(all_or_none, key("forward_to"), "class, tenant and forward_to go together");
     let Some(deployment) = deployment else { return };
     let (classes, tenants) = (&deployment.classes, &deployment.tenants);
@@ -101,7 +101,7 @@
     }
 }
 
-/// An absent or empty URL is valid.
+/// Reports a URL without scheme or host. An absent or empty URL is valid.
 fn check_url(text: Option<&str>, key: &str, errors: &mut ConfigErrors) {
     let Some(text) = text.filter(|t| !t.is_empty()) else { return };
     let valid = text.parse::<Uri>().is_ok_and(|url| url.host().is_some() && url.scheme().is_some());
--- a/src/as2/error.rs
+++ b/src/as2/error.rs
@@ -1,10 +1,10 @@
-//! Errors of the AS2 settings and of outgoing AS2 entities.
+//! Errors in the AS2 settings, and in signing or encrypting outgoing AS2 entities.
 use crate::config_error::ConfigError;
 use std::io;
 use std::path::PathBuf;
 
-/// Why the AS2 settings cannot be loaded, or an outgoing message or receipt cannot be created. `micaladder check`
-/// reports errors in the settings by file and key.
+/// Why the AS2 settings cannot be loaded, or an outgoing message or MDN cannot be created. `micaladder check` reports all
+/// errors in the settings, each with its file and key.
 #[derive(Debug, thiserror::Error)]
 pub enum As2Error {
     /// The settings file is not JSON, or a key is missing or has the wrong type: correct the key that the error names.
@@ -15,7 +15,7 @@
     Read {
         /// The AS2 settings file.
         settings: PathBuf,
-        /// The file's name, as the settings have it.
+        /// The file name in the settings.
         name: String,
         /// The operating system's error.
         source: io::Error,
@@ -25,26 +25,27 @@
     Certificate {
         /// The AS2 settings file.
         settings: PathBuf,
-        /// The file's name, as the settings have it.
+        /// The file name in the settings.
         name: String,
-        /// What the parser rejected.
+        /// The parser's error.
         source: der::Error,
     },
-    /// Our private key is not an RSA key in PKCS #8 PEM: replace the file.
+    /// The local private key is not an RSA key in PKCS #8 PEM: replace the file.
     #[error("{}: {name}: {source}", settings.display())]
     PrivateKey {
         /// The AS2 settings file.
         settings: PathBuf,
-        /// The file's name, as the settings have it.
+        /// The file name in the settings.
         name: String,
-        /// What the parser rejected.
+        /// The parser's error.
         source: rsa::pkcs8::Error,
     },
-    /// An entity cannot be signed or encrypted: check our key and the partner's certificate.
-    #[error("{0}")]
+    /// An entity cannot be signed or encrypted: check the local key and the partner's certificate.
+    #[error("cannot sign or encrypt: {0}")]
     Cms(String),
-    /// A partner's certificate has no RSA key, so nothing can be encrypted for it: ask the partner for another one.
-    #[error("the partner's certificate holds no RSA key")]
+    /// A partner's certificate contains no RSA key, so messages cannot be encrypted for the partner: request another
+    /// certificate.
+    #[error("the partner's certificate contains no RSA key; request another certificate")]
     NoRsaKey,
 }
 
--- a/src/as2/mdn.rs
+++ b/src/as2/mdn.rs
@@ -1,15 +1,15 @@
-//! Receipts: message disposition notifications (MDN; RFC 8098), as AS2 uses them (RFC 4130, section 7).
+//! Composes and parses message disposition notifications (MDN; RFC 8098) as AS2 uses them (RFC 4130, section 7).
 use super::mime;
 use super::smime::{self, Entity, Identity};
 use super::As2Error;
 
-/// No part of a receipt contains this text.
+/// The MIME boundary of the report. No part of an MDN contains this text.
 const BOUNDARY: &str = "=_receipt";
 
 /// The media type of the machine-readable part (RFC 8098, section 3.1).
 const NOTIFICATION_TYPE: &str = "message/disposition-notification";
 
-/// Disposition modifiers of errors that a partner finds before it processes the message (RFC 4130, section 7.5.3).
+/// Disposition modifiers of errors that occur before a partner processes the message (RFC 4130, section 7.5.3).
 const ERRORS_BEFORE_PROCESSING: [&str; 7] = [
     "authentication-failed",
     "decryption-failed",
@@ -20,35 +20,35 @@
     "unknown-trading-partner",
 ];
 
-/// The fields of a receipt that AS2 needs.
+/// The fields of an MDN that AS2 needs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Mdn {
-    /// `Original-Message-ID`: the message that the receipt is for.
+    /// `Original-Message-ID`: the `Message-ID` of the message that the MDN reports on.
     pub original_message_id: String,
-    /// The disposition type, and its modifier if any: `processed`, or `processed/error: decryption-failed`.
+    /// The disposition type and its modifier, if any: `processed`, or `processed/error: decryption-failed`.
     pub disposition: String,
-    /// `Received-Content-MIC` without the algorithm, in base64 (RFC 4130, section 7.4.3).
+    /// `Received-Content-MIC`: the message integrity check in base64, without the algorithm (RFC 4130, section 7.4.3).
     pub received_content_mic: Option<String>,
 }
 
-/// What a disposition says of the message.
+/// Whether the partner processed the message, according to the disposition.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DispositionOutcome {
     /// The message was processed.
     Processed,
-    /// The message was rejected before it could take effect.
+    /// The partner rejected the message before it could have an effect.
     NotProcessed,
-    /// An error from which it does not follow that the message took no effect.
+    /// The partner reports an error that does not rule out that the message had an effect.
     MayBeProcessed,
 }
 
 impl Mdn {
-    /// What the disposition says of the message.
+    /// Returns whether the partner processed the message, according to the disposition.
     pub fn outcome(&self) -> DispositionOutcome {
         let disposition = self.disposition.to_ascii_lowercase();
-        let (kind, modifier) = disposition.split_once('/').unwrap_or((&disposition, ""));
-        let only_warns = modifier.is_empty() || modifier.trim_start().starts_with("warning");
-        if kind.trim() == "processed" && only_warns {
+        let (disposition_type, modifier) = disposition.split_once('/').unwrap_or((&disposition, ""));
+        let has_no_error = modifier.is_empty() || modifier.trim_start().starts_with("warning");
+        if disposition_type.trim() == "processed" && has_no_error {
             return DispositionOutcome::Processed;
         }
         if ERRORS_BEFORE_PROCESSING.iter().any(|error| modifier.contains(error)) {
@@ -58,13 +58,13 @@
     }
 }
 
-/// Composes a receipt as a MIME entity; `our_name` is the recipient that it names. It is signed if an identity is
-/// given.
+/// Composes an MDN as a MIME entity, with `local_name` as the recipient of the original message. Signs the MDN if an
+/// identity is given.
 ///
 /// # Errors
 ///
-/// The receipt cannot be signed.
-pub fn compose(mdn: &Mdn, our_name: &str, signer: Option<&Identity>) -> Result<Entity, As2Error> {
+/// The MDN cannot be signed.
+pub fn compose(mdn: &Mdn, local_name: &str, signer: Option<&Identity>) -> Result<Entity, As2Error> {
     let mic_line = match &mdn.received_content_mic {
         Some(mic) => format!("Received-Content-MIC: {mic}, sha-256\r\n"),
         None => String::new(),
@@ -73,7 +73,7 @@
     let body = format!(
         "--{BOUNDARY}\r\nContent-Type: text/plain\r\n\r\nThe message {original_message_id} is {disposition}.\r\n\
          --{BOUNDARY}\r\nContent-Type: {NOTIFICATION_TYPE}\r\n\r\n\
-         Reporting-UA: micaladder\r\nOriginal-Recipient: rfc822; {our_name}\r\nFinal-Recipient: rfc822; {our_name}\r\n\
+         Reporting-UA: micaladder\r\nOriginal-Recipient: rfc822; {local_name}\r\nFinal-Recipient: rfc822; {local_name}\r\n\
          Original-Message-ID: {original_message_id}\r\n\
          Disposition: automatic-action/MDN-sent-automatically; {disposition}\r\n{mic_line}\r\n--{BOUNDARY}--\r\n"
     );
@@ -85,12 +85,12 @@
     }
 }
 
-/// Parses the receipt in a `multipart/report`, signed or not. The signature is not verified here.
+/// Parses the MDN in a `multipart/report`, signed or not. Does not verify the signature.
 pub fn parse(text: &[u8]) -> Option<Mdn> {
     let text = mime::with_unix_line_ends(text);
     let (_, notification) = text.split_once(NOTIFICATION_TYPE)?;
     let fields = mime::unfold(notification);
-    // The field reads `action-mode/sending-mode; disposition`.
+    // The field has the form `action-mode/sending-mode; disposition`.
     let disposition = mime::header(&fields, "disposition")?;
     let (_, disposition) = disposition.split_once(';')?;
     Some(Mdn {
@@ -101,7 +101,7 @@
     })
 }
 
-/// `MIC, algorithm` as `MIC`.
+/// Returns the digest of a `Received-Content-MIC` value, which has the form `digest, algorithm`.
 fn without_algorithm(mic: &str) -> String {
     let (digest, _) = mic.split_once(',').unwrap_or((mic, ""));
     digest.trim().to_string()
--- a/src/as2/mod.rs
+++ b/src/as2/mod.rs
@@ -1,5 +1,5 @@
-//! What both directions of AS2 (RFC 4130) share: our settings and partners, S/MIME (RFC 8551) and receipts, that is
-//! message disposition notifications or MDNs (RFC 8098).
+//! The parts of AS2 (RFC 4130) that both directions use: settings and partners, S/MIME (RFC 8551) and message disposition
+//! notifications (MDN; RFC 8098).
 #![warn(missing_docs)]
 pub mod check;
 mod error;
@@ -24,28 +24,28 @@
 /// Prefix of the uid and the address of an endpoint that is an AS2 partner.
 const ENDPOINT_PREFIX: &str = "as2:";
 
-/// The settings of the AS2 front, with its keys and certificates loaded.
+/// The AS2 settings, with keys and certificates loaded.
 pub struct As2Settings {
-    /// Where partners connect, `IP:PORT`.
+    /// The address that partners connect to, `IP:PORT`.
     pub listen: String,
-    /// Our AS2 name.
+    /// The local AS2 name.
     pub name: String,
-    /// Our private key and certificate.
+    /// The local private key and certificate.
     pub identity: Identity,
-    /// Where partners send their asynchronous receipts.
+    /// The URL that partners send asynchronous MDNs to.
     pub mdn_url: String,
     /// The trading partners.
     pub partners: Vec<Partner>,
-    /// The authority that issues the listener's TLS certificate; `None`: the listener speaks plain HTTP.
+    /// The authority that issues the listener's TLS certificate; `None` if the listener uses plain HTTP.
     pub acme: Option<AcmeSettings>,
 }
 
-/// How a partner returns the receipt (MDN) for a message that was sent to it (RFC 4130, section 7.2).
+/// How an MDN is returned to the sender of the message (RFC 4130, section 7.2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MdnDelivery {
-    /// In the response to the message's own HTTP request.
+    /// In the response to the HTTP request that carries the message.
     Synchronous,
-    /// In a separate HTTP request to our receipt URL.
+    /// In a separate HTTP request to the MDN URL of the message's sender.
     Asynchronous,
 }
 
@@ -55,15 +55,15 @@
     pub name: String,
     /// The certificate that verifies the partner's signatures and encrypts messages to it.
     pub certificate: Certificate,
-    /// Where messages to the partner are posted; empty if it only sends.
+    /// The URL that messages to the partner are sent to; empty if the partner only sends messages.
     pub url: String,
-    /// The destination that the partner serves; `None` if it only sends.
+    /// The destination that the partner serves; `None` if the partner only sends messages.
     pub destination: Option<u64>,
     /// The partner's nominal capacity in messages per second.
     pub rate: f64,
     /// Whether messages to the partner are encrypted.
     pub encrypt: bool,
-    /// How the partner returns its receipts.
+    /// How the partner returns MDNs.
     pub mdn_delivery: MdnDelivery,
     /// The class of messages from the partner.
     pub class: Option<String>,
@@ -71,17 +71,17 @@
     pub tenant: Option<String>,
     /// The destination to which messages from the partner are forwarded.
     pub forward_to: Option<u64>,
-    /// Where asynchronous receipts for the partner's messages are posted.
+    /// The URL that asynchronous MDNs for the partner's messages are sent to.
     pub mdn_url: Option<String>,
 }
 
 impl Partner {
-    /// Whether the partner returns its receipts (MDNs) in separate HTTP requests.
+    /// Returns whether the partner returns MDNs in separate HTTP requests.
     pub fn is_mdn_asynchronous(&self) -> bool {
         self.mdn_delivery == MdnDelivery::Asynchronous
     }
 
-    /// The partner as an endpoint; `None` if no messages go to it.
+    /// Returns the partner as an endpoint; `None` if the partner serves no destination.
     fn endpoint(&self) -> Option<Endpoint> {
         let uid = format!("{ENDPOINT_PREFIX}{}", self.name);
         Some(Endpoint {
@@ -97,8 +97,8 @@
 }
 
 impl As2Settings {
-    /// Loads the settings file and the keys and certificates that it names. Returns `None` if there is no readable file
-    /// or the front is not enabled.
+    /// Loads the settings file and the keys and certificates that it names. Returns `None` if the file cannot be read or AS2
+    /// is not enabled.
     ///
     /// # Errors
     ///
@@ -123,24 +123,24 @@
         }))
     }
 
-    /// The partner with this AS2 name.
+    /// Returns the partner with this AS2 name.
     pub fn partner(&self, name: &str) -> Option<&Partner> {
         self.partners.iter().find(|p| p.name == name)
     }
 
-    /// The partners to which messages go, as endpoints.
+    /// Returns the partners that serve a destination, as endpoints.
     pub fn endpoints(&self) -> Vec<Endpoint> {
         self.partners.iter().filter_map(Partner::endpoint).collect()
     }
 
-    /// The partner for which an endpoint's address stands; `None` for an address of the platform.
+    /// Returns the partner at an endpoint's address; `None` if the address is not that of an AS2 partner.
     pub fn partner_at(&self, address: &str) -> Option<&Partner> {
         let name = address.strip_prefix(ENDPOINT_PREFIX)?;
         self.partner(name)
     }
 }
 
-/// The directory to which file names in the settings are relative.
+/// Returns the directory that file names in the settings are relative to.
 fn key_dir(settings: &Path) -> &Path {
     settings.parent().unwrap_or(Path::new("."))
 }
--- a/src/as2/smime.rs
+++ b/src/as2/smime.rs
@@ -1,4 +1,4 @@
-//! S/MIME for AS2 (RFC 8551): signs, encrypts, decrypts and verifies with RSA, SHA-256 and AES-CBC.
+//! S/MIME (RFC 8551) for AS2: signs, verifies, encrypts and decrypts with RSA, SHA-256 and AES-CBC.
 pub use super::mime::{decoded_body, parse_entity, Entity};
 
 use super::mime::{body_parts, media_type};
@@ -30,25 +30,25 @@
 use x509_cert::spki::AlgorithmIdentifierOwned;
 use x509_cert::Certificate;
 
-/// Base64 characters in a line (RFC 2045, section 6.8).
+/// Maximum number of base64 characters in a line (RFC 2045, section 6.8).
 const BASE64_LINE_LENGTH: usize = 76;
 
 /// Why a partner's entity is rejected. The text is the disposition modifier (RFC 4130, section 7.5.3).
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 #[error("{}", self.disposition_modifier())]
 pub enum SmimeError {
-    /// It cannot be decrypted with our key: the partner may hold an old certificate of ours.
+    /// The entity cannot be decrypted with the local key: the partner may have encrypted it for an outdated certificate.
     DecryptionFailed,
-    /// Its signature is not of the partner's certificate that we hold: the partner may have a new one.
+    /// The signature does not match the partner's certificate in the settings: the partner may use a new one.
     AuthenticationFailed,
-    /// What was signed is not what arrived.
+    /// The content does not match the signed digest, or the multipart structure is broken.
     IntegrityCheckFailed,
-    /// It is not signed.
+    /// The entity is not signed.
     InsufficientMessageSecurity,
 }
 
 impl SmimeError {
-    /// The disposition modifier for a receipt (RFC 4130, section 7.5.3).
+    /// Returns the disposition modifier for an MDN (RFC 4130, section 7.5.3).
     pub fn disposition_modifier(self) -> &'static str {
         match self {
             SmimeError::DecryptionFailed => "decryption-failed",
@@ -59,24 +59,24 @@
     }
 }
 
-/// A private key, and the certificate of it that partners hold.
+/// The local private key, and its certificate, which partners use to verify signatures and to encrypt messages.
 pub struct Identity {
     key: RsaPrivateKey,
     certificate: Certificate,
 }
 
 impl Identity {
-    /// An identity of a key in PKCS #8 PEM and its certificate.
+    /// Creates an identity from a private key in PKCS #8 PEM and its certificate.
     ///
     /// # Errors
     ///
-    /// The text is not an RSA key in PKCS #8 PEM.
+    /// `key_pem` is not an RSA key in PKCS #8 PEM.
     pub fn new(key_pem: &str, certificate: Certificate) -> Result<Identity, rsa::pkcs8::Error> {
         Ok(Identity { key: RsaPrivateKey::from_pkcs8_pem(key_pem)?, certificate })
     }
 }
 
-/// The message integrity check (MIC) of a signed part: its SHA-256 digest in base64 (RFC 4130, section 7.3.1).
+/// Returns the message integrity check (MIC) of a signed part: its SHA-256 digest in base64 (RFC 4130, section 7.3.1).
 pub fn message_integrity_check(part: &[u8]) -> String {
     STANDARD.encode(Sha256::digest(part))
 }
@@ -85,11 +85,11 @@
 ///
 /// # Errors
 ///
-/// The part cannot be signed with our key.
+/// The part cannot be signed with the key.
 pub fn sign(part: &[u8], signer: &Identity) -> Result<Entity, As2Error> {
     let signature = detached_signature(part, signer)?;
     let signature = base64_lines(&signature);
-    // No part contains its own digest, so the boundary occurs in none.
+    // A boundary must not occur in the part. It is made of the part's digest, which the part cannot contain.
     let boundary = format!("=_{}", message_integrity_check(part).replace(['/', '+', '='], "_"));
     let mut body = format!("--{boundary}\r\n").into_bytes();
     body.extend_from_slice(part);
@@ -123,7 +123,7 @@
 ///
 /// # Errors
 ///
-/// The entity is not signed, cannot be decrypted, or its signature is not the partner's.
+/// The entity cannot be decrypted, is not signed, or its signature is not the partner's.
 pub fn decrypt_and_verify(
     entity: Entity, recipient: &Identity, partner: &Certificate,
 ) -> Result<Vec<u8>, SmimeError> {
@@ -163,7 +163,7 @@
     RsaPublicKey::from_public_key_der(&key_info).ok()
 }
 
-/// CMS `SignedData` without the content (RFC 5652, section 5).
+/// Returns a CMS `SignedData` without the content (RFC 5652, section 5).
 fn detached_signature(part: &[u8], signer: &Identity) -> Result<Vec<u8>, cms::builder::Error> {
     let digest = Sha256::digest(part);
     let algorithm = AlgorithmIdentifierOwned { oid: ID_SHA_256, parameters: None };
@@ -179,7 +179,7 @@
     Ok(signed.to_der()?)
 }
 
-/// CMS `EnvelopedData` (RFC 5652, section 6).
+/// Returns a CMS `EnvelopedData` (RFC 5652, section 6).
 fn enveloped_data(
     plain: &[u8], key: RsaPublicKey, recipient: &Certificate,
 ) -> Result<Vec<u8>, cms::builder::Error> {
@@ -214,11 +214,11 @@
     }
 }
 
-/// The content-encryption key, encrypted for this recipient.
+/// Returns the content-encryption key, encrypted for this recipient.
 fn encrypted_key<'a>(data: &'a EnvelopedData, recipient: &Identity) -> Option<&'a [u8]> {
-    let our_id = RecipientIdentifier::IssuerAndSerialNumber(issuer_and_serial(&recipient.certificate));
+    let recipient_id = RecipientIdentifier::IssuerAndSerialNumber(issuer_and_serial(&recipient.certificate));
     data.recip_infos.0.iter().find_map(|info| match info {
-        RecipientInfo::Ktri(info) if info.rid == our_id => Some(info.enc_key.as_bytes()),
+        RecipientInfo::Ktri(info) if info.rid == recipient_id => Some(info.enc_key.as_bytes()),
         _ => None,
     })
 }
@@ -239,13 +239,13 @@
     if signer.digest_alg.oid != ID_SHA_256 {
         return Err(FAILED);
     }
-    // Guards against a forged key: only the certificate that we hold counts, never one that comes with the message.
+    // Uses only the partner's certificate from the settings. A certificate in the message could be forged.
     let key = VerifyingKey::<Sha256>::new(public_key(partner).ok_or(FAILED)?);
     let value = Signature::try_from(signer.signature.as_bytes()).map_err(|_| FAILED)?;
     let Some(attributes) = &signer.signed_attrs else {
         return key.verify(part, &value).map_err(|_| FAILED);
     };
-    // With signed attributes, the signature covers them, and they hold the part's digest (RFC 5652, section 5.4).
+    // With signed attributes, the signature covers the attributes, which contain the part's digest (RFC 5652, section 5.4).
     let signed = attributes.to_der().map_err(|_| FAILED)?;
     key.verify(&signed, &value).map_err(|_| FAILED)?;
     let digest = message_digest(attributes).ok_or(FAILED)?;
@@ -255,7 +255,7 @@
     Ok(())
 }
 
-/// The message-digest attribute (RFC 5652, section 11.2).
+/// Returns the message-digest attribute (RFC 5652, section 11.2).
 fn message_digest(attributes: &SignedAttributes) -> Option<OctetString> {
     let attribute = attributes.iter().find(|a| a.oid == ID_MESSAGE_DIGEST)?;
     attribute.values.iter().next()?.decode_as().ok()
--- a/src/client/as2/mdn.rs
+++ b/src/client/as2/mdn.rs
@@ -1,5 +1,5 @@
-//! Our receipts (MDNs) for partners' messages: in the response to the message, or in an HTTP request of their own (RFC
-//! 4130, section 7.2).
+//! Message disposition notifications (MDNs) for partners' messages: sent in the response to the message or in a separate
+//! HTTP request (RFC 4130, section 7.2).
 use super::As2Front;
 use crate::as2::mdn::{self, Mdn};
 use crate::as2::smime::{Entity, SmimeError};
@@ -22,34 +22,36 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::{sleep, timeout};
 
-/// How often a receipt is sent to a partner that does not accept it: for a minute, and longer if the partner is slow.
+/// Maximum number of attempts to send an MDN: a minute of retries, and longer if the partner responds slowly.
 const MAX_ATTEMPTS: u32 = 60;
-/// Pause between two attempts.
+/// Pause between two attempts to send an MDN.
 const ATTEMPT_PAUSE: Duration = Duration::from_secs(1);
-/// How long an attempt may take.
+/// Timeout of an attempt to send an MDN.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(2);
 
 type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// Why no asynchronous receipt is sent for a message. The partner has to be informed by other means.
+/// Why no asynchronous MDN is sent for a message. The operator must inform the partner by other means.
 #[derive(Debug, thiserror::Error)]
 enum MdnError {
-    /// The journal's record of the message is damaged: keep the journal, and report it.
-    #[error("the stored origin cannot be parsed")]
+    /// The journal's record of the message is damaged: keep the journal and report the fault.
+    #[error(
+        "the journal's record of the message has an invalid origin; keep the journal and report the fault"
+    )]
     InvalidOrigin,
-    /// The partner was removed from the AS2 settings since the message came.
-    #[error("its sender is no longer a partner")]
+    /// The partner was removed from the AS2 settings after the message was received.
+    #[error("the sender is no longer a partner in the AS2 settings")]
     UnknownPartner,
-    /// `receipts_to` was removed from the partner's settings since the message came.
-    #[error("its sender no longer has a receipt URL")]
+    /// `receipts_to` was removed from the partner's settings after the message was received.
+    #[error("the sender no longer has a receipts_to URL in the AS2 settings")]
     NoMdnUrl,
-    /// The receipt cannot be signed: check our key.
+    /// The MDN cannot be signed: check the local private key.
     #[error(transparent)]
     Compose(#[from] As2Error),
 }
 
-/// What is stored with a message whose receipt is sent once the message is complete. It is in the journal's format, so
-/// its keys stay.
+/// The data that is stored with a message whose MDN is sent once the message is complete. It is stored in the journal, so
+/// the names of its fields must not change.
 #[derive(Serialize, Deserialize)]
 pub(super) struct Origin {
     /// The sender's AS2 name.
@@ -58,21 +60,21 @@
     pub(super) message: String,
     /// The message integrity check.
     pub(super) mic: String,
-    /// Whether a signed receipt was requested.
+    /// Whether a signed MDN was requested.
     pub(super) signed: bool,
 }
 
-/// The receipt that a message requests.
+/// The MDN that a message requests.
 pub(super) struct MdnRequest<'a> {
     /// The message's sender.
     pub(super) partner: &'a Partner,
     /// The message's `Message-ID`.
     pub(super) message_id: &'a str,
-    /// Whether a receipt is requested at all.
+    /// Whether an MDN is requested at all.
     pub(super) requested: bool,
-    /// Whether the receipt is signed.
+    /// Whether the MDN must be signed.
     pub(super) signed: bool,
-    /// In the response or in a request of its own.
+    /// Whether the MDN is sent in the response or in a separate request.
     pub(super) delivery: MdnDelivery,
 }
 
@@ -82,18 +84,18 @@
     }
 }
 
-/// What became of a message.
+/// The outcome of a message that its MDN reports.
 #[derive(Clone, Copy)]
 pub(super) enum MdnOutcome {
     Processed,
-    /// Its signature or encryption is not valid.
+    /// The signature or the encryption of the message is not valid.
     Rejected(SmimeError),
-    /// It cannot be delivered.
+    /// The message could not be delivered.
     Failed,
 }
 
 impl MdnOutcome {
-    /// The disposition type with its modifier (RFC 4130, section 7.4.3).
+    /// Returns the disposition type with its modifier (RFC 4130, section 7.4.3).
     fn disposition(self) -> String {
         match self {
             MdnOutcome::Processed => "processed".to_string(),
@@ -102,7 +104,7 @@
         }
     }
 
-    /// The response's status if no receipt is requested.
+    /// Returns the status of the response to a message that requests no MDN.
     fn status(self) -> StatusCode {
         match self {
             MdnOutcome::Processed => StatusCode::OK,
@@ -112,8 +114,7 @@
 }
 
 impl As2Front {
-    /// The response to a message, with the receipt if it is synchronous. An asynchronous one is sent by a task of its
-    /// own.
+    /// Returns the response to a message. The response contains a synchronous MDN; a separate task sends an asynchronous one.
     pub(super) fn mdn_response(
         &self, request: &MdnRequest, outcome: MdnOutcome, mic: Option<String>,
     ) -> Response {
@@ -124,7 +125,7 @@
         let entity = match compose(&self.settings, message_id, outcome, mic, request.signed) {
             Ok(entity) => entity,
             Err(error) => {
-                log::error!("AS2: no receipt for {message_id}: {error}");
+                log::error!("AS2: cannot compose the MDN for {message_id}: {error}");
                 return StatusCode::INTERNAL_SERVER_ERROR.into_response();
             }
         };
@@ -139,18 +140,18 @@
     }
 }
 
-/// Sends the asynchronous receipts of messages that are complete, for as long as the process runs. The exchange is
-/// notified once a receipt needs no further attempt.
+/// Sends the asynchronous MDNs of complete messages until the channel closes. Notifies the exchange once an MDN needs no
+/// further attempt.
 pub async fn send_mdns(
     settings: Arc<As2Settings>, exchange: Exchange, mut callbacks: UnboundedReceiver<Callback>,
 ) {
     let client = http_client();
     while let Some(callback) = callbacks.recv().await {
         let (settings, exchange, client) = (settings.clone(), exchange.clone(), client.clone());
-        // A partner that cannot be reached must not delay the others' receipts.
+        // A separate task for each MDN, so that an unreachable partner does not delay the MDNs for other partners.
         tokio::spawn(async move {
             if let Err(error) = send_mdn(&client, &settings, &callback).await {
-                log::error!("AS2: no receipt for {}: {error}", callback.name);
+                log::error!("AS2: cannot send the MDN for {}: {error}", callback.name);
             }
             exchange.callback_acknowledged(callback.id);
         });
@@ -186,7 +187,7 @@
     Client::builder(TokioExecutor::new()).build_http()
 }
 
-/// Sends a receipt until the partner accepts it, or [`MAX_ATTEMPTS`] have failed.
+/// Sends an MDN until the partner accepts it or [`MAX_ATTEMPTS`] attempts have failed.
 async fn deliver(client: &HttpClient, settings: &As2Settings, url: &str, message_id: &str, entity: Entity) {
     let body: Bytes = entity.body.into();
     for _ in 0..MAX_ATTEMPTS {
@@ -196,16 +197,18 @@
             .header("mime-version", "1.0")
             .header(CONTENT_TYPE, &entity.content_type)
             .body(Full::new(body.clone()));
-        let Ok(request) = request else { return log::error!("AS2: receipts cannot be sent to {url}") };
+        let Ok(request) = request else {
+            return log::error!("AS2: cannot send the MDN for {message_id}: invalid URL or header for {url}");
+        };
         match timeout(ATTEMPT_TIMEOUT, client.request(request)).await {
             Ok(Ok(response)) if response.status().is_success() => return,
             Ok(Ok(response)) => {
-                log::warn!("AS2: receipt for {message_id} answered with {}", response.status());
+                log::warn!("AS2: MDN for {message_id} rejected by {url}: {}", response.status());
             }
-            Ok(Err(error)) => log::warn!("AS2: receipt for {message_id}: {error}"),
-            Err(_) => log::warn!("AS2: receipt for {message_id} timed out"),
+            Ok(Err(error)) => log::warn!("AS2: cannot send the MDN for {message_id} to {url}: {error}"),
+            Err(_) => log::warn!("AS2: MDN for {message_id} to {url} timed out"),
         }
         sleep(ATTEMPT_PAUSE).await;
     }
-    log::error!("AS2: receipt for {message_id} given up");
+    log::error!("AS2: MDN for {message_id} not sent: {url} accepted none of {MAX_ATTEMPTS} attempts");
 }
--- a/src/client/as2/mod.rs
+++ b/src/client/as2/mod.rs
@@ -1,5 +1,5 @@
-//! The AS2 front (RFC 4130): receives partners' messages, and their asynchronous receipts for messages that were sent
-//! to them. `mdn` composes and delivers our own receipts.
+//! The AS2 front (RFC 4130): receives partners' messages, and the asynchronous MDNs for messages that were sent to
+//! partners. `mdn` composes and sends the MDNs for received messages.
 mod mdn;
 
 pub use mdn::send_mdns;
@@ -24,30 +24,32 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Partners may be far away. A message of 64 KiB is signed, encrypted and in base64.
+/// Limits on partners' requests. The timeouts allow for distant partners; the size limit allows for a message of 64 KiB that
+/// is signed, encrypted and encoded in base64.
 pub const LIMITS: Limits = Limits {
     head_timeout: Duration::from_secs(10),
     body_timeout: Duration::from_secs(30),
     body_limit: 192 * 1024,
 };
 
-/// The most bytes of a message, as for the platform's messages.
-const PAYLOAD_LIMIT: usize = 64 * 1024;
+/// Maximum size of a message's payload, in bytes; the same as for the platform's messages.
+const MAX_PAYLOAD_BYTES: usize = 64 * 1024;
 
-/// Prefix of the name under which a partner's message is accepted; it keeps them apart from the platform's names.
+/// Prefix of the name under which a partner's message is accepted. Separates these names from those of the platform's
+/// messages.
 const MESSAGE_NAME_PREFIX: &str = "as2:";
 
-/// What the AS2 front works with.
+/// The AS2 front: its settings, and the exchange that receives its messages.
 pub struct As2Front {
-    /// Names of classes and tenants, and the classes' rules.
+    /// The names of classes and tenants, and the rules of each class.
     pub deployment: Arc<DeploymentSettings>,
-    /// Our identity and the partners.
+    /// The local AS2 identity and the trading partners.
     pub settings: Arc<As2Settings>,
-    /// Where accepted messages go.
+    /// Receives each valid message.
     pub exchange: Exchange,
 }
 
-/// The routes of the AS2 front.
+/// Returns the routes of the AS2 front.
 pub fn routes(front: As2Front) -> Router {
     Router::new()
         .route("/as2", post(receive_message))
@@ -60,10 +62,10 @@
 ) -> Result<Response, ClientError> {
     let message_id = header(&headers, "message-id");
     if message_id.is_empty() || header(&headers, "as2-to") != front.settings.name {
-        return Err(ClientError::NotAddressedToUs);
+        return Err(ClientError::InvalidMessageIdOrRecipient);
     }
     let from = header(&headers, "as2-from");
-    // An unknown sender gets no receipt: it could not verify one, and nothing was accepted.
+    // An unknown sender gets no MDN: it could not verify one, and the message was not accepted.
     let Some(partner) = front.settings.partner(from) else {
         log::warn!("AS2: message {message_id} rejected: {from:?} is not a partner");
         return Err(ClientError::UnknownPartner);
@@ -86,7 +88,7 @@
     })
 }
 
-/// An asynchronous receipt for a message that was sent earlier. The attempt that sent the message verifies it.
+/// Receives an asynchronous MDN for a message that was sent earlier. The attempt that sent the message verifies the MDN.
 async fn receive_mdn(
     State(front): State<Arc<As2Front>>, headers: HeaderMap, body: Bytes,
 ) -> Result<StatusCode, ClientError> {
@@ -97,18 +99,19 @@
     Ok(StatusCode::OK)
 }
 
-/// A header's value without quotes; empty if it is absent or not text.
+/// Returns a header's value without quotes; an empty string if the header is absent or contains bytes other than visible
+/// ASCII.
 fn header<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
     let value = headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or_default();
     value.trim().trim_matches('"')
 }
 
-/// Reads which receipt a message requests (RFC 4130, section 7.3).
+/// Reads from the headers which MDN a message requests (RFC 4130, section 7.3).
 fn mdn_request<'a>(
     headers: &HeaderMap, partner: &'a Partner, message_id: &'a str,
 ) -> Result<MdnRequest<'a>, ClientError> {
     let delivery = if headers.contains_key("receipt-delivery-option") {
-        // Guards against receipts to any URL that a message names.
+        // Without this check, a message could direct MDNs to any URL.
         if partner.mdn_url.as_deref() != Some(header(headers, "receipt-delivery-option")) {
             return Err(ClientError::UnknownMdnUrl);
         }
@@ -128,7 +131,7 @@
 impl As2Front {
     async fn submit(&self, context: RequestContext, request: &MdnRequest<'_>, mic: String) -> Response {
         match self.exchange.submit(context).await {
-            // An asynchronous receipt is sent when the message is complete: one receipt, and the final one.
+            // An asynchronous MDN is sent once the message is complete, so that the only MDN reports the final outcome.
             Answer::Accepted if request.is_asynchronous() => StatusCode::OK.into_response(),
             Answer::Accepted | Answer::Delivered => {
                 self.mdn_response(request, MdnOutcome::Processed, Some(mic))
@@ -140,24 +143,24 @@
         }
     }
 
-    /// The context of a partner's message. `None` if its body cannot be decoded or is too long, or if the settings have
-    /// no class, tenant or destination for the partner's messages.
+    /// Returns the request context of a partner's message. Returns `None` if the body cannot be decoded or is too long, or if
+    /// the settings have no class, tenant or destination for the partner's messages.
     fn request_context(
         &self, request: &MdnRequest, subject: &str, mic: &str, part: &[u8],
     ) -> Option<RequestContext> {
-        let body = smime::decoded_body(part).filter(|body| body.len() <= PAYLOAD_LIMIT)?;
+        let body = smime::decoded_body(part).filter(|body| body.len() <= MAX_PAYLOAD_BYTES)?;
         let partner = request.partner;
         let class = index_of(&self.deployment.classes, &partner.class)?;
         let rules = &self.deployment.module.classes[class];
         let name = format!("{MESSAGE_NAME_PREFIX}{}:{}", partner.name, request.message_id);
-        let in_order = rules.fifo_by_key && !subject.is_empty();
+        let is_ordered = rules.fifo_by_key && !subject.is_empty();
         Some(RequestContext {
             idempotency_key: name.clone(),
             name,
             origin: origin(request, mic),
             class,
             tenant: index_of(&self.deployment.tenants, &partner.tenant)?,
-            ordering_key: in_order.then(|| ordering_key(partner, subject)),
+            ordering_key: is_ordered.then(|| ordering_key(partner, subject)),
             dest: partner.forward_to?,
             deadline: clock::now() + rules.deadline,
             body: body.into(),
@@ -166,7 +169,7 @@
     }
 }
 
-/// What is stored with a message to compose its receipt once it is complete; empty if no receipt is due then.
+/// Returns the data that is stored with a message to compose its asynchronous MDN; empty if the message requests none.
 fn origin(request: &MdnRequest, mic: &str) -> String {
     if !request.requested || !request.is_asynchronous() {
         return String::new();
@@ -185,7 +188,8 @@
     names.iter().position(|n| n == name)
 }
 
-/// A partner's messages with the same subject are delivered in order, where their class is.
+/// Returns the ordering key of a message. In a class with ordered delivery, a partner's messages with the same subject are
+/// delivered in order.
 fn ordering_key(partner: &Partner, subject: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     (&partner.name, subject).hash(&mut hasher);
--- a/src/client/connection.rs
+++ b/src/client/connection.rs
@@ -1,5 +1,5 @@
-//! Serves one client connection: reads complete requests within their limits, has them answered, and closes without
-//! losing a response.
+//! Serves one client connection: reads each request within its limits, passes it to the routes, and closes the connection
+//! without losing a response.
 use super::limiter::{ConnectionLimiter, ConnectionPermit, ConnectionState, Phase};
 use super::socket::{ClientSocket, DISCARD_TIMEOUT};
 use super::{reached, FINAL_RESPONSE_TIMEOUT};
@@ -23,31 +23,31 @@
 use tokio::time::timeout;
 use tower::ServiceExt;
 
-/// What a client connection may use.
+/// Limits on the requests of a client connection.
 #[derive(Clone, Copy)]
 pub struct Limits {
-    /// How long a request head may take, the first and each further one; so long a connection may also stand idle.
+    /// Time within which each request head must be complete. It also limits how long a connection may be idle.
     pub head_timeout: Duration,
-    /// How long a request's body may take, from the end of its head.
+    /// Time within which a request's body must be complete, from the end of the head.
     pub body_timeout: Duration,
-    /// The most bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_limit: usize,
 }
 
-/// The most bytes of a request head; clients send a dozen short lines.
-const HEAD_BYTES_LIMIT: usize = 16 * 1024;
-/// The most header lines of a request.
-const HEADER_LINES_LIMIT: usize = 64;
-/// Once the process ends: how long one waits for the rest of a request that is arriving. Shorter than
-/// `FINAL_RESPONSE_TIMEOUT`, so that the request still gets its response.
+/// Maximum size of a request head, in bytes. Clients send a dozen short lines.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Maximum number of header lines of a request.
+const MAX_HEADER_LINES: usize = 64;
+/// How long a connection waits for the rest of a partly received request once `ClientConnections::Closing` is set. Shorter
+/// than [`FINAL_RESPONSE_TIMEOUT`], so that the request still gets its response.
 const CLOSING_GRACE: Duration = Duration::from_millis(100);
 
 const _: () = assert!(
     CLOSING_GRACE.as_millis() + DISCARD_TIMEOUT.as_millis() < FINAL_RESPONSE_TIMEOUT.as_millis(),
-    "an arriving request has its response, and its connection is closed, before the process stops waiting"
+    "a partly received request must get its response, and its connection must close, within FINAL_RESPONSE_TIMEOUT"
 );
 
-/// Serves one client connection until it ends, is closed or is evicted.
+/// Serves one client connection until the client closes it, `connections` closes it, or the limiter evicts it.
 pub(super) async fn serve(
     io: impl AsyncRead + AsyncWrite + Unpin, routes: Router, limits: Limits, permit: ConnectionPermit,
     connections: watch::Receiver<ClientConnections>,
@@ -65,15 +65,15 @@
     let mut connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.head_timeout)
-        .max_buf_size(HEAD_BYTES_LIMIT)
-        .max_headers(HEADER_LINES_LIMIT)
+        .max_buf_size(MAX_HEAD_BYTES)
+        .max_headers(MAX_HEADER_LINES)
         .serve_connection(io, service);
     let mut may_close = pin!(may_close(connections, state.clone()));
     let mut shutting_down = false;
     loop {
         tokio::select! {
-            // Eviction first, or a request could begin between the eviction and the close. Then what has arrived
-            // already.
+            // Polls the eviction first: otherwise a request could begin between the eviction and the close. Polls the
+            // connection before `may_close`, so that bytes that have arrived already are read first.
             biased;
             () = state.evicted() => break,
             ended = &mut connection => {
@@ -88,24 +88,25 @@
             }
         }
     }
-    // Whatever ended it, every connection is closed here. This returns at once if hyper has closed it already.
+    // Closes the connection in all cases. Returns at once if hyper has closed it already.
     let mut socket = connection.into_parts().io.into_inner();
     if let Err(error) = socket.shutdown().await {
         log::debug!("client connection: {error}");
     }
 }
 
-/// Returns when connections are being closed and no request is arriving on this one, or one that is arriving is given up.
+/// Waits until connections are being closed and this one is not in the middle of receiving a request, or the time for
+/// receiving that request is over.
 async fn may_close(mut connections: watch::Receiver<ClientConnections>, state: Arc<ConnectionState>) {
     reached(&mut connections, ClientConnections::Draining).await;
     tokio::select! {
-        () = state.head_settled() => {}
-        () = given_up(connections) => {}
+        () = state.no_head_pending() => {}
+        () = closing_grace_over(connections) => {}
     }
 }
 
-/// Returns when the process ends so soon that a request that is still arriving is given up.
-async fn given_up(mut connections: watch::Receiver<ClientConnections>) {
+/// Waits until the process is about to exit and no longer waits for the rest of a partly received request.
+async fn closing_grace_over(mut connections: watch::Receiver<ClientConnections>) {
     reached(&mut connections, ClientConnections::Closing).await;
     tokio::time::sleep(CLOSING_GRACE).await;
 }
@@ -124,7 +125,7 @@
     async fn handle(self, request: Request<Incoming>) -> Result<Response, Infallible> {
         self.state.enter(Phase::InRequest);
         let chunked = request.headers().contains_key(TRANSFER_ENCODING);
-        let complete = if chunked && !self.state.head().has_transfer_encoding_alone() {
+        let complete = if chunked && !self.state.head().has_no_content_length() {
             Err(StatusCode::BAD_REQUEST)
         } else {
             read_complete(request, self.limits, self.connections).await
@@ -136,9 +137,9 @@
             }
             Err(status) => (status.into_response(), None),
         };
-        // The end of the request is not certain, or its unread rest would be taken for the next request (RFC 9112,
-        // section 6.3), or the connection's place is needed.
-        if chunked || body_size.is_none() || self.limiter.is_crowded() {
+        // Closes the connection after the response if the end of the request is not certain, if an unread part of the body
+        // would be parsed as the next request (RFC 9112, section 6.3), or if new connections need its permit.
+        if chunked || body_size.is_none() || self.limiter.is_nearly_full() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         let more_arrived = self.state.head().next_request(body_size.unwrap_or_default());
@@ -147,9 +148,9 @@
     }
 }
 
-/// Reads a request's body; returns the complete request and the body's size. A body that is too long is not stored, one
-/// that does not arrive in time is given up, and while the process ends it is given up soon: the request was not
-/// accepted.
+/// Reads a request's body, and returns the complete request and the body's size. Fails with the status of the response if
+/// the body is too long (it is not stored), does not arrive in time, or is incomplete when the process is about to exit.
+/// Such a request is not accepted.
 async fn read_complete(
     request: Request<Incoming>, limits: Limits, connections: watch::Receiver<ClientConnections>,
 ) -> Result<(Request<Body>, usize), StatusCode> {
@@ -161,7 +162,7 @@
     let body = tokio::select! {
         biased;
         body = timeout(limits.body_timeout, body) => body.map_err(|_| StatusCode::REQUEST_TIMEOUT)?,
-        () = given_up(connections) => return Err(StatusCode::SERVICE_UNAVAILABLE),
+        () = closing_grace_over(connections) => return Err(StatusCode::SERVICE_UNAVAILABLE),
     };
     let body = body.map_err(|error| match error.is::<LengthLimitError>() {
         true => StatusCode::PAYLOAD_TOO_LARGE,
--- a/src/client/error.rs
+++ b/src/client/error.rs
@@ -1,63 +1,63 @@
-//! Errors in clients' requests, and the responses that they get.
+//! Errors in clients' requests, and the responses to them.
 use axum::http::StatusCode;
 use axum::response::{IntoResponse, Response};
 
-/// Why a client's request cannot be accepted. The text is the response's body; the client has to correct the request.
-/// None of these requests has taken effect.
+/// Why a client's request is invalid. The error's text is the body of the response. The client must correct the request,
+/// which has had no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ClientError {
-    /// A header's value has bytes that are not visible ASCII.
-    #[error("a header is no plain text")]
+    /// A header value contains bytes other than visible ASCII.
+    #[error("a header value contains bytes other than visible ASCII")]
     HeaderNotText,
-    /// A header's value is empty or longer than 256 bytes.
-    #[error("a header is empty or too long")]
+    /// A header value is empty or longer than 256 bytes.
+    #[error("a header value is empty or longer than 256 bytes")]
     HeaderLength,
-    /// There is no `X-Request-Id`.
-    #[error("X-Request-Id is missing")]
+    /// The request has no `X-Request-Id`.
+    #[error("header X-Request-Id is missing")]
     MissingRequestId,
-    /// There is no `X-Class`.
-    #[error("X-Class is missing")]
+    /// The request has no `X-Class`.
+    #[error("header X-Class is missing")]
     MissingClass,
-    /// `X-Class` differs from the path.
-    #[error("X-Class is not the class of the path")]
+    /// `X-Class` differs from the class in the path.
+    #[error("header X-Class differs from the class in the path")]
     ClassMismatch,
     /// The class is not in the settings.
-    #[error("unknown class")]
+    #[error("header X-Class names a class that is not in the settings")]
     UnknownClass,
-    /// There is no `X-Tenant` in a deployment with tenants.
-    #[error("X-Tenant is missing")]
+    /// The deployment has tenants, and the request has no `X-Tenant`.
+    #[error("header X-Tenant is missing")]
     MissingTenant,
     /// The tenant is not in the settings.
-    #[error("unknown tenant")]
+    #[error("header X-Tenant names a tenant that is not in the settings")]
     UnknownTenant,
-    /// There is no `X-Deadline`, or it is not a number of milliseconds (`480m`) or microseconds (`480000u`).
-    #[error("X-Deadline is missing or malformed")]
+    /// The request has no `X-Deadline`, or its value is not a number of milliseconds (`480m`) or microseconds (`480000u`).
+    #[error("header X-Deadline is missing or not a number of milliseconds (480m) or microseconds (480000u)")]
     InvalidDeadline,
-    /// No time is left.
-    #[error("the deadline has passed")]
+    /// `X-Deadline` is zero.
+    #[error("header X-Deadline leaves no time: the deadline has passed")]
     DeadlinePassed,
-    /// `X-Envelope` has no `dest=NUMBER`.
-    #[error("X-Envelope names no dest")]
+    /// The request has no `X-Envelope`, or its value contains no `dest=NUMBER`.
+    #[error("header X-Envelope is missing or contains no dest=NUMBER")]
     NoDestination,
-    /// The class requires an `Idempotency-Key`.
-    #[error("Idempotency-Key is missing")]
+    /// The class requires an `Idempotency-Key`, and the request has none.
+    #[error("header Idempotency-Key is missing; the class requires it")]
     MissingIdempotencyKey,
-    /// An AS2 message has no `Message-ID`, or its `AS2-To` is not our name.
-    #[error("Message-ID is missing or AS2-To is not us")]
-    NotAddressedToUs,
+    /// An AS2 message has no `Message-ID`, or its `AS2-To` is not the local AS2 name.
+    #[error("header Message-ID is missing, or AS2-To is not the AS2 name of this server")]
+    InvalidMessageIdOrRecipient,
     /// `AS2-From` is not a partner in the AS2 settings.
-    #[error("no such partner")]
+    #[error("header AS2-From names no known trading partner")]
     UnknownPartner,
-    /// `Receipt-Delivery-Option` is not the URL in the AS2 settings.
-    #[error("receipts go to no such place")]
+    /// `Receipt-Delivery-Option` is not the MDN URL that the AS2 settings have for the partner.
+    #[error("header Receipt-Delivery-Option is not the MDN URL agreed with the partner")]
     UnknownMdnUrl,
-    /// The body has no message disposition notification.
-    #[error("not a receipt")]
+    /// The body contains no message disposition notification (MDN).
+    #[error("the body contains no message disposition notification (MDN)")]
     InvalidMdn,
 }
 
 impl ClientError {
-    /// The status of the response.
+    /// Returns the status of the response.
     pub fn status(self) -> StatusCode {
         match self {
             ClientError::UnknownClass => StatusCode::NOT_FOUND,
@@ -73,7 +73,7 @@
             | ClientError::InvalidDeadline
             | ClientError::NoDestination
             | ClientError::MissingIdempotencyKey
-            | ClientError::NotAddressedToUs
+            | ClientError::InvalidMessageIdOrRecipient
             | ClientError::UnknownMdnUrl
             | ClientError::InvalidMdn => StatusCode::BAD_REQUEST,
         }
--- a/src/client/head.rs
+++ b/src/client/head.rs
@@ -1,25 +1,26 @@
-//! Scans request heads in parallel with hyper, which removes a `Content-Length` beside a `Transfer-Encoding` before a
-//! service can see it. Guards against request smuggling (RFC 9112, section 11.2).
+//! Scans the bytes of request heads as a guard against request smuggling (RFC 9112, section 11.2). hyper cannot report
+//! a `Content-Length` next to a `Transfer-Encoding`: it removes the header before a service sees the request.
 
-/// Bytes of a header line that are stored: enough for the one name that is compared.
+/// Number of bytes of a header line that are stored: enough to compare it with `content-length:`.
 const LINE_PREFIX: usize = 24;
 
-/// What has arrived of the present request head.
+/// Scans the head of the current request, byte by byte as it arrives.
 #[derive(Default)]
 pub(super) struct HeadScanner {
+    /// The start of the current line, in lower case.
     line: Vec<u8>,
-    /// A line that is not empty has ended.
+    /// A non-empty line has been read to its end.
     started: bool,
     has_content_length: bool,
     complete: bool,
-    /// Bytes that arrived after the head: its body, and further requests.
+    /// Number of bytes that arrived after the head: the body and further requests.
     bytes_after: usize,
-    /// The end of an earlier request is not certain, so neither is the start of this head.
+    /// The end of an earlier request is not certain, so the start of this head is not certain either.
     unreliable: bool,
 }
 
 impl HeadScanner {
-    /// Reads the next bytes of the connection.
+    /// Scans the next bytes of the connection.
     pub(super) fn scan(&mut self, bytes: &[u8]) {
         for (at, byte) in bytes.iter().enumerate() {
             if self.complete {
@@ -43,18 +44,18 @@
         self.line.clear();
     }
 
-    /// Whether part of a head has arrived, and not all of it.
+    /// Returns whether part of a head, but not all of it, has arrived.
     pub(super) fn is_partial(&self) -> bool {
         !self.complete && (self.started || !self.line.is_empty())
     }
 
-    /// Whether the head certainly has no `Content-Length`, so that its `Transfer-Encoding` alone delimits the body.
-    pub(super) fn has_transfer_encoding_alone(&self) -> bool {
+    /// Returns whether the head certainly has no `Content-Length`, so that `Transfer-Encoding` alone delimits the body.
+    pub(super) fn has_no_content_length(&self) -> bool {
         self.complete && !self.unreliable && !self.has_content_length
     }
 
-    /// Prepares for the next head after a request whose body had this size. Returns whether bytes of a further request
-    /// have arrived.
+    /// Prepares to scan the next head, after a request whose body had `body_size` bytes. Returns whether bytes of a further
+    /// request have arrived.
     pub(super) fn next_request(&mut self, body_size: usize) -> bool {
         let unreliable = self.unreliable || !self.complete || self.bytes_after != body_size;
         let more_arrived = self.bytes_after > body_size;
--- a/src/client/limiter.rs
+++ b/src/client/limiter.rs
@@ -1,5 +1,5 @@
-//! Limits the number of client connections. While the limit is reached and a new client waits, the connection that is
-//! least likely to carry a request is evicted.
+//! Limits the number of client connections. While a new client waits at the limit, the limiter evicts the connections that
+//! are least likely to carry a request.
 use super::head::HeadScanner;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,25 +7,25 @@
 use tokio::sync::Notify;
 use tokio::time::{timeout, Instant};
 
-/// How long a connection that has carried a request stands idle before it may be evicted.
+/// Idle time after which a connection that has carried a request may be evicted.
 const EVICT_IDLE_AFTER: Duration = Duration::from_secs(2);
-/// How long a connection may stay without a first byte before it may be evicted: a client with a request sends it at
-/// once.
+/// Time after which a connection on which no byte has arrived may be evicted. A client sends its request as soon as it is
+/// connected.
 const EVICT_SILENT_AFTER: Duration = Duration::from_millis(100);
-/// How long a connection may stop in the middle of a head before it may be evicted: a client waits 400 ms for its
-/// response and gives up after that.
+/// Time after which a connection on which only part of a head has arrived may be evicted. Longer than the 400 ms that a
+/// client waits for its response.
 const EVICT_PARTIAL_HEAD_AFTER: Duration = Duration::from_millis(500);
-/// Share of the limit beyond which responses close their connections.
-const CROWDED_SHARE: f64 = 0.75;
-/// How often a connection is evicted while the limit is reached.
+/// Share of the limit above which each response closes its connection.
+const NEARLY_FULL_SHARE: f64 = 0.75;
+/// How long a new connection waits for a released permit before another connection is evicted.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a client connection is doing. The order is that in which connections are evicted.
+/// The phase of a client connection. The variants are in the order of eviction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Phase {
-    /// Its permit is there, and the connection is still to be accepted.
+    /// A permit is held, but no connection is accepted yet.
     Reserved,
-    /// Between two requests.
+    /// Between two requests of the connection.
     Idle,
     /// No byte has arrived yet.
     Connected,
@@ -33,12 +33,12 @@
     ReadingHead,
     /// A request is being read or handled.
     InRequest,
-    /// Being closed: no further request is read from it.
+    /// Being closed: no further request is read from the connection.
     Closing,
 }
 
 impl Phase {
-    /// How long a connection has to be in this phase before it may be evicted; `None`: it may not.
+    /// Returns how long a connection must be in this phase before it may be evicted; `None` if it may never be.
     fn evictable_after(self) -> Option<Duration> {
         match self {
             Phase::Idle => Some(EVICT_IDLE_AFTER),
@@ -49,8 +49,9 @@
     }
 }
 
-/// One client connection, as seen by its own task and by the limiter.
+/// The state of one client connection, shared by its task and the limiter.
 pub(super) struct ConnectionState {
+    /// The phase, and since when the connection has been in it.
     phase: Mutex<(Phase, Instant)>,
     head: Mutex<HeadScanner>,
     evicted: Notify,
@@ -75,21 +76,21 @@
         lock(&self.head)
     }
 
-    /// Enters a phase. `Closing` is final.
+    /// Enters a phase. `Closing` is final: later calls have no effect.
     pub(super) fn enter(&self, next: Phase) {
         let mut phase = lock(&self.phase);
         if phase.0 == Phase::Closing {
             return;
         }
         if (phase.0, next) == (Phase::InRequest, Phase::Closing) {
-            // Either the client left, or this process closed a connection that it must not close.
-            log::debug!("client connection: ended under a request");
+            // Either the client disconnected, or this process wrongly closed the connection.
+            log::debug!("client connection: closed during a request");
         }
         *phase = (next, Instant::now());
         self.phase_changed.notify_one();
     }
 
-    /// Bytes have arrived from the client.
+    /// Records bytes that were read from the client.
     pub(super) fn bytes_read(&self, bytes: &[u8]) {
         let mut head = self.head();
         head.scan(bytes);
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Bytes of a response were sent: the connection has only been idle since now.
+    /// Records that bytes of a response were written: an idle connection's idle time restarts.
     pub(super) fn bytes_written(&self) {
         let mut phase = lock(&self.phase);
         if phase.0 == Phase::Idle {
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Evicts the connection: no further request is read from it.
+    /// Evicts the connection: its task reads no further request and closes it.
     pub(super) fn evict(&self) {
         self.enter(Phase::Closing);
         self.evicted.notify_one();
@@ -118,18 +119,18 @@
         self.evicted.notified().await;
     }
 
-    /// Waits until the connection is neither expecting a first request nor in the middle of a head.
-    pub(super) async fn head_settled(&self) {
+    /// Waits until the phase is neither `Connected` nor `ReadingHead`, so that no request head is expected or partly read.
+    pub(super) async fn no_head_pending(&self) {
         while matches!(self.phase(), Phase::Connected | Phase::ReadingHead) {
             self.phase_changed.notified().await;
         }
     }
 
-    /// The connection's rank among those that may be evicted, lowest first; `None`: it may not be evicted yet.
+    /// Returns the connection's rank in the order of eviction, lowest first; `None` if it may not be evicted now.
     fn eviction_rank(&self) -> Option<(Phase, Instant)> {
         let (phase, since) = *lock(&self.phase);
-        let allowed = phase.evictable_after()?;
-        (since.elapsed() >= allowed).then_some((phase, since))
+        let evictable_after = phase.evictable_after()?;
+        (since.elapsed() >= evictable_after).then_some((phase, since))
     }
 }
 
@@ -140,7 +141,7 @@
     by_id: BTreeMap<u64, Arc<ConnectionState>>,
 }
 
-/// All client connections of the process, over all listeners.
+/// Limits the client connections of the process, over all listeners.
 pub struct ConnectionLimiter {
     limit: usize,
     open: Mutex<OpenConnections>,
@@ -148,13 +149,13 @@
 }
 
 impl ConnectionLimiter {
-    /// A limiter for `limit` connections, at least one.
+    /// Creates a limiter for `limit` connections, at least one.
     pub fn new(limit: usize) -> Arc<ConnectionLimiter> {
         Arc::new(ConnectionLimiter { limit: limit.max(1), open: Mutex::default(), released: Notify::new() })
     }
 
-    /// Waits for a permit and evicts connections that carry no request meanwhile. Guards the file descriptors against
-    /// clients that connect and send nothing.
+    /// Waits for a permit; while it waits, evicts connections that carry no request. Without evictions, clients that connect
+    /// and send nothing could use up the permits.
     pub async fn acquire(self: &Arc<ConnectionLimiter>) -> ConnectionPermit {
         loop {
             if let Some(permit) = self.try_acquire() {
@@ -185,18 +186,19 @@
         ranked.min_by_key(|(rank, _)| *rank).map(|(_, state)| state.clone())
     }
 
-    /// Whether idle connections would soon block new ones. They may not be evicted for 2 s, but a response may say that
-    /// it is the last one on its connection (RFC 9112, section 9.6).
-    pub(super) fn is_crowded(&self) -> bool {
-        lock(&self.open).by_id.len() as f64 > self.limit as f64 * CROWDED_SHARE
+    /// Returns whether the number of connections is close to the limit, so that idle connections would soon block new ones:
+    /// an idle connection may be evicted only after 2 s. A response can close its connection earlier with `Connection: close`
+    /// (RFC 9112, section 9.6).
+    pub(super) fn is_nearly_full(&self) -> bool {
+        lock(&self.open).by_id.len() as f64 > self.limit as f64 * NEARLY_FULL_SHARE
     }
 
-    /// Whether client connections are open.
+    /// Returns whether any client connection is open.
     pub fn has_connections(&self) -> bool {
         lock(&self.open).by_id.values().any(|state| state.phase() != Phase::Reserved)
     }
 
-    /// Returns when no client connection is open.
+    /// Waits until no permit is held, so that no client connection is open.
     pub async fn all_closed(&self) {
         while !lock(&self.open).by_id.is_empty() {
             self.released.notified().await;
@@ -204,7 +206,7 @@
     }
 }
 
-/// The permit of one connection, released when it is dropped.
+/// The permit of one connection. Dropping it releases its place in the limit.
 pub struct ConnectionPermit {
     id: u64,
     state: Arc<ConnectionState>,
--- a/src/client/listener.rs
+++ b/src/client/listener.rs
@@ -1,4 +1,4 @@
-//! Listeners of the client fronts, also such that a successor can share during a takeover.
+//! Listeners of the client fronts, including those that predecessor and successor share during a takeover.
 use nix::libc::{sock_filter, sock_fprog, BPF_K, BPF_RET};
 use nix::sys::socket::setsockopt;
 use nix::sys::socket::sockopt::AttachReusePortCbpf;
@@ -8,12 +8,12 @@
 use std::os::fd::AsFd;
 use tokio::net::TcpListener;
 
-/// Connections that the kernel queues before they are accepted; the standard library's value.
+/// Length of the kernel's queue of connections that wait for `accept`; the standard library's value.
 const BACKLOG: i32 = 1024;
-/// Of two listeners that share an address, the place of the one that began to listen later.
-const LATER_LISTENER: u32 = 1;
+/// Index of the later of two listeners that share an address, in the kernel's `SO_REUSEPORT` group.
+const LATER_LISTENER_INDEX: u32 = 1;
 
-/// Listens at an address that no other process shares.
+/// Opens a listener at an address that this process uses alone.
 ///
 /// # Errors
 ///
@@ -26,7 +26,7 @@
 fn new_socket(address: SocketAddr) -> io::Result<Socket> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
-    // Connections of an earlier process may still wait for their end (TIME_WAIT).
+    // Allows the address to be bound while connections of an earlier process are in TIME_WAIT.
     socket.set_reuse_address(true)?;
     Ok(socket)
 }
@@ -37,16 +37,16 @@
     Ok(socket.into())
 }
 
-/// A listener at an address where one other process of this user may listen as well (`SO_REUSEPORT`): the predecessor or
-/// the successor of this one.
+/// A listener at an address that the predecessor or the successor, run by the same user, may also listen at
+/// (`SO_REUSEPORT`).
 pub struct SharedListener {
     listener: StdTcpListener,
     yields_to_later: bool,
 }
 
 impl SharedListener {
-    /// Begins to listen; needs no runtime. From then on the kernel gives this process the new connections. Another one that
-    /// listens there already gets them again once this one has closed its listener or has ended.
+    /// Starts to listen; needs no runtime. From this call on, the kernel gives new connections to this process. A process
+    /// that listened there before receives them again once this listener is closed or this process has exited.
     ///
     /// # Errors
     ///
@@ -58,34 +58,37 @@
         let yields_to_later = match prefer_later_listener(&listener) {
             Ok(()) => true,
             Err(error) => {
-                log::debug!("the kernel spreads new connections over both processes of a takeover: {error}");
+                log::debug!("cannot prefer the successor's listener; the kernel spreads connections over both: {error}");
                 false
             }
         };
         Ok(SharedListener { listener, yields_to_later })
     }
 
-    /// A handle to accept connections with. The listener stays open until all handles and this are dropped.
+    /// Returns a handle that accepts connections. The listener stays open until this object and all handles are dropped.
     ///
     /// # Errors
     ///
-    /// No descriptor is left.
+    /// The process has no file descriptor left.
     pub fn accept_handle(&self) -> io::Result<TcpListener> {
         TcpListener::from_std(self.listener.try_clone()?)
     }
 
-    /// Whether a process that listens there later gets all new connections while it lives. Where the kernel does not
-    /// support that, it spreads them, and this listener is to be closed once the successor listens.
+    /// Returns whether the kernel gives all new connections to a process that listens at this address later, until that
+    /// process exits. Where the kernel does not support that, it spreads connections over both listeners, so this listener
+    /// must be closed once the successor listens.
     pub fn yields_to_later(&self) -> bool {
         self.yields_to_later
     }
 }
 
-/// Has the kernel give new connections to the later one of two listeners at the same address. Its program names a place
-/// among them, and where that place is empty the kernel uses the one that there is (`SO_ATTACH_REUSEPORT_CBPF`, socket(7)).
-/// Takes effect only on a listener: a socket with a program cannot be bound to an address that is in use.
+/// Attaches a BPF program that makes the kernel give new connections to the later of two listeners at the same address
+/// (`SO_ATTACH_REUSEPORT_CBPF`, socket(7)). The program returns an index into the group of listeners; if the group has no
+/// listener at that index, the kernel uses the only one. The program must be attached after `listen`: a socket that has one
+/// cannot be bound to an address that is in use.
 fn prefer_later_listener(listener: &impl AsFd) -> io::Result<()> {
-    let mut return_place = sock_filter { code: (BPF_RET | BPF_K) as u16, jt: 0, jf: 0, k: LATER_LISTENER };
-    let program = sock_fprog { len: 1, filter: &mut return_place };
+    let mut return_index =
+        sock_filter { code: (BPF_RET | BPF_K) as u16, jt: 0, jf: 0, k: LATER_LISTENER_INDEX };
+    let program = sock_fprog { len: 1, filter: &mut return_index };
     Ok(setsockopt(listener, AttachReusePortCbpf, &program)?)
 }
--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -1,7 +1,12 @@
-//! Client connections: accepted, limited, served and closed, over all listeners.
+//! Client side: accepts, limits, serves and closes client connections on all listeners.
 //!
-//! `listener` opens the listeners, `limiter` bounds the number of connections, `connection` serves one, `socket` closes it
-//! without losing a response, `head` scans what hyper does not show. [`platform`] and [`as2`] are the protocols, `error` has the responses to invalid requests.
+//! - `listener`: opens the listening sockets
+//! - `limiter`: bounds the number of open connections
+//! - `connection`: serves one connection
+//! - `socket`: closes a connection without losing a response
+//! - `head`: scans request heads for a header that hyper removes
+//! - [`platform`] and [`as2`]: the two protocols
+//! - `error`: the error responses to invalid requests
 #![warn(missing_docs)]
 pub mod as2;
 mod connection;
@@ -33,33 +38,33 @@
 use tokio_rustls::rustls::{self, ServerConfig};
 use tokio_rustls::TlsAcceptor;
 
-/// How long responses may still be sent once connections are being closed.
+/// How long the process waits for the last responses once `ClientConnections::Closing` is set.
 pub const FINAL_RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long the process outlives its last client connection. Guards the last responses: one that is still in the
-/// socket's buffer when the process ends may be lost, and the client would count an accepted request as not received.
+/// Time between the close of the last client connection and the exit of the process. A response that is still in a socket
+/// buffer at exit may be lost, and its client would count an accepted request as not received.
 pub const CLOSE_LINGER: Duration = Duration::from_millis(100);
-/// How long a TLS handshake may take.
+/// Timeout of a client's TLS handshake.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause after a failed `accept` for lack of descriptors or memory.
+/// Pause after `accept` fails for lack of file descriptors or memory.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// One front: a listener with its routes and limits.
 pub struct Front {
-    /// Where its clients connect.
+    /// The listener that clients connect to.
     pub listener: TcpListener,
-    /// The requests that it answers.
+    /// The handlers of its requests.
     pub routes: Router,
-    /// What a connection may use.
+    /// Limits on the requests of a connection.
     pub limits: Limits,
-    /// TLS; `None`: plain HTTP.
+    /// Accepts TLS handshakes; `None` for plain HTTP.
     pub tls: Option<TlsAcceptor>,
 }
 
-/// TLS with the certificate that the resolver has when a connection begins.
+/// Returns a TLS acceptor that reads the current certificate from `certificate` at each handshake.
 ///
 /// # Errors
 ///
-/// The crypto provider does not support the TLS versions; a build without such a version would be faulty.
+/// The crypto provider supports none of the default TLS versions, which only a faulty build can cause.
 pub fn tls(certificate: Arc<dyn ResolvesServerCert>) -> Result<TlsAcceptor, rustls::Error> {
     let config = ServerConfig::builder_with_provider(Arc::new(default_provider()))
         .with_safe_default_protocol_versions()?
@@ -68,19 +73,19 @@
     Ok(Arc::new(config).into())
 }
 
-/// Serves a front until no more connections are to be accepted. Then every request that has arrived still gets its
-/// response; returns when no client connection of the process is left.
+/// Accepts and serves connections until `connections` reaches `NotAccepted`, then serves the connections that the kernel
+/// has queued by that time. Returns once the process has no open client connection.
 pub async fn serve(
     front: Front, limiter: Arc<ConnectionLimiter>, connections: watch::Receiver<ClientConnections>,
 ) {
     let Front { listener, routes, limits, tls } = front;
     let acceptor = Acceptor { routes, limits, tls, connections };
-    acceptor.accept_while_wanted(&listener, &limiter).await;
+    acceptor.accept_until_stopped(&listener, &limiter).await;
     acceptor.accept_queued(listener, &limiter).await;
     limiter.all_closed().await;
 }
 
-/// What each accepted connection of a front gets.
+/// Accepts connections of one front and starts a task for each.
 #[derive(Clone)]
 struct Acceptor {
     routes: Router,
@@ -90,7 +95,7 @@
 }
 
 impl Acceptor {
-    async fn accept_while_wanted(&self, listener: &TcpListener, limiter: &Arc<ConnectionLimiter>) {
+    async fn accept_until_stopped(&self, listener: &TcpListener, limiter: &Arc<ConnectionLimiter>) {
         let mut connections = self.connections.clone();
         loop {
             let permit = tokio::select! {
@@ -104,10 +109,10 @@
             };
             match accepted {
                 Ok((socket, _)) => self.spawn(socket, permit),
-                Err(error) if concerns_one_connection(&error) => {
+                Err(error) if affects_one_connection(&error) => {
                     log::debug!("client connection not accepted: {error}");
                 }
-                // Guards against a busy loop while descriptors run out: when others close, the next is accepted.
+                // Without the pause, this loop would spin until another connection frees a descriptor.
                 Err(error) => {
                     log::warn!("cannot accept client connections: {error}");
                     tokio::time::sleep(ACCEPT_PAUSE).await;
@@ -116,8 +121,8 @@
         }
     }
 
-    /// Accepts what the kernel has queued: closing the listener would reset these connections. Later ones go to the
-    /// process that shares the address, or are refused.
+    /// Accepts the connections in the kernel's queue, which closing the listener would reset. The kernel gives later
+    /// connections to the process that shares the address, or refuses them.
     async fn accept_queued(&self, listener: TcpListener, limiter: &Arc<ConnectionLimiter>) {
         let Ok(listener) = listener.into_std() else { return };
         while let Ok((socket, _)) = listener.accept() {
@@ -129,7 +134,7 @@
         }
     }
 
-    /// Each connection has a task of its own from its handshake on, so that a slow one delays no other.
+    /// Starts the connection's task. The TLS handshake runs in this task too, so that a slow client delays no other.
     fn spawn(&self, socket: TcpStream, permit: ConnectionPermit) {
         permit.state().enter(Phase::Connected);
         tokio::spawn(self.clone().serve_connection(socket, permit));
@@ -138,7 +143,7 @@
     async fn serve_connection(self, socket: TcpStream, permit: ConnectionPermit) {
         let Acceptor { routes, limits, tls, connections } = self;
         if let Err(error) = socket.set_nodelay(true) {
-            log::debug!("client connection: {error}");
+            log::debug!("client connection: cannot set TCP_NODELAY: {error}");
         }
         let Some(tls) = tls else {
             return connection::serve(socket, routes, limits, permit, connections).await;
@@ -151,15 +156,15 @@
     }
 }
 
-/// Returns once client connections are closed so far, or further.
-async fn reached(connections: &mut watch::Receiver<ClientConnections>, how_far: ClientConnections) {
-    if connections.wait_for(|now| *now >= how_far).await.is_err() {
-        // The sender is gone, so nothing changes any more.
+/// Waits until the state of client connections is `state` or a later one.
+async fn reached(connections: &mut watch::Receiver<ClientConnections>, state: ClientConnections) {
+    if connections.wait_for(|now| *now >= state).await.is_err() {
+        // The sender was dropped, so the state can no longer change.
         std::future::pending::<()>().await;
     }
 }
 
-/// Whether an error of `accept` concerns one connection only, so that the next may be accepted at once.
-fn concerns_one_connection(error: &io::Error) -> bool {
+/// Returns whether an error of `accept` affects only one connection, so that the next can be accepted at once.
+fn affects_one_connection(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::ConnectionAborted | ErrorKind::ConnectionReset | ErrorKind::Interrupted)
 }
--- a/src/client/platform.rs
+++ b/src/client/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's front: converts an HTTP request into a request context, and the exchange's answer into a response.
+//! The platform's front: converts HTTP requests into request contexts, and the exchange's answers into HTTP responses.
 use super::{ClientError, Limits};
 use crate::clock;
 use crate::core::Answer;
@@ -17,16 +17,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Clients send at full speed and wait 400 ms for their response; a request that is not complete gets an error within 3
-/// s of the connect.
+/// Limits on the platform's requests. Clients send at full speed and wait 400 ms for their response. An incomplete request
+/// gets an error within 3 s of the connect.
 pub const LIMITS: Limits = Limits {
     head_timeout: Duration::from_millis(2200),
     body_timeout: Duration::from_millis(500),
     body_limit: 64 * 1024,
 };
 
-/// The most bytes of a header's value. No client of the platform uses longer names or keys.
-const HEADER_VALUE_LIMIT: usize = 256;
+/// Maximum size of a header value, in bytes. No client of the platform uses longer names or keys.
+const MAX_HEADER_VALUE_BYTES: usize = 256;
 
 const SECONDS_PER_MILLISECOND: f64 = 1e-3;
 const SECONDS_PER_MICROSECOND: f64 = 1e-6;
@@ -36,7 +36,7 @@
     exchange: Exchange,
 }
 
-/// The routes of the platform's front.
+/// Returns the routes of the platform's front.
 pub fn routes(deployment: Arc<DeploymentSettings>, exchange: Exchange) -> Router {
     Router::new()
         .route("/ready", get(|| async { StatusCode::OK }))
@@ -44,7 +44,7 @@
         .with_state(Arc::new(PlatformFront { deployment, exchange }))
 }
 
-/// Routes that reject every request, which may come again after this time.
+/// Returns routes that reject every request, with this time as `Retry-After`.
 pub fn rejecting_routes(retry_after: Option<Nanos>) -> Router {
     Router::new().fallback(move || async move { rejection(retry_after) })
 }
@@ -69,8 +69,8 @@
     }
 }
 
-/// The response to a rejected request: 503, with a `Retry-After` in seconds with three decimals if there is one. The
-/// request has taken no effect, so it may be repeated.
+/// Returns the response to a rejected request: 503, and a `Retry-After` in seconds with three decimals if `retry_after` is
+/// given. The request has had no effect, so the client may repeat it.
 pub fn rejection(retry_after: Option<Nanos>) -> Response {
     let mut response = StatusCode::SERVICE_UNAVAILABLE.into_response();
     let Some(retry_after) = retry_after else { return response };
@@ -80,7 +80,8 @@
     response
 }
 
-/// Guards the exchange against malformed input: whatever is missing, malformed or unknown is a 4xx response.
+/// Validates a request and converts it into a request context. Missing, malformed or unknown values are errors with a 4xx
+/// response, so that the exchange receives only valid requests.
 fn request_context(
     deployment: &DeploymentSettings, class_in_path: &str, headers: &HeaderMap, body: Bytes,
 ) -> Result<RequestContext, ClientError> {
@@ -117,18 +118,18 @@
     })
 }
 
-/// The value of a header; `None` if it is absent.
+/// Returns the value of a header; `None` if it is absent.
 fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, ClientError> {
     let Some(value) = headers.get(name) else { return Ok(None) };
     let value = value.to_str().map_err(|_| ClientError::HeaderNotText)?;
-    if value.is_empty() || value.len() > HEADER_VALUE_LIMIT {
+    if value.is_empty() || value.len() > MAX_HEADER_VALUE_BYTES {
         return Err(ClientError::HeaderLength);
     }
     Ok(Some(value))
 }
 
-/// The index of the tenant that a request names. In a deployment without tenants, requests name none and all count as
-/// tenant 0.
+/// Returns the index of the tenant that a request names. A deployment without tenants assigns all requests to tenant 0 and
+/// ignores the name.
 fn tenant(deployment: &DeploymentSettings, name: Option<&str>) -> Result<usize, ClientError> {
     if deployment.tenants.is_empty() {
         return Ok(0);
@@ -152,13 +153,14 @@
     Some(Nanos::from_secs(seconds))
 }
 
-/// The number behind `dest=` in an envelope, whose items are separated by commas, semicolons or spaces.
+/// Returns the first number after a `dest=` in an envelope, whose items are separated by commas, semicolons or spaces.
 fn destination(envelope: &str) -> Option<u64> {
     let items = envelope.split([',', ';', ' ']);
     items.filter_map(|item| item.trim().strip_prefix("dest=")).find_map(|number| number.parse().ok())
 }
 
-/// The decision module's number for a client's ordering key; the same key has the same number after a restart.
+/// Converts a client's ordering key to the number that the decision module uses. The same key has the same number after a
+/// restart.
 fn ordering_key(key: &str) -> u64 {
     if let Ok(number) = u64::from_str_radix(key, 16) {
         return number;
--- a/src/client/socket.rs
+++ b/src/client/socket.rs
@@ -1,4 +1,5 @@
-//! The socket of a client connection: limits how long a client may take to read, and closes without losing a response.
+//! The socket of a client connection. It times out writes to a client that does not read, and closes the connection
+//! without losing a response.
 use super::limiter::{ConnectionState, Phase};
 use std::future::Future;
 use std::io;
@@ -9,17 +10,18 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{sleep, Sleep};
 
-/// Clients read at full speed. One that reads nothing for so long is treated as gone.
+/// Timeout of a write. Clients read at full speed, so a client that reads nothing for this long is treated as
+/// disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long input is read and discarded after the write side was shut down. A client closes its side as soon as it has
-/// read the end of the stream: one round trip.
+/// How long input is read and discarded after the write side is shut down. A client closes its side as soon as it reads
+/// the end of the stream, which takes one round trip.
 pub(super) const DISCARD_TIMEOUT: Duration = Duration::from_millis(100);
-/// The most bytes that are discarded. Bounds the work for a client that goes on sending.
+/// The most bytes that are discarded. Bounds the work for a client that does not stop sending.
 const DISCARD_LIMIT: usize = 256 * 1024;
-/// Bytes that are read at a time while input is discarded.
+/// Buffer size, in bytes, of each read that discards input.
 const DISCARD_CHUNK: usize = 4 * 1024;
 
-/// The state of a socket's close.
+/// How far the socket is closed.
 enum CloseState {
     Open,
     /// The write side is shut down; input is discarded.
@@ -32,11 +34,11 @@
     Closed,
 }
 
-/// A client's socket.
+/// A client's socket, which reports its reads and writes to the [`ConnectionState`].
 pub(super) struct ClientSocket<S> {
     io: S,
     state: Arc<ConnectionState>,
-    /// Runs while the client reads nothing.
+    /// Runs while a write is blocked because the client does not read.
     write_timeout: Option<Pin<Box<Sleep>>>,
     close: CloseState,
 }
@@ -46,7 +48,8 @@
         ClientSocket { io, state, write_timeout: None, close: CloseState::Open }
     }
 
-    /// Guards the memory against clients that do not read: their responses would be buffered for ever.
+    /// Fails a write that makes no progress for [`WRITE_TIMEOUT`]. Without this limit, the responses to a client that does
+    /// not read would stay in memory.
     fn limit_write_time<T>(
         &mut self, cx: &mut Context<'_>, progress: Poll<io::Result<T>>,
     ) -> Poll<io::Result<T>> {
@@ -61,7 +64,7 @@
 }
 
 impl<S: AsyncRead + Unpin> ClientSocket<S> {
-    /// Reads and discards input; ready at its end, at the timeout or at the limit.
+    /// Reads and discards input. Ready at the end of the input, at the timeout or at the limit.
     fn discard(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         let CloseState::Discarding { until, remaining } = &mut self.close else { return Poll::Ready(()) };
         if until.as_mut().poll(cx).is_ready() {
@@ -85,7 +88,8 @@
     fn poll_read(
         mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        // Guards against a request that is read after the write side was shut down: it could not be answered.
+        // Reports the end of the stream once the write side is shut down, because a request that is read then could not
+        // be answered.
         if !matches!(self.close, CloseState::Open) {
             return Poll::Ready(Ok(()));
         }
@@ -120,9 +124,9 @@
         self.limit_write_time(cx, flushed)
     }
 
-    /// Closes the connection: the write side is shut down, then input is read and discarded until the client has closed
-    /// its side or a short time is over. Guards the last response: a close with unread input resets the connection (RFC
-    /// 9112, section 9.6).
+    /// Closes the connection: shuts down the write side, then reads and discards input until the client has closed its side
+    /// or [`DISCARD_TIMEOUT`] is over. A close with unread input would reset the connection, and the client could lose the
+    /// last response (RFC 9112, section 9.6).
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         if matches!(self.close, CloseState::Open) {
             let shut = Pin::new(&mut self.io).poll_shutdown(cx);
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -71,7 +71,7 @@
         threads.into_iter().flat_map(|t| t.join().expect("a client")).collect();
     assert!(sent.values().all(|s| matches!(s, Some(202 | 503) | None)), "{sent:?}");
     // A close may cross a request that was not read: its client sends it once more. One that was read is answered.
-    assert!(!log.contains("ended under a request"), "a connection was closed under a request");
+    assert!(!log.contains("closed during a request"), "a connection was closed under a request");
     let begun = |id: &String| log.contains(&format!("message accepted message={id} "));
     let cut: Vec<&String> = sent.iter().filter(|(id, s)| s.is_none() && begun(id)).map(|s| s.0).collect();
     assert!(cut.is_empty(), "read, taken on and never answered: {cut:?}");
