--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -1,62 +1,64 @@
-//! Answers of endpoints that are malformed, or followed by bytes that do not belong to them.
+//! Endpoints whose responses are malformed or followed by extra bytes.
 mod stand;
 use rstest::rstest;
 use stand::*;
 use std::time::{Duration, Instant};
 
-const GOOD: &str = "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
+const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
 
-fn start(endpoint: &Server) -> (Server, Daemon) {
-    let known = list(1, &[(7, endpoint.addr)]);
-    let disco = discovery(known.clone());
-    let daemon = setup(&disco, known).start();
-    (disco, daemon)
+fn start_daemon(endpoint: &Server) -> (Server, Daemon) {
+    let endpoints = list(1, &[(7, endpoint.addr)]);
+    let discovery = discovery(endpoints.clone());
+    let daemon = setup(&discovery, endpoints).start();
+    (discovery, daemon)
 }
 
-/// The connection of a malformed answer is of no further use.
-fn malformed_or_good(answer: &str) -> Reply {
-    match answer.ends_with(GOOD) {
-        true => Reply::Respond(answer.into()),
-        false => Reply::RespondAndHold(answer.into()),
+/// Keeps serving the connection after a complete response. After a malformed one, holds the connection open without reading
+/// further requests.
+fn reply_with(response: &str) -> Reply {
+    match response.ends_with(OK_RESPONSE) {
+        true => Reply::Respond(response.into()),
+        false => Reply::RespondAndHold(response.into()),
     }
 }
 
-/// Each is the answer to a message that must not run twice; its connection stays open after it.
+/// The message must not run twice, so an unreadable response fails it. The endpoint does not close the connection, so the
+/// daemon must detect the fault from the bytes alone.
 #[rstest]
-#[case::noise("\x07\x00 no http at all \u{fffd}\r\n\r\n", "UnreadableAnswer")]
-#[case::half_a_line("HTT", "UnreadableAnswer")]
-#[case::error_without_end("HTTP/1.1 500 Oops\r\nx-a: b\r\n", "UnreadableAnswer")]
-#[case::noise_after_1xx("HTTP/1.1 103 Early Hints\r\nx-a: 200\r\n\r\n%%%%\r\n\r\n", "UnreadableAnswer")]
-#[case::upgrade("HTTP/1.1 101 Switching Protocols\r\n\r\n", "UnreadableAnswer")]
-#[case::bad_header("HTTP/1.1 200 OK\r\n\x01\x02 what\r\n\r\n", "Ok")]
-#[case::head_without_end("HTTP/1.1 200 OK\r\nx-a: b\r\n", "Ok")]
-#[case::two_lengths("HTTP/1.1 200 OK\r\ncontent-length: 5\r\ncontent-length: 7\r\n\r\nabcde", "Ok")]
-#[case::long("HTTP/1.1 200 OK\r\ncontent-length: 3000000000\r\n\r\nabcde", "Ok")]
-#[case::interim_answers("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nx-a: b\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n", "Ok")]
-fn a_malformed_answer_counts_as_run_and_a_status_line_with_200_as_delivery(
-    #[case] answer: &'static str, #[case] outcome: &str,
+#[case::not_http("\x07\x00 no http at all \u{fffd}\r\n\r\n", "UnreadableAnswer")]
+#[case::partial_status_line("HTT", "UnreadableAnswer")]
+#[case::incomplete_head_with_500("HTTP/1.1 500 Oops\r\nx-a: b\r\n", "UnreadableAnswer")]
+#[case::garbage_after_1xx("HTTP/1.1 103 Early Hints\r\nx-a: 200\r\n\r\n%%%%\r\n\r\n", "UnreadableAnswer")]
+#[case::switching_protocols("HTTP/1.1 101 Switching Protocols\r\n\r\n", "UnreadableAnswer")]
+#[case::invalid_header_with_200("HTTP/1.1 200 OK\r\n\x01\x02 what\r\n\r\n", "Ok")]
+#[case::incomplete_head_with_200("HTTP/1.1 200 OK\r\nx-a: b\r\n", "Ok")]
+#[case::conflicting_lengths("HTTP/1.1 200 OK\r\ncontent-length: 5\r\ncontent-length: 7\r\n\r\nabcde", "Ok")]
+#[case::incomplete_body("HTTP/1.1 200 OK\r\ncontent-length: 3000000000\r\n\r\nabcde", "Ok")]
+#[case::interim_responses("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nx-a: b\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n", "Ok")]
+fn never_repeats_a_message_after_a_malformed_response_and_delivers_on_a_200_status_line(
+    #[case] response: &'static str, #[case] outcome: &str,
 ) {
-    let endpoint = Server::start(move |_, n| malformed_or_good(if n == 0 { answer } else { GOOD }));
-    let (disco, daemon) = start(&endpoint);
-    let begun = Instant::now();
+    let endpoint = Server::start(move |_, n| reply_with(if n == 0 { response } else { OK_RESPONSE }));
+    let (discovery, daemon) = start_daemon(&endpoint);
+    let started_at = Instant::now();
     assert_eq!(daemon.submit("payout", "g1"), 202);
     daemon.wait_log(&format!("message=g1 outcome={outcome} attempt=0"));
-    assert!(begun.elapsed() < Duration::from_millis(700), "{:?}", begun.elapsed());
+    assert!(started_at.elapsed() < Duration::from_millis(700), "{:?}", started_at.elapsed());
     if outcome == "UnreadableAnswer" {
-        disco.wait_text(r#"{"id":"g1","status":"undeliverable"}"#);
+        discovery.wait_text(r#"{"id":"g1","status":"undeliverable"}"#);
     }
-    // The next is sent on another connection, without delay.
+    // The next message is sent at once, on another connection.
     assert_eq!(daemon.submit("payout", "g2"), 202);
     daemon.wait_log("message=g2 outcome=Ok attempt=0");
     assert_eq!(endpoint.received().len(), 2);
-    assert_eq!(disco.received().iter().any(|h| h.text().contains("g1")), outcome == "UnreadableAnswer");
+    assert_eq!(discovery.received().iter().any(|h| h.text().contains("g1")), outcome == "UnreadableAnswer");
 }
 
-/// All endpoints send malformed answers alike: none is ejected for it, and what may run again is sent again.
+/// All endpoints (here one) send malformed responses alike, so none is ejected. A message that may run twice is retried.
 #[test]
-fn an_endpoint_with_malformed_answers_stays_in_use() {
-    let endpoint = Server::start(|_, n| malformed_or_good(if n < 10 { "%%%%\r\n" } else { GOOD }));
-    let (_disco, daemon) = start(&endpoint);
+fn keeps_using_an_endpoint_after_malformed_responses() {
+    let endpoint = Server::start(|_, n| reply_with(if n < 10 { "%%%%\r\n" } else { OK_RESPONSE }));
+    let (_discovery, daemon) = start_daemon(&endpoint);
     for n in 0..9 {
         assert_eq!(daemon.submit("payout", &format!("u{n}")), 202);
         daemon.wait_log(&format!("message=u{n} outcome=UnreadableAnswer attempt=0"));
@@ -66,22 +68,23 @@
     assert!(!daemon.log().contains("breaker opened"));
 }
 
-/// What follows an answer is no answer to the next call, and a connection closed for it says nothing about its endpoint.
+/// Extra bytes after a response must not be read as the response to the next call on the connection. Closing the connection
+/// because of them must not count as a failure of the endpoint.
 #[rstest]
-#[case::noise("%%%%")]
-#[case::copy(GOOD)]
-fn bytes_after_an_answer_belong_to_no_call(#[case] more: &'static str) {
-    let endpoint = Server::start(move |h, _| match h.id() {
+#[case::garbage("%%%%")]
+#[case::second_response(OK_RESPONSE)]
+fn ignores_bytes_after_a_response(#[case] extra: &'static str) {
+    let endpoint = Server::start(move |request, _| match request.id() {
         "last" => say("500 Oops", "", ""),
-        _ => Reply::Respond(format!("{GOOD}{more}")),
+        _ => Reply::Respond(format!("{OK_RESPONSE}{extra}")),
     });
-    let (disco, daemon) = start(&endpoint);
+    let (discovery, daemon) = start_daemon(&endpoint);
     for n in 0..200 {
         assert_eq!(daemon.submit("payout", &format!("b{n}")), 202);
     }
     daemon.wait_log("message=b199 outcome=Ok");
     assert_eq!(daemon.submit("payout", "last"), 202);
-    disco.wait_text(r#"{"id":"last","status":"undeliverable"}"#);
+    discovery.wait_text(r#"{"id":"last","status":"undeliverable"}"#);
     assert_eq!(endpoint.received().len(), 201);
     assert!(!daemon.log().contains("ConnectFailed"));
 }
--- a/tests/as2.rs
+++ b/tests/as2.rs
@@ -1,4 +1,5 @@
-//! The AS2 front of the real program, against a test bank whose S/MIME is openssl's, not ours.
+//! The AS2 front of the real program, tested with a partner (a bank) that uses openssl for S/MIME instead of the program's
+//! own code.
 mod stand;
 use rstest::rstest;
 use stand::*;
@@ -7,56 +8,59 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-fn openssl(folder: &Path, args: &str) -> bool {
-    let done = Command::new("openssl").args(args.split(' ')).current_dir(folder).output().expect("openssl");
-    if !done.status.success() {
-        eprintln!("openssl {args}: {}", String::from_utf8_lossy(&done.stderr));
+/// Runs openssl; returns whether it succeeded.
+fn openssl(directory: &Path, args: &str) -> bool {
+    let output =
+        Command::new("openssl").args(args.split(' ')).current_dir(directory).output().expect("openssl");
+    if !output.status.success() {
+        eprintln!("openssl {args}: {}", String::from_utf8_lossy(&output.stderr));
     }
-    done.status.success()
+    output.status.success()
 }
 
-/// Our keys, the bank's and a stranger's, and the AS2 settings, in a temporary directory.
-struct Keys(PathBuf);
+/// A temporary directory with the AS2 settings and the keys of the program (`us`), of the bank and of a stranger.
+struct KeyDirectory(PathBuf);
 
-impl Keys {
-    fn new(file: &str) -> Keys {
-        let folder = std::env::temp_dir().join(format!("as2-{}-{}", std::process::id(), unique()));
-        std::fs::create_dir_all(&folder).expect("a folder");
-        for who in ["us", "bank", "stranger"] {
+impl KeyDirectory {
+    fn new(settings: &str) -> KeyDirectory {
+        let directory = std::env::temp_dir().join(format!("as2-{}-{}", std::process::id(), unique()));
+        std::fs::create_dir_all(&directory).expect("create the key directory");
+        for owner in ["us", "bank", "stranger"] {
             let args = format!(
-                "req -x509 -newkey rsa:2048 -nodes -days 2 -subj /CN={who} -keyout {who}.key -out {who}.pem"
+                "req -x509 -newkey rsa:2048 -nodes -days 2 -subj /CN={owner} -keyout {owner}.key -out {owner}.pem"
             );
-            assert!(openssl(&folder, &args));
+            assert!(openssl(&directory, &args));
         }
-        std::fs::write(folder.join("as2.json"), file).expect("its file");
-        Keys(folder)
+        std::fs::write(directory.join("as2.json"), settings).expect("write the AS2 settings");
+        KeyDirectory(directory)
     }
     fn env(&self) -> Vec<(String, String)> {
         vec![("MICALADDER_AS2".into(), self.0.join("as2.json").display().to_string())]
     }
-    fn file(&self, name: &str, text: &[u8]) -> String {
-        let name = format!("{name}-{}", unique());
-        std::fs::write(self.0.join(&name), text).expect("written");
+    /// Writes a new file, and returns its unique name.
+    fn write(&self, prefix: &str, content: &[u8]) -> String {
+        let name = format!("{prefix}-{}", unique());
+        std::fs::write(self.0.join(&name), content).expect("write a file");
         name
     }
     fn read(&self, name: &str) -> Vec<u8> {
-        std::fs::read(self.0.join(name)).expect("it is there")
+        std::fs::read(self.0.join(name)).expect("read a file")
     }
-    /// Encodes (`-e`) or decodes (`-d`) base64.
-    fn base64(&self, way: &str, text: &[u8]) -> Vec<u8> {
-        let (from, to) = (self.file("from", text), self.file("to", b""));
-        assert!(openssl(&self.0, &format!("base64 {way} -in {from} -out {to}")));
-        self.read(&to)
+    /// Encodes (`-e`, or `-A` on one line) or decodes (`-d`) base64.
+    fn base64(&self, option: &str, input: &[u8]) -> Vec<u8> {
+        let (input, output) = (self.write("input", input), self.write("output", b""));
+        assert!(openssl(&self.0, &format!("base64 {option} -in {input} -out {output}")));
+        self.read(&output)
     }
-    /// Signs a part: the type and the body of a multipart/signed entity.
-    fn sign(&self, part: &str, who: &str) -> (String, String) {
-        let (from, to) = (self.file("part", part.as_bytes()), self.file("signature", b""));
-        let args = format!("cms -sign -binary -md sha256 -in {from} -signer {who}.pem -inkey {who}.key -outform DER -out {to}");
+    /// Signs a part, and returns the content type and the body of the multipart/signed entity.
+    fn sign(&self, part: &str, signer: &str) -> (String, String) {
+        let (input, output) = (self.write("part", part.as_bytes()), self.write("signature", b""));
+        let args = format!("cms -sign -binary -md sha256 -in {input} -signer {signer}.pem -inkey {signer}.key -outform DER -out {output}");
         assert!(openssl(&self.0, &args));
-        let text = String::from_utf8(self.base64("-e", &self.read(&to))).expect("text");
+        let signature = String::from_utf8(self.base64("-e", &self.read(&output))).expect("UTF-8");
         let body = format!(
             "--s\r\n{part}\r\n--s\r\nContent-Type: application/pkcs7-signature\r\n\
-             Content-Transfer-Encoding: base64\r\n\r\n{text}\r\n--s--\r\n"
+             Content-Transfer-Encoding: base64\r\n\r\n{signature}\r\n--s--\r\n"
         );
         (
             "multipart/signed; protocol=\"application/pkcs7-signature\"; micalg=sha-256; boundary=\"s\""
@@ -64,306 +68,337 @@
             body,
         )
     }
-    /// Checks our signature (and takes off our encryption): the signed part.
-    fn open(&self, heard: &HttpMessage) -> Option<String> {
-        let mut text = format!("Content-Type: {}\r\n\r\n{}", heard.header("content-type")?, heard.text());
-        if heard.header("content-type")?.starts_with("application/pkcs7-mime") {
-            let (from, to) = (self.file("sealed", &heard.body), self.file("plain", b""));
+    /// Decrypts a message of the program if it is encrypted, and verifies its signature. Returns the signed part.
+    fn decrypt_and_verify(&self, message: &HttpMessage) -> Option<String> {
+        let mut text = format!("Content-Type: {}\r\n\r\n{}", message.header("content-type")?, message.text());
+        if message.header("content-type")?.starts_with("application/pkcs7-mime") {
+            let (input, output) = (self.write("encrypted", &message.body), self.write("plain", b""));
             assert!(openssl(
                 &self.0,
                 &format!(
-                    "cms -decrypt -binary -inform DER -in {from} -recip bank.pem -inkey bank.key -out {to}"
+                    "cms -decrypt -binary -inform DER -in {input} -recip bank.pem -inkey bank.key -out {output}"
                 )
             ));
-            text = String::from_utf8(self.read(&to)).expect("text");
+            text = String::from_utf8(self.read(&output)).expect("UTF-8");
         }
-        let mark = format!("--{}", text.split("boundary=\"").nth(1)?.split('"').next()?);
-        let parts: Vec<&str> = text.split(&mark).skip(1).collect();
+        let delimiter = format!("--{}", text.split("boundary=\"").nth(1)?.split('"').next()?);
+        let parts: Vec<&str> = text.split(&delimiter).skip(1).collect();
         let part = parts[0].strip_prefix("\r\n")?.strip_suffix("\r\n")?;
         let signature = self.base64("-d", parts[1].split("\r\n\r\n").nth(1)?.as_bytes());
-        let (from, content) = (self.file("signature", &signature), self.file("content", part.as_bytes()));
-        let args = format!("cms -verify -binary -inform DER -in {from} -content {content} -CAfile us.pem -purpose any -out {content}.out");
+        let (input, content) = (self.write("signature", &signature), self.write("content", part.as_bytes()));
+        let args = format!("cms -verify -binary -inform DER -in {input} -content {content} -CAfile us.pem -purpose any -out {content}.out");
         openssl(&self.0, &args).then(|| part.to_string())
     }
+    /// Returns the message integrity check of a part.
     fn mic(&self, part: &str) -> String {
-        let (from, to) = (self.file("digested", part.as_bytes()), self.file("digest", b""));
-        assert!(openssl(&self.0, &format!("dgst -sha256 -binary -out {to} {from}")));
-        String::from_utf8(self.base64("-A", &self.read(&to))).expect("text").trim().to_string()
+        let (input, output) = (self.write("digested", part.as_bytes()), self.write("digest", b""));
+        assert!(openssl(&self.0, &format!("dgst -sha256 -binary -out {output} {input}")));
+        String::from_utf8(self.base64("-A", &self.read(&output))).expect("UTF-8").trim().to_string()
     }
-    fn receipt(&self, message: &str, said: &str, mic: &str, who: &str) -> (String, String) {
+    /// Composes a signed MDN, and returns its content type and body.
+    fn mdn(&self, message_id: &str, disposition: &str, mic: &str, signer: &str) -> (String, String) {
         let part = format!(
             "Content-Type: multipart/report; report-type=disposition-notification; boundary=\"b\"\r\n\r\n--b\r\n\
              Content-Type: text/plain\r\n\r\nA receipt.\r\n--b\r\nContent-Type: message/disposition-notification\r\n\r\n\
-             Original-Message-ID: {message}\r\nDisposition: automatic-action/MDN-sent-automatically; {said}\r\n\
+             Original-Message-ID: {message_id}\r\nDisposition: automatic-action/MDN-sent-automatically; {disposition}\r\n\
              Received-Content-MIC: {mic}, sha-256\r\n\r\n--b--\r\n"
         );
-        self.sign(&part, who)
+        self.sign(&part, signer)
     }
 }
 
-impl Drop for Keys {
+impl Drop for KeyDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// How the test bank handles a message.
+/// How the bank handles a message.
 #[derive(Clone, Copy, PartialEq)]
-enum Bank {
-    Receipt {
-        said: &'static str,
-        by: &'static str,
+enum BankBehavior {
+    /// Responds with a synchronous MDN.
+    SynchronousMdn {
+        disposition: &'static str,
+        signer: &'static str,
+        /// The message integrity check; `None` for the correct one.
         mic: Option<&'static str>,
     },
     /// Processes the message and never responds.
-    Silent,
-    /// Processes the message and cuts the connection.
-    CutOff,
-    /// Answers 200; its receipt is asynchronous.
-    Asynchronous,
+    NoResponse,
+    /// Processes the message and closes the connection without a response.
+    CloseConnection,
+    /// Responds with 200; the test sends the MDN separately.
+    AsynchronousMdn,
 }
 
-const GOOD: Bank = Bank::Receipt { said: "processed", by: "bank", mic: None };
+const PROCESSED: BankBehavior =
+    BankBehavior::SynchronousMdn { disposition: "processed", signer: "bank", mic: None };
 
 struct Fixture {
-    keys: Arc<Keys>,
+    keys: Arc<KeyDirectory>,
     bank: Server,
-    disco: Server,
+    discovery: Server,
     daemon: Daemon,
-    as2: std::net::SocketAddr,
+    /// The address of the AS2 front.
+    as2_address: std::net::SocketAddr,
 }
 
-/// The program with a bank as the partner behind dest 7.
-fn fixture(how: Bank, encrypt: bool) -> Fixture {
-    let as2: std::net::SocketAddr = free_address();
-    let keys = Arc::new(Keys::new(""));
-    let mine = keys.clone();
-    let bank = Server::start(move |heard, _| {
-        let part = mine.open(heard).expect("our signature is good");
-        let id = heard.header("message-id").expect("an id");
-        match how {
-            Bank::Silent => Reply::RespondAndHold(String::new()),
-            Bank::CutOff => Reply::Close,
-            Bank::Asynchronous => say("200 OK", "", ""),
-            Bank::Receipt { said, by, mic } => {
-                let mic = mic.map_or_else(|| mine.mic(&part), str::to_string);
-                let (kind, body) = mine.receipt(id, said, &mic, by);
-                say("200 OK", &format!("content-type: {kind}\r\n"), &body)
+/// Starts the program with the bank as the partner that serves destination 7.
+fn fixture(behavior: BankBehavior, encrypt: bool) -> Fixture {
+    let as2_address: std::net::SocketAddr = free_address();
+    let keys = Arc::new(KeyDirectory::new(""));
+    let bank_keys = keys.clone();
+    let bank = Server::start(move |request, _| {
+        let part = bank_keys.decrypt_and_verify(request).expect("a valid signature");
+        let message_id = request.header("message-id").expect("a Message-ID");
+        match behavior {
+            BankBehavior::NoResponse => Reply::RespondAndHold(String::new()),
+            BankBehavior::CloseConnection => Reply::Close,
+            BankBehavior::AsynchronousMdn => say("200 OK", "", ""),
+            BankBehavior::SynchronousMdn { disposition, signer, mic } => {
+                let mic = mic.map_or_else(|| bank_keys.mic(&part), str::to_string);
+                let (content_type, body) = bank_keys.mdn(message_id, disposition, &mic, signer);
+                say("200 OK", &format!("content-type: {content_type}\r\n"), &body)
             }
         }
     });
-    let file = format!(
-        r#"{{"enabled":true,"listen":"{as2}","name":"us","key":"us.key","certificate":"us.pem","receipt_url":"http://{as2}/receipts",
+    let settings = format!(
+        r#"{{"enabled":true,"listen":"{as2_address}","name":"us","key":"us.key","certificate":"us.pem","receipt_url":"http://{as2_address}/receipts",
         "partners":[{{"name":"bank","certificate":"bank.pem","url":"http://{}/as2","dest":7,"rate":50.0,"encrypt":{encrypt},
         "receipt":"{}","class":"payout","tenant":"t","forward_to":8,"receipts_to":"http://{}/as2"}}]}}"#,
         bank.addr,
-        if how == Bank::Asynchronous { "async" } else { "sync" },
+        if behavior == BankBehavior::AsynchronousMdn { "async" } else { "sync" },
         bank.addr
     );
-    std::fs::write(keys.0.join("as2.json"), file).expect("its file");
-    let disco = discovery(list(1, &[]));
-    let daemon = Setup { env: keys.env(), ..setup(&disco, list(1, &[])) }.start();
-    Fixture { keys, bank, disco, daemon, as2 }
+    std::fs::write(keys.0.join("as2.json"), settings).expect("write the AS2 settings");
+    let discovery = discovery(list(1, &[]));
+    let daemon = Setup { env: keys.env(), ..setup(&discovery, list(1, &[])) }.start();
+    Fixture { keys, bank, discovery, daemon, as2_address }
 }
 
-/// A Retry-After from a bank while another payout's connect hangs also applies to that payout: it is not sent early.
+/// A Retry-After that arrives while the connect for another payout hangs also applies to that payout, which must not be sent
+/// early.
 #[test]
-fn a_retry_after_that_arrives_during_a_connect_is_respected() {
+fn respects_a_retry_after_that_arrives_during_a_connect() {
     let mut bank = FullBacklogEndpoint::start();
-    let file = format!(
+    let settings = format!(
         r#"{{"enabled":true,"listen":"{}","name":"us","key":"us.key","certificate":"us.pem","receipt_url":"http://127.0.0.1:1/receipts",
         "partners":[{{"name":"bank","certificate":"bank.pem","url":"http://{}/as2","dest":7,"rate":50.0,"receipt":"sync"}}]}}"#,
         free_address(),
         bank.addr
     );
-    let keys = Keys::new(&file);
-    let disco = discovery(list(1, &[]));
+    let keys = KeyDirectory::new(&settings);
+    let discovery = discovery(list(1, &[]));
     let daemon =
-        Setup { env: keys.env(), swaps: vec![LONG_CONNECT_TIMEOUT], ..setup(&disco, list(1, &[])) }.start();
+        Setup { env: keys.env(), swaps: vec![LONG_CONNECT_TIMEOUT], ..setup(&discovery, list(1, &[])) }
+            .start();
     let first = start_hanging_connect(&daemon, &mut bank);
     let second = retry_after_during_connect(&daemon, first, &mut bank);
-    assert!(call(&second).header("as2-to").is_some_and(|to| to == "bank"), "it serves the next one");
+    assert!(
+        call(&second).header("as2-to").is_some_and(|to| to == "bank"),
+        "the connection carries the next message"
+    );
 }
 
 /// Each payout is sent to the bank once and completes once: delivered without a callback, or with one callback.
 #[rstest]
-#[case::signed(GOOD, false, None)]
-#[case::encrypted(GOOD, true, None)]
-#[case::warned(Bank::Receipt { said: "processed/warning: duplicate-document", by: "bank", mic: None }, false, None)]
-#[case::failed(Bank::Receipt { said: "processed/error: unexpected-processing-error", by: "bank", mic: None }, false, Some("failed"))]
-#[case::forged(Bank::Receipt { said: "processed", by: "stranger", mic: None }, false, Some("not good"))]
-#[case::other_digest(Bank::Receipt { said: "processed", by: "bank", mic: Some("AAAA") }, false, Some("digest"))]
-#[case::cut_off(Bank::CutOff, false, Some("cut"))]
-fn a_payout_completes_exactly_once(#[case] how: Bank, #[case] encrypt: bool, #[case] fault: Option<&str>) {
-    let s = fixture(how, encrypt);
-    assert_eq!(s.daemon.submit("payout", "p1"), 202);
-    let sent = s.bank.wait("the payout", |all| !all.is_empty());
+#[case::signed(PROCESSED, false, None)]
+#[case::encrypted(PROCESSED, true, None)]
+#[case::processed_with_warning(BankBehavior::SynchronousMdn { disposition: "processed/warning: duplicate-document", signer: "bank", mic: None }, false, None)]
+#[case::processing_error(BankBehavior::SynchronousMdn { disposition: "processed/error: unexpected-processing-error", signer: "bank", mic: None }, false, Some("failed"))]
+#[case::forged_signature(BankBehavior::SynchronousMdn { disposition: "processed", signer: "stranger", mic: None }, false, Some("not good"))]
+#[case::wrong_mic(BankBehavior::SynchronousMdn { disposition: "processed", signer: "bank", mic: Some("AAAA") }, false, Some("digest"))]
+#[case::connection_closed(BankBehavior::CloseConnection, false, Some("cut"))]
+fn a_payout_completes_exactly_once(
+    #[case] behavior: BankBehavior, #[case] encrypt: bool, #[case] fault: Option<&str>,
+) {
+    let fixture = fixture(behavior, encrypt);
+    assert_eq!(fixture.daemon.submit("payout", "p1"), 202);
+    let sent = fixture.bank.wait("the payout", |all| !all.is_empty());
     assert_eq!(sent[0].header("message-id"), Some("<p1@us>"));
     if fault.is_some() {
-        s.disco.wait_text(r#"{"id":"p1","status":"undeliverable"}"#);
+        fixture.discovery.wait_text(r#"{"id":"p1","status":"undeliverable"}"#);
     } else {
-        s.daemon.wait_log("message=p1 outcome=Ok attempt=0");
+        fixture.daemon.wait_log("message=p1 outcome=Ok attempt=0");
     }
-    let notices = s.disco.received().iter().filter(|h| h.text().contains("p1")).count();
-    assert_eq!((s.bank.received().len(), notices), (1, usize::from(fault.is_some())));
+    let callbacks =
+        fixture.discovery.received().iter().filter(|request| request.text().contains("p1")).count();
+    assert_eq!((fixture.bank.received().len(), callbacks), (1, usize::from(fault.is_some())));
 }
 
 #[test]
-fn a_message_that_the_bank_could_not_decrypt_is_retried() {
-    let s =
-        fixture(Bank::Receipt { said: "processed/error: decryption-failed", by: "bank", mic: None }, true);
-    assert_eq!(s.daemon.submit("payout", "d1"), 202);
-    s.bank.wait("a second attempt", |all| all.len() >= 2);
-    assert_eq!(s.bank.received()[1].header("message-id"), Some("<d1@us>"));
+fn retries_a_message_that_the_bank_could_not_decrypt() {
+    let fixture = fixture(
+        BankBehavior::SynchronousMdn {
+            disposition: "processed/error: decryption-failed",
+            signer: "bank",
+            mic: None,
+        },
+        true,
+    );
+    assert_eq!(fixture.daemon.submit("payout", "d1"), 202);
+    fixture.bank.wait("a second attempt", |all| all.len() >= 2);
+    assert_eq!(fixture.bank.received()[1].header("message-id"), Some("<d1@us>"));
 }
 
 #[test]
-fn a_payout_without_a_receipt_is_undeliverable_and_a_late_receipt_changes_nothing() {
-    let s = fixture(Bank::Silent, false);
-    let handed = s.daemon.ask(&message("payout", "s1", "1500m", "")).map(|h| h.status());
-    assert_eq!(handed, Some(202));
-    s.disco.wait_text(r#"{"id":"s1","status":"undeliverable"}"#);
-    assert_eq!(s.bank.received().len(), 1);
-    let later = fixture(Bank::Asynchronous, false);
-    assert_eq!(later.daemon.ask(&message("payout", "s2", "1500m", "")).map(|h| h.status()), Some(202));
-    let sent = later.bank.wait("the payout", |all| !all.is_empty());
-    later.disco.wait_text(r#"{"id":"s2","status":"undeliverable"}"#);
-    assert_eq!(later.post_receipt(&sent[0]), 200);
-    later.daemon.wait_log("receipt for <s2@us> after its attempt had ended: changes nothing");
-    assert_eq!(later.disco.count_distinct("s2"), 1);
+fn a_payout_without_an_mdn_is_undeliverable_and_a_late_mdn_does_not_change_that() {
+    let silent = fixture(BankBehavior::NoResponse, false);
+    let response = silent.daemon.ask(&message("payout", "s1", "1500m", ""));
+    assert_eq!(response.map(|r| r.status()), Some(202));
+    silent.discovery.wait_text(r#"{"id":"s1","status":"undeliverable"}"#);
+    assert_eq!(silent.bank.received().len(), 1);
+    let late = fixture(BankBehavior::AsynchronousMdn, false);
+    let response = late.daemon.ask(&message("payout", "s2", "1500m", ""));
+    assert_eq!(response.map(|r| r.status()), Some(202));
+    let sent = late.bank.wait("the payout", |all| !all.is_empty());
+    late.discovery.wait_text(r#"{"id":"s2","status":"undeliverable"}"#);
+    assert_eq!(late.post_mdn(&sent[0]), 200);
+    late.daemon.wait_log("receipt for <s2@us> after its attempt had ended: changes nothing");
+    assert_eq!(late.discovery.count_distinct("s2"), 1);
 }
 
 #[test]
-fn an_asynchronous_receipt_completes_a_delivery() {
-    let s = fixture(Bank::Asynchronous, true);
-    assert_eq!(s.daemon.submit("payout", "l1"), 202);
-    let sent = s.bank.wait("the payout", |all| !all.is_empty());
-    assert_eq!(s.post_receipt(&sent[0]), 200);
-    s.daemon.wait_log("message=l1 outcome=Ok attempt=0");
-    assert!(!s.disco.received().iter().any(|h| h.text().contains("l1")));
+fn an_asynchronous_mdn_completes_a_delivery() {
+    let fixture = fixture(BankBehavior::AsynchronousMdn, true);
+    assert_eq!(fixture.daemon.submit("payout", "l1"), 202);
+    let sent = fixture.bank.wait("the payout", |all| !all.is_empty());
+    assert_eq!(fixture.post_mdn(&sent[0]), 200);
+    fixture.daemon.wait_log("message=l1 outcome=Ok attempt=0");
+    assert!(!fixture.discovery.received().iter().any(|request| request.text().contains("l1")));
 }
 
-/// After a kill while the payout is in flight: it is not sent again, completes once, and a later receipt is logged.
+/// A payout that is in flight when the process is killed completes once, and its later MDN is only logged.
 #[test]
-fn a_payout_in_flight_at_a_kill_is_not_sent_again() {
-    let mut s = fixture(Bank::Asynchronous, false);
-    assert_eq!(s.daemon.submit("payout", "k1"), 202);
-    let sent = s.bank.wait("the payout", |all| !all.is_empty());
-    s.daemon.kill();
-    s.daemon.start_again();
-    s.disco.wait_text(r#"{"id":"k1","status":"undeliverable"}"#);
-    assert_eq!(s.post_receipt(&sent[0]), 200);
-    s.daemon.wait_log("receipt for <k1@us>");
-    assert_eq!(
-        (s.bank.received().len(), s.disco.received().iter().filter(|h| h.text().contains("k1")).count()),
-        (1, 1)
-    );
+fn never_resends_a_payout_that_was_in_flight_at_a_kill() {
+    let mut fixture = fixture(BankBehavior::AsynchronousMdn, false);
+    assert_eq!(fixture.daemon.submit("payout", "k1"), 202);
+    let sent = fixture.bank.wait("the payout", |all| !all.is_empty());
+    fixture.daemon.kill();
+    fixture.daemon.start_again();
+    fixture.discovery.wait_text(r#"{"id":"k1","status":"undeliverable"}"#);
+    assert_eq!(fixture.post_mdn(&sent[0]), 200);
+    fixture.daemon.wait_log("receipt for <k1@us>");
+    let callbacks =
+        fixture.discovery.received().iter().filter(|request| request.text().contains("k1")).count();
+    assert_eq!((fixture.bank.received().len(), callbacks), (1, 1));
 }
 
 impl Fixture {
-    fn post_receipt(&self, sent: &HttpMessage) -> u16 {
-        let mic = self.keys.mic(&self.keys.open(sent).expect("signed by us"));
-        let (kind, body) =
-            self.keys.receipt(sent.header("message-id").expect("an id"), "processed", &mic, "bank");
-        self.post("/receipts", &format!("content-type: {kind}\r\n"), &body).status()
+    /// Sends the bank's asynchronous MDN for a message that the bank received; returns the status of the response.
+    fn post_mdn(&self, sent: &HttpMessage) -> u16 {
+        let mic = self.keys.mic(&self.keys.decrypt_and_verify(sent).expect("a valid signature"));
+        let message_id = sent.header("message-id").expect("a Message-ID");
+        let (content_type, body) = self.keys.mdn(message_id, "processed", &mic, "bank");
+        self.post("/receipts", &format!("content-type: {content_type}\r\n"), &body).status()
     }
-    fn post(&self, path: &str, head: &str, body: &str) -> HttpMessage {
-        let text =
-            format!("POST {path} HTTP/1.1\r\nhost: us\r\n{head}content-length: {}\r\n\r\n{body}", body.len());
-        ask(self.as2, text.as_bytes()).expect("an answer")
+    fn post(&self, path: &str, headers: &str, body: &str) -> HttpMessage {
+        let request = format!(
+            "POST {path} HTTP/1.1\r\nhost: us\r\n{headers}content-length: {}\r\n\r\n{body}",
+            body.len()
+        );
+        ask(self.as2_address, request.as_bytes()).expect("a response")
     }
-    /// Submits a payout as the bank would.
-    fn submit_as(&self, from: &str, signer: &str, more: &str) -> HttpMessage {
+    /// Submits a payout as the partner `from`, signed by `signer`; the message requests a signed MDN.
+    fn submit_as(&self, from: &str, signer: &str, extra_headers: &str) -> HttpMessage {
         let part = "Content-Type: text/plain\r\n\r\npay the creator";
-        let (kind, body) = self.keys.sign(part, signer);
-        let head = format!(
-            "as2-version: 1.2\r\nas2-from: {from}\r\nas2-to: us\r\nmessage-id: <m1@bank>\r\nsubject: pay\r\ncontent-type: {kind}\r\n\
-             disposition-notification-to: bank\r\ndisposition-notification-options: signed-receipt-protocol=required, pkcs7-signature\r\n{more}"
+        let (content_type, body) = self.keys.sign(part, signer);
+        let headers = format!(
+            "as2-version: 1.2\r\nas2-from: {from}\r\nas2-to: us\r\nmessage-id: <m1@bank>\r\nsubject: pay\r\ncontent-type: {content_type}\r\n\
+             disposition-notification-to: bank\r\ndisposition-notification-options: signed-receipt-protocol=required, pkcs7-signature\r\n{extra_headers}"
         );
-        self.post("/as2", &head, &body)
+        self.post("/as2", &headers, &body)
     }
 }
 
-/// The receipt for a partner's message is signed by us and has the digest of what the partner signed.
+/// The MDN for a partner's message is signed by the program, and its message integrity check is the digest of the part that
+/// the partner signed.
 #[rstest]
-#[case::good("bank", "bank", 200, "; processed\r\n")]
-#[case::forged("bank", "stranger", 200, "; processed/error: authentication-failed\r\n")]
-#[case::unknown("nobody", "bank", 403, "")]
-fn a_partners_message_gets_a_signed_receipt(
-    #[case] from: &str, #[case] signer: &str, #[case] status: u16, #[case] said: &str,
+#[case::valid("bank", "bank", 200, "; processed\r\n")]
+#[case::forged_signature("bank", "stranger", 200, "; processed/error: authentication-failed\r\n")]
+#[case::unknown_partner("nobody", "bank", 403, "")]
+fn a_partners_message_gets_a_signed_mdn(
+    #[case] from: &str, #[case] signer: &str, #[case] status: u16, #[case] disposition: &str,
 ) {
     let endpoint = Server::always("200 OK");
-    let s = fixture_with_endpoint(&endpoint);
-    let answer = s.submit_as(from, signer, "");
-    assert_eq!(answer.status(), status);
+    let fixture = fixture_with_endpoint(&endpoint);
+    let response = fixture.submit_as(from, signer, "");
+    assert_eq!(response.status(), status);
     if status == 200 {
-        let part = s.keys.open(&answer).expect("signed by us");
-        assert!(part.contains(said) && part.contains("Original-Message-ID: <m1@bank>"), "{part}");
+        let part = fixture.keys.decrypt_and_verify(&response).expect("a valid signature");
+        assert!(part.contains(disposition) && part.contains("Original-Message-ID: <m1@bank>"), "{part}");
     }
-    if said.contains("; processed\r") {
-        let part = s.keys.open(&answer).expect("signed by us");
-        let mic = s.keys.mic("Content-Type: text/plain\r\n\r\npay the creator");
+    if disposition.contains("; processed\r") {
+        let part = fixture.keys.decrypt_and_verify(&response).expect("a valid signature");
+        let mic = fixture.keys.mic("Content-Type: text/plain\r\n\r\npay the creator");
         assert!(part.contains(&format!("Received-Content-MIC: {mic}, sha-256")), "{part}");
         assert_eq!(endpoint.wait("the payout", |all| !all.is_empty())[0].text(), "pay the creator");
-        s.daemon.wait_log("outcome=Ok");
-        // A repeat gets the same answer, and nothing runs again.
-        assert!(s.keys.open(&s.submit_as(from, signer, "")).expect("signed").contains(said));
+        fixture.daemon.wait_log("outcome=Ok");
+        // A repeated message gets the same MDN and is not forwarded again.
+        let repeated = fixture.submit_as(from, signer, "");
+        let part = fixture.keys.decrypt_and_verify(&repeated).expect("a valid signature");
+        assert!(part.contains(disposition));
     }
-    assert_eq!(endpoint.received().len(), usize::from(said.contains("; processed\r")));
+    assert_eq!(endpoint.received().len(), usize::from(disposition.contains("; processed\r")));
 }
 
-/// An asynchronous receipt is sent once the message is complete, also after a kill, and only once.
+/// An asynchronous MDN is sent exactly once, when the message is complete, even if the process is killed before that.
 #[rstest]
 #[case::delivered("200 OK", "; processed\r\n")]
 #[case::failed("500 Oops", "; processed/error: unexpected-processing-error\r\n")]
-fn an_asynchronous_receipt_reports_the_outcome(#[case] status: &'static str, #[case] said: &str) {
-    let held = Arc::new(AtomicBool::new(true));
-    let mine = held.clone();
+fn an_asynchronous_mdn_reports_the_outcome(#[case] status: &'static str, #[case] disposition: &str) {
+    let unavailable = Arc::new(AtomicBool::new(true));
+    let is_unavailable = unavailable.clone();
     let endpoint = Server::start(move |_, _| {
-        if mine.load(Ordering::SeqCst) {
+        if is_unavailable.load(Ordering::SeqCst) {
             say("503 Shut", "", "")
         } else {
             say(status, "", "")
         }
     });
-    let mut s = fixture_with_endpoint(&endpoint);
-    let to = format!("receipt-delivery-option: http://{}/as2\r\n", s.bank.addr);
-    assert_eq!(s.submit_as("bank", "bank", &to).status(), 200);
-    // The kill must come after the attempt's outcome: otherwise the attempt may have taken effect.
-    s.daemon.wait_log("pace reduced after a rejection");
-    s.daemon.kill();
-    held.store(false, Ordering::SeqCst);
-    s.daemon.start_again();
-    let receipts = s.bank.wait("the receipt", |all| !all.is_empty());
-    let part = s.keys.open(&receipts[0]).expect("signed by us");
-    assert!(part.contains(said), "{part}");
-    assert_eq!(s.bank.received().len(), 1);
+    let mut fixture = fixture_with_endpoint(&endpoint);
+    let delivery_option = format!("receipt-delivery-option: http://{}/as2\r\n", fixture.bank.addr);
+    assert_eq!(fixture.submit_as("bank", "bank", &delivery_option).status(), 200);
+    // The daemon must know the attempt's outcome before the kill. Otherwise the attempt could have had an effect and would not
+    // be repeated.
+    fixture.daemon.wait_log("pace reduced after a rejection");
+    fixture.daemon.kill();
+    unavailable.store(false, Ordering::SeqCst);
+    fixture.daemon.start_again();
+    let mdns = fixture.bank.wait("the MDN", |all| !all.is_empty());
+    let part = fixture.keys.decrypt_and_verify(&mdns[0]).expect("a valid signature");
+    assert!(part.contains(disposition), "{part}");
+    assert_eq!(fixture.bank.received().len(), 1);
 }
 
-/// The same, with an endpoint of the platform to which the bank's messages are forwarded.
+/// Starts the program with an endpoint of the platform to which the bank's messages are forwarded.
 fn fixture_with_endpoint(endpoint: &Server) -> Fixture {
-    let mut s = fixture(GOOD, false);
-    // The bank only submits here: all that it receives are receipts.
-    s.bank = Server::always("200 OK");
-    let file = String::from_utf8(s.keys.read("as2.json")).expect("text");
-    let old =
-        file.split("\"receipts_to\":\"http://").nth(1).and_then(|t| t.split('/').next()).expect("a place");
-    s.as2 = free_address();
-    let listen = file.split("\"listen\":\"").nth(1).and_then(|t| t.split('"').next()).expect("a place");
-    let file = file.replace(old, &s.bank.addr.to_string()).replace(listen, &s.as2.to_string());
-    std::fs::write(s.keys.0.join("as2.json"), file).expect("its file");
-    let known = list(1, &[(8, endpoint.addr)]);
-    s.disco = discovery(known.clone());
-    s.daemon = Setup { env: s.keys.env(), ..setup(&s.disco, known) }.start();
-    s
+    let mut fixture = fixture(PROCESSED, false);
+    // The bank only sends messages in these tests, so it receives only MDNs.
+    fixture.bank = Server::always("200 OK");
+    let settings = String::from_utf8(fixture.keys.read("as2.json")).expect("UTF-8");
+    let old_bank_address =
+        settings.split("\"receipts_to\":\"http://").nth(1).and_then(|t| t.split('/').next());
+    let old_bank_address = old_bank_address.expect("the bank's address");
+    fixture.as2_address = free_address();
+    let old_as2_address = settings.split("\"listen\":\"").nth(1).and_then(|t| t.split('"').next());
+    let old_as2_address = old_as2_address.expect("the listener's address");
+    let settings = settings
+        .replace(old_bank_address, &fixture.bank.addr.to_string())
+        .replace(old_as2_address, &fixture.as2_address.to_string());
+    std::fs::write(fixture.keys.0.join("as2.json"), settings).expect("write the AS2 settings");
+    let endpoints = list(1, &[(8, endpoint.addr)]);
+    fixture.discovery = discovery(endpoints.clone());
+    fixture.daemon = Setup { env: fixture.keys.env(), ..setup(&fixture.discovery, endpoints) }.start();
+    fixture
 }
 
 #[test]
-fn the_front_is_off_without_a_settings_file() {
+fn the_as2_front_is_off_without_a_settings_file() {
     let endpoint = Server::always("200 OK");
-    let known = list(1, &[(7, endpoint.addr)]);
-    let disco = discovery(known.clone());
-    let daemon = setup(&disco, known).start();
+    let endpoints = list(1, &[(7, endpoint.addr)]);
+    let discovery = discovery(endpoints.clone());
+    let daemon = setup(&discovery, endpoints).start();
     assert_eq!(daemon.submit("payout", "x1"), 202);
     endpoint.wait_request("x1");
     assert!(!daemon.log().contains("AS2"));
--- a/tests/batch.rs
+++ b/tests/batch.rs
@@ -1,5 +1,5 @@
-//! Several messages for one endpoint in one call, where its kind takes them: how each ends, and what is required of the
-//! complete answer.
+//! Batches: calls with several messages for one endpoint, where the endpoint's kind supports them. Checks the outcome of
+//! each message, and what a response must contain.
 mod stand;
 use rstest::rstest;
 use stand::*;
@@ -7,204 +7,224 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// One message of a call.
-struct Part {
+/// One message of a batch.
+struct BatchedMessage {
     id: String,
     key: String,
     body: Vec<u8>,
 }
 
-/// The messages of a call, parsed as the platform's protocol page specifies.
-fn parts(call: &HttpMessage) -> Vec<Part> {
-    let (mut all, mut rest) = (Vec::new(), &call.body[..]);
+/// Parses the messages of a batch as the platform's protocol page specifies.
+fn parse_batch(call: &HttpMessage) -> Vec<BatchedMessage> {
+    let (mut messages, mut rest) = (Vec::new(), &call.body[..]);
     while !rest.is_empty() {
-        let end = rest.windows(2).position(|w| w == b"\r\n").expect("a line");
-        let line = String::from_utf8(rest[..end].to_vec()).expect("text");
-        let words: Vec<&str> = line.split(' ').collect();
-        let [id, key, size] = words[..] else { panic!("no line of three words: {line:?}") };
-        let size: usize = size.parse().expect("a length");
+        let end = rest.windows(2).position(|w| w == b"\r\n").expect("a complete line");
+        let line = String::from_utf8(rest[..end].to_vec()).expect("UTF-8");
+        let fields: Vec<&str> = line.split(' ').collect();
+        let [id, key, size] = fields[..] else { panic!("not a line of three fields: {line:?}") };
+        let size: usize = size.parse().expect("a body length");
         let body = rest[end + 2..end + 2 + size].to_vec();
-        assert_eq!(&rest[end + 2 + size..end + 4 + size], b"\r\n", "its end");
-        all.push(Part { id: id.to_string(), key: key.to_string(), body });
+        assert_eq!(&rest[end + 2 + size..end + 4 + size], b"\r\n", "a body ends with a line break");
+        messages.push(BatchedMessage { id: id.to_string(), key: key.to_string(), body });
         rest = &rest[end + 4 + size..];
     }
-    all
+    messages
 }
 
 fn is_batch(call: &HttpMessage) -> bool {
     call.first.starts_with("POST /v1/messages:batch ")
 }
 
-fn batches(server: &Server) -> Vec<Vec<Part>> {
-    server.received().iter().filter(|c| is_batch(c)).map(parts).collect()
+fn batches(server: &Server) -> Vec<Vec<BatchedMessage>> {
+    server.received().iter().filter(|call| is_batch(call)).map(parse_batch).collect()
 }
 
-/// One slot, kinds that take ten messages in a call, and an endpoint whose first call is held until it is released.
-struct Scene {
+/// A daemon with one slot and batches of up to ten messages, and an endpoint that does not respond to its first call before
+/// `release`.
+struct Fixture {
     endpoint: Server,
-    disco: Server,
+    discovery: Server,
     daemon: Daemon,
     release: Sender<()>,
 }
 
-fn scene(answer: impl Fn(&[Part], usize) -> Reply + Send + Sync + 'static) -> Scene {
+/// Starts the daemon. `respond` gets the messages of a batch and the batch's index, from 0.
+fn fixture(respond: impl Fn(&[BatchedMessage], usize) -> Reply + Send + Sync + 'static) -> Fixture {
     let (release, released) = channel::<()>();
     let released = Mutex::new(released);
-    let calls = Mutex::new(0);
-    let endpoint = Server::start(move |heard, n| {
+    let batch_count = Mutex::new(0);
+    let endpoint = Server::start(move |call, n| {
         if n == 0 {
             let _ = released.lock().expect("lock").recv_timeout(EVENT_TIMEOUT);
         }
-        if !is_batch(heard) {
+        if !is_batch(call) {
             return say("200 OK", "", "");
         }
-        let mut calls = calls.lock().expect("lock");
-        *calls += 1;
-        answer(&parts(heard), *calls - 1)
+        let mut batch_count = batch_count.lock().expect("lock");
+        *batch_count += 1;
+        respond(&parse_batch(call), *batch_count - 1)
     });
-    let known = list(1, &[(7, endpoint.addr)]);
-    let disco = discovery(known.clone());
+    let endpoints = list(1, &[(7, endpoint.addr)]);
+    let discovery = discovery(endpoints.clone());
     let swaps = vec![(r#""perCall":[1]"#, r#""perCall":[10]"#), (r#""workers":6"#, r#""workers":1"#)];
-    let daemon = Setup { swaps, ..setup(&disco, known) }.start();
-    Scene { endpoint, disco, daemon, release }
+    let daemon = Setup { swaps, ..setup(&discovery, endpoints) }.start();
+    Fixture { endpoint, discovery, daemon, release }
 }
 
-impl Scene {
-    /// Submits messages that wait for the slot, and then are sent together.
-    fn submit_together(&self, all: &[(&str, &str)]) {
+impl Fixture {
+    /// Submits messages while the only slot is in use, so that they are sent in one batch once it is free.
+    fn submit_together(&self, messages: &[(&str, &str)]) {
         assert_eq!(self.daemon.submit("stats", "first"), 202);
         self.endpoint.wait_request("first");
-        all.iter().for_each(|(class, id)| assert_eq!(self.daemon.submit(class, id), 202));
-        self.release.send(()).expect("it waits");
-        self.endpoint.wait("a call with several", |all| all.iter().any(is_batch));
+        messages.iter().for_each(|(class, id)| assert_eq!(self.daemon.submit(class, id), 202));
+        self.release.send(()).expect("the endpoint waits for the release");
+        self.endpoint.wait("a batch", |calls| calls.iter().any(is_batch));
     }
 }
 
-fn answer_for_each(parts: &[Part], result: impl Fn(&str) -> &'static str) -> String {
-    parts.iter().map(|p| format!("{} {}\r\n", p.id, result(&p.id))).collect()
+/// Returns the body of a response with a result for each message.
+fn results_for(messages: &[BatchedMessage], result: impl Fn(&str) -> &'static str) -> String {
+    messages.iter().map(|m| format!("{} {}\r\n", m.id, result(&m.id))).collect()
 }
 
 #[test]
-fn each_message_ends_as_the_complete_answer_says() {
-    let s = scene(|parts, n| {
+fn each_message_gets_the_outcome_in_the_response() {
+    let fixture = fixture(|messages, n| {
         let result = |id: &str| match (n, id) {
             (0, "f") => "failed",
             (0, "b") => "busy",
             (0, "v") => "void",
             _ => "done",
         };
-        say("200 OK", "", &answer_for_each(parts, result))
+        say("200 OK", "", &results_for(messages, result))
     });
-    s.submit_together(&[("payout", "d"), ("payout", "f"), ("payout", "b"), ("payout", "v"), ("stats", "x")]);
-    s.disco.wait_text(r#"{"id":"f","status":"undeliverable"}"#);
-    // The one that was rejected is sent again, the others are not.
-    let times_sent = |all: &[HttpMessage], id: &str| {
-        let alone = all.iter().filter(|c| c.id() == id).count();
-        alone + all.iter().filter(|c| is_batch(c)).flat_map(parts).filter(|p| p.id == id).count()
+    fixture.submit_together(&[
+        ("payout", "d"),
+        ("payout", "f"),
+        ("payout", "b"),
+        ("payout", "v"),
+        ("stats", "x"),
+    ]);
+    fixture.discovery.wait_text(r#"{"id":"f","status":"undeliverable"}"#);
+    // Only the message with the result `busy` is sent again.
+    let times_sent = |calls: &[HttpMessage], id: &str| {
+        let alone = calls.iter().filter(|c| c.id() == id).count();
+        alone + calls.iter().filter(|c| is_batch(c)).flat_map(parse_batch).filter(|m| m.id == id).count()
     };
-    let all = s.endpoint.wait("b again", |all| times_sent(all, "b") == 2);
-    assert_eq!(["d", "f", "v", "x"].map(|id| times_sent(&all, id)), [1; 4]);
-    let first = &batches(&s.endpoint)[0];
-    assert!((2..=10).contains(&first.len()), "{}", first.len());
-    let d = first.iter().find(|p| p.id == "d").expect("it went");
+    let calls = fixture.endpoint.wait("b again", |calls| times_sent(calls, "b") == 2);
+    assert_eq!(["d", "f", "v", "x"].map(|id| times_sent(&calls, id)), [1; 4]);
+    let first_batch = &batches(&fixture.endpoint)[0];
+    assert!((2..=10).contains(&first_batch.len()), "{}", first_batch.len());
+    let d = first_batch.iter().find(|m| m.id == "d").expect("message d was sent");
     assert_eq!((d.key.as_str(), d.body.as_slice()), ("key-d", &b"body of d"[..]));
-    assert_eq!(s.disco.count_distinct(r#""id":"d""#) + s.disco.count_distinct(r#""id":"v""#), 0);
+    let callbacks = |id: &str| fixture.discovery.count_distinct(id);
+    assert_eq!(callbacks(r#""id":"d""#) + callbacks(r#""id":"v""#), 0);
 }
 
 #[test]
-fn a_call_carries_no_more_than_its_kind_takes() {
-    let s = scene(|parts, _| say("200 OK", "", &answer_for_each(parts, |_| "done")));
-    let names: Vec<String> = (0..25).map(|n| format!("m{n}")).collect();
-    let all: Vec<(&str, &str)> = names.iter().map(|n| ("stats", n.as_str())).collect();
-    s.submit_together(&all);
-    let sent = |all: &[HttpMessage]| all.iter().filter(|c| is_batch(c)).flat_map(parts).count();
-    let all =
-        s.endpoint.wait("all of them", |all| sent(all) + all.iter().filter(|c| !is_batch(c)).count() >= 26);
-    let sizes: Vec<usize> = all.iter().filter(|c| is_batch(c)).map(|c| parts(c).len()).collect();
+fn a_batch_has_at_most_the_number_of_messages_that_its_kind_allows() {
+    let fixture = fixture(|messages, _| say("200 OK", "", &results_for(messages, |_| "done")));
+    let ids: Vec<String> = (0..25).map(|n| format!("m{n}")).collect();
+    let messages: Vec<(&str, &str)> = ids.iter().map(|id| ("stats", id.as_str())).collect();
+    fixture.submit_together(&messages);
+    let batched = |calls: &[HttpMessage]| calls.iter().filter(|c| is_batch(c)).flat_map(parse_batch).count();
+    let calls = fixture
+        .endpoint
+        .wait("all messages", |calls| batched(calls) + calls.iter().filter(|c| !is_batch(c)).count() >= 26);
+    let sizes: Vec<usize> = calls.iter().filter(|c| is_batch(c)).map(|c| parse_batch(c).len()).collect();
     assert!(sizes.iter().all(|n| (2..=10).contains(n)) && sizes.contains(&10), "{sizes:?}");
 }
 
-/// Where none has run, all are sent again; a payout too.
+/// These statuses state that no message of the batch was run, so even a payout, which must not run twice, is sent again.
 #[rstest]
-#[case::too_many("413 Too Many")]
-#[case::unread("400 Bad")]
-#[case::full("503 Full")]
-fn an_answer_that_none_has_run_has_all_sent_again(#[case] status: &'static str) {
-    let s = scene(move |parts, n| match n {
+#[case::too_large("413 Too Many")]
+#[case::bad_request("400 Bad")]
+#[case::unavailable("503 Full")]
+fn resends_all_messages_if_the_response_states_that_none_was_run(#[case] status: &'static str) {
+    let fixture = fixture(move |messages, n| match n {
         0 => say(status, "", ""),
-        _ => say("200 OK", "", &answer_for_each(parts, |_| "done")),
+        _ => say("200 OK", "", &results_for(messages, |_| "done")),
     });
-    s.submit_together(&[("payout", "p"), ("stats", "q")]);
-    let times = |all: &[HttpMessage], id: &str| {
-        all.iter().filter(|c| c.id() == id || (is_batch(c) && parts(c).iter().any(|p| p.id == id))).count()
+    fixture.submit_together(&[("payout", "p"), ("stats", "q")]);
+    let times_sent = |calls: &[HttpMessage], id: &str| {
+        let carries =
+            |c: &HttpMessage| c.id() == id || (is_batch(c) && parse_batch(c).iter().any(|m| m.id == id));
+        calls.iter().filter(|c| carries(c)).count()
     };
-    s.endpoint.wait("both again", |all| times(all, "p") == 2 && times(all, "q") == 2);
+    let both_again = |calls: &[HttpMessage]| times_sent(calls, "p") == 2 && times_sent(calls, "q") == 2;
+    fixture.endpoint.wait("both messages again", both_again);
 }
 
 #[rstest]
-#[case::cut(|_: &[Part]| Reply::Close)]
-#[case::half(|p: &[Part]| Reply::Respond(format!("HTTP/1.1 200 OK\r\ncontent-length: 500\r\n\r\n{} done\r\n", p[0].id)))]
-#[case::silent_on_one(|_: &[Part]| say("200 OK", "", "somebody done\r\n"))]
-#[case::error(|_: &[Part]| say("500 Error", "", ""))]
-fn a_payout_in_a_call_that_may_have_run_is_never_sent_again(#[case] reply: fn(&[Part]) -> Reply) {
-    let s = scene(move |parts, n| match n {
-        0 => reply(parts),
-        _ => say("200 OK", "", &answer_for_each(parts, |_| "done")),
+#[case::connection_closed(|_: &[BatchedMessage]| Reply::Close)]
+#[case::incomplete_body(|m: &[BatchedMessage]| {
+    Reply::Respond(format!("HTTP/1.1 200 OK\r\ncontent-length: 500\r\n\r\n{} done\r\n", m[0].id))
+})]
+#[case::missing_results(|_: &[BatchedMessage]| say("200 OK", "", "somebody done\r\n"))]
+#[case::error_status(|_: &[BatchedMessage]| say("500 Error", "", ""))]
+fn never_resends_a_payout_of_a_batch_that_may_have_run(#[case] reply: fn(&[BatchedMessage]) -> Reply) {
+    let fixture = fixture(move |messages, n| match n {
+        0 => reply(messages),
+        _ => say("200 OK", "", &results_for(messages, |_| "done")),
     });
-    s.submit_together(&[("payout", "p"), ("payout", "r"), ("stats", "q")]);
-    s.disco.wait_text(r#"{"id":"p","status":"undeliverable"}"#);
-    s.disco.wait_text(r#"{"id":"r","status":"undeliverable"}"#);
-    let times = |id: &str| batches(&s.endpoint).iter().flatten().filter(|p| p.id == id).count();
-    assert_eq!((times("p"), times("r")), (1, 1));
+    fixture.submit_together(&[("payout", "p"), ("payout", "r"), ("stats", "q")]);
+    fixture.discovery.wait_text(r#"{"id":"p","status":"undeliverable"}"#);
+    fixture.discovery.wait_text(r#"{"id":"r","status":"undeliverable"}"#);
+    let times_sent = |id: &str| batches(&fixture.endpoint).iter().flatten().filter(|m| m.id == id).count();
+    assert_eq!((times_sent("p"), times_sent("r")), (1, 1));
 }
 
 #[test]
-fn a_retry_after_in_the_answer_to_a_batch_is_respected() {
-    let s = scene(|parts, n| match n {
-        0 => say("200 OK", "Retry-After: 1.2\r\n", &answer_for_each(parts, |_| "busy")),
-        _ => say("200 OK", "", &answer_for_each(parts, |_| "done")),
+fn respects_a_retry_after_in_the_response_to_a_batch() {
+    let fixture = fixture(|messages, n| match n {
+        0 => say("200 OK", "Retry-After: 1.2\r\n", &results_for(messages, |_| "busy")),
+        _ => say("200 OK", "", &results_for(messages, |_| "done")),
     });
-    s.submit_together(&[("payout", "p"), ("payout", "q")]);
-    s.daemon.wait_log("Retry-After received");
-    let (received_at, before) = (Instant::now(), s.endpoint.received().len());
-    s.endpoint.wait("more", |all| all.len() > before);
+    fixture.submit_together(&[("payout", "p"), ("payout", "q")]);
+    fixture.daemon.wait_log("Retry-After received");
+    let (received_at, calls_before) = (Instant::now(), fixture.endpoint.received().len());
+    fixture.endpoint.wait("another call", |calls| calls.len() > calls_before);
     assert!(received_at.elapsed() >= Duration::from_millis(1100), "sent after {:?}", received_at.elapsed());
 }
 
 #[test]
-fn a_message_that_times_out_does_not_cancel_a_payout_in_its_call() {
-    let s = scene(|_, _| Reply::RespondAndHold(String::new()));
-    s.submit_together(&[("payout", "p"), ("stats", "q")]);
-    s.daemon.wait_log("attempt ended message=q outcome=Timeout");
-    assert!(!s.daemon.log().contains("attempt ended message=p"), "a payout may use all of its time");
+fn a_message_that_times_out_does_not_cancel_a_payout_in_its_batch() {
+    let fixture = fixture(|_, _| Reply::RespondAndHold(String::new()));
+    fixture.submit_together(&[("payout", "p"), ("stats", "q")]);
+    fixture.daemon.wait_log("attempt ended message=q outcome=Timeout");
+    let log = fixture.daemon.log();
+    assert!(!log.contains("attempt ended message=p"), "a payout's attempt may last until its deadline");
 }
 
-/// A batch gives its slot up once all of its messages are cancelled, and not for one of them.
+/// A batch frees its slot only once all of its messages are cancelled.
 #[test]
-fn a_silent_batch_makes_way_for_another_destination() {
-    let other = Server::always("200 OK");
+fn a_batch_without_a_response_frees_its_slot_for_another_destination() {
+    let other_endpoint = Server::always("200 OK");
     let (release, released) = channel::<()>();
     let released = Mutex::new(released);
-    let silent = Server::start(move |heard, n| {
+    let silent_endpoint = Server::start(move |call, n| {
         if n == 0 {
             let _ = released.lock().expect("lock").recv_timeout(EVENT_TIMEOUT);
         }
-        if is_batch(heard) {
+        if is_batch(call) {
             return Reply::RespondAndHold(String::new());
         }
         say("200 OK", "", "")
     });
-    let known = list(1, &[(7, silent.addr), (8, other.addr)]);
-    let disco = discovery(known.clone());
+    let endpoints = list(1, &[(7, silent_endpoint.addr), (8, other_endpoint.addr)]);
+    let discovery = discovery(endpoints.clone());
     let swaps = vec![(r#""perCall":[1]"#, r#""perCall":[10]"#), (r#""workers":6"#, r#""workers":1"#)];
-    let daemon = Setup { swaps, ..setup(&disco, known) }.start();
-    let s = Scene { endpoint: silent, disco, daemon, release };
-    s.submit_together(&[("stats", "a"), ("stats", "b"), ("stats", "c")]);
-    let elsewhere = String::from_utf8(message("payout", "o", "20000m", "")).expect("text");
-    let elsewhere = elsewhere.replace("dest=7", "dest=8");
-    assert_eq!(s.daemon.ask(elsewhere.as_bytes()).map(|h| h.status()), Some(202));
-    other.wait_request("o");
+    let daemon = Setup { swaps, ..setup(&discovery, endpoints) }.start();
+    let fixture = Fixture { endpoint: silent_endpoint, discovery, daemon, release };
+    fixture.submit_together(&[("stats", "a"), ("stats", "b"), ("stats", "c")]);
+    let request = String::from_utf8(message("payout", "o", "20000m", "")).expect("UTF-8");
+    let to_other_destination = request.replace("dest=7", "dest=8");
+    assert_eq!(fixture.daemon.ask(to_other_destination.as_bytes()).map(|r| r.status()), Some(202));
+    other_endpoint.wait_request("o");
     let ended = |id: &str, log: &str| log.contains(&format!("attempt ended message={id} outcome="));
-    let log = s.daemon.log();
-    assert!(["a", "b", "c"].iter().all(|id| ended(id, &log)), "its slot was freed before its call had ended");
+    let log = fixture.daemon.log();
+    assert!(
+        ["a", "b", "c"].iter().all(|id| ended(id, &log)),
+        "the slot was freed before the batch had ended"
+    );
 }
--- a/tests/waits.rs
+++ b/tests/waits.rs
@@ -1,4 +1,5 @@
-//! A Retry-After belongs to the partner and not to the message: it is respected whatever becomes of the call that it answered.
+//! A Retry-After applies to the endpoint and not only to the message. It must be respected even if the response is malformed
+//! or incomplete, or the call was cancelled.
 mod stand;
 use rstest::rstest;
 use stand::*;
@@ -6,99 +7,103 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
 
-/// The partner's answer to `a`, with a Retry-After; its connection stays open after it.
-const REJECTION: &str = "HTTP/1.1 429 Later\r\nretry-after: 2.4\r\n";
+/// The start of the response to message `a`: a head with a Retry-After, still incomplete. The endpoint keeps the connection
+/// open after it.
+const REJECTION_START: &str = "HTTP/1.1 429 Later\r\nretry-after: 2.4\r\n";
 
-fn started() -> (FullBacklogEndpoint, Server, Daemon) {
+fn start_daemon() -> (FullBacklogEndpoint, Server, Daemon) {
     let endpoint = FullBacklogEndpoint::start();
-    let known = list(1, &[(7, endpoint.addr)]);
-    let disco = discovery(known.clone());
+    let endpoints = list(1, &[(7, endpoint.addr)]);
+    let discovery = discovery(endpoints.clone());
     let swaps = vec![LONG_CONNECT_TIMEOUT, (r#""resolutionNs":5000000"#, r#""resolutionNs":1000000"#)];
-    let daemon = Setup { swaps, ..setup(&disco, known) }.start();
-    (endpoint, disco, daemon)
+    let daemon = Setup { swaps, ..setup(&discovery, endpoints) }.start();
+    (endpoint, discovery, daemon)
 }
 
-/// The call of a message with this deadline, of the class that uses all of its time.
+/// Submits message `a` with this deadline, and returns the connection on which the endpoint has received its call. The class
+/// lets an attempt last until the deadline.
 fn call_in_flight(endpoint: &FullBacklogEndpoint, daemon: &Daemon, deadline: &str) -> TcpStream {
-    let text = message("payout", "a", deadline, "");
-    assert_eq!(daemon.ask(&text).map(|h| h.status()), Some(202));
+    let request = message("payout", "a", deadline, "");
+    assert_eq!(daemon.ask(&request).map(|response| response.status()), Some(202));
     let socket = endpoint.accept();
     assert_eq!(call(&socket).id(), "a");
     socket
 }
 
-/// The next message is sent only when the Retry-After has passed.
-fn assert_respected(endpoint: &FullBacklogEndpoint, daemon: &Daemon, sent_at: Instant) {
+/// Checks that the next message is not sent before the Retry-After has passed.
+fn assert_retry_after_respected(endpoint: &FullBacklogEndpoint, daemon: &Daemon, sent_at: Instant) {
     assert_eq!(daemon.submit("stats", "b"), 202);
     let next = endpoint.accept();
     assert_eq!(call(&next).id(), "b");
-    let after = sent_at.elapsed();
+    let delay = sent_at.elapsed();
     answer(&next, "200 OK", "");
-    // The time counts from when it is written; the 100 ms in which a call may still be sent are not used here.
-    assert!(after >= Duration::from_millis(2390), "b came {after:?} after the Retry-After");
+    // The time counts from the write of the Retry-After. The 100 ms within which a call may still be sent after a Retry-After
+    // do not apply here.
+    assert!(delay >= Duration::from_millis(2390), "message b was sent {delay:?} after the Retry-After");
     daemon.wait_log("attempt ended message=b outcome=Ok");
 }
 
+/// Writes to the socket, and returns the time after the write.
 fn write(mut socket: &TcpStream, text: &str) -> Instant {
-    socket.write_all(text.as_bytes()).expect("it listens");
+    socket.write_all(text.as_bytes()).expect("write to the daemon");
     Instant::now()
 }
 
-/// The head never ends, or cannot be parsed: its Retry-After line was complete.
+/// The head is incomplete or cannot be parsed, but its Retry-After line is complete.
 #[rstest]
-#[case::without_end("x-more: ")]
-#[case::unreadable("\x01\x02 what\r\n\r\n")]
-#[case::broken_off("")]
-fn a_retry_after_in_a_malformed_head_is_respected(#[case] more: &str) {
-    let (endpoint, _disco, daemon) = started();
+#[case::incomplete("x-more: ")]
+#[case::not_a_header("\x01\x02 what\r\n\r\n")]
+#[case::connection_closed("")]
+fn respects_a_retry_after_in_a_malformed_head(#[case] rest: &str) {
+    let (endpoint, _discovery, daemon) = start_daemon();
     let socket = call_in_flight(&endpoint, &daemon, "20000m");
-    let sent_at = write(&socket, &format!("{REJECTION}{more}"));
-    if more.is_empty() {
-        socket.shutdown(Shutdown::Both).expect("it stood");
+    let sent_at = write(&socket, &format!("{REJECTION_START}{rest}"));
+    if rest.is_empty() {
+        socket.shutdown(Shutdown::Both).expect("shut the connection down");
     }
     daemon.wait_log("attempt ended message=a");
-    assert_respected(&endpoint, &daemon, sent_at);
+    assert_retry_after_respected(&endpoint, &daemon, sent_at);
 }
 
-/// The body never ends, and the deadline of the message passes meanwhile.
+/// The body of the response is still incomplete when the message's deadline passes.
 #[test]
-fn a_retry_after_whose_body_is_incomplete_at_the_deadline_is_respected() {
-    let (endpoint, disco, daemon) = started();
+fn respects_a_retry_after_whose_body_is_incomplete_at_the_deadline() {
+    let (endpoint, discovery, daemon) = start_daemon();
     let socket = call_in_flight(&endpoint, &daemon, "600m");
-    let sent_at = write(&socket, &format!("{REJECTION}content-length: 9\r\n\r\n"));
-    disco.wait_text(r#""id":"a""#);
-    assert_respected(&endpoint, &daemon, sent_at);
+    let sent_at = write(&socket, &format!("{REJECTION_START}content-length: 9\r\n\r\n"));
+    discovery.wait_text(r#""id":"a""#);
+    assert_retry_after_respected(&endpoint, &daemon, sent_at);
 }
 
-/// The call is cancelled just before the partner answers: its sending side is shut down, and an answer that crosses that is
-/// still read.
+/// The call is cancelled just before the endpoint responds: the daemon has shut down its side of the connection for writing,
+/// but must still read a response that is on its way.
 #[test]
-fn a_retry_after_that_crosses_the_cancellation_of_its_call_is_respected() {
-    let (endpoint, _disco, daemon) = started();
+fn respects_a_retry_after_that_arrives_just_after_its_call_is_cancelled() {
+    let (endpoint, _discovery, daemon) = start_daemon();
     let mut socket = call_in_flight(&endpoint, &daemon, "600m");
-    // The partner has read all that is sent: the call is cancelled.
-    assert_eq!(socket.read(&mut [0]).expect("no reset"), 0);
-    let sent_at = write(&socket, &format!("{REJECTION}content-length: 0\r\n\r\n"));
+    // The end of the stream shows that the call is cancelled.
+    assert_eq!(socket.read(&mut [0]).expect("the end of the stream, not a reset"), 0);
+    let sent_at = write(&socket, &format!("{REJECTION_START}content-length: 0\r\n\r\n"));
     daemon.wait_log("attempt ended message=a outcome=Timeout");
     daemon.wait_log("Retry-After received");
-    assert_respected(&endpoint, &daemon, sent_at);
+    assert_retry_after_respected(&endpoint, &daemon, sent_at);
 }
 
-/// Nothing else is read on the connection of a cancelled call, and no further call is sent on it.
+/// The connection of a cancelled call must not carry another call, and must be closed even if the endpoint keeps sending.
 #[test]
-fn a_cancelled_call_is_closed_and_its_late_answer_delivers_nothing() {
-    let (endpoint, disco, daemon) = started();
+fn closes_the_connection_of_a_cancelled_call_and_ignores_its_late_response() {
+    let (endpoint, discovery, daemon) = start_daemon();
     let mut socket = call_in_flight(&endpoint, &daemon, "600m");
-    assert_eq!(socket.read(&mut [0]).expect("no reset"), 0);
-    disco.wait_text(r#"{"id":"a","status":"undeliverable"}"#);
+    assert_eq!(socket.read(&mut [0]).expect("the end of the stream, not a reset"), 0);
+    discovery.wait_text(r#"{"id":"a","status":"undeliverable"}"#);
     assert_eq!(daemon.submit("stats", "b"), 202);
     let next = endpoint.accept();
     assert_eq!(call(&next).id(), "b");
     answer(&next, "200 OK", "");
     daemon.wait_log("attempt ended message=b outcome=Ok");
-    // It was closed some time after the cancellation: what is written there is read by nobody.
-    let until = Instant::now() + EVENT_TIMEOUT;
+    // A write fails once the daemon has closed the connection, some time after the cancellation.
+    let give_up_at = Instant::now() + EVENT_TIMEOUT;
     while socket.write_all(b"HTTP").is_ok() {
-        assert!(Instant::now() < until, "it is read for ever");
+        assert!(Instant::now() < give_up_at, "the daemon keeps the connection open");
     }
 }
