--- a/src/exchange/command.rs
+++ b/src/exchange/command.rs
@@ -1,4 +1,4 @@
-//! The messages of the exchange: commands to its task, and commands from it to the server side.
+//! The commands to the exchange task, and the commands from it to the upstream side.
 use crate::core::{Answer, Attempt, Endpoint, EndpointObservation, Input, SuspensionResult};
 use crate::request::RequestContext;
 use crate::takeover::{FolderLock, LateOutcomeWriter};
@@ -6,65 +6,65 @@
 use bytes::Bytes;
 use tokio::sync::oneshot;
 
-/// A command to the exchange task. A `reply` is sent once the command has been carried out.
+/// A command to the exchange task. `reply` is completed once the command has been executed.
 pub(super) enum Command {
-    /// A client submits a request.
+    /// Submits a client's request.
     Submit { context: RequestContext, reply: oneshot::Sender<Answer> },
-    /// An event for the core.
+    /// Passes an input to the core.
     Input(Input),
-    /// An attempt waits for the asynchronous receipt of this AS2 message.
+    /// Registers an attempt that waits for the asynchronous receipt of this AS2 message.
     AwaitReceipt { message_id: String, reply: oneshot::Sender<Bytes> },
-    /// Such a receipt has arrived on a client connection.
+    /// Delivers an asynchronous receipt that has arrived on a client connection.
     ReceiptReceived { message_id: String, receipt: Bytes },
-    /// The process is asked to shut down gracefully; the reply says that it may exit.
+    /// Shuts down gracefully. The reply is sent when the process may exit.
     ShutDown { reply: oneshot::Sender<()> },
-    /// What this forwarder has observed of its endpoints is wanted.
+    /// Returns this forwarder's local endpoint observations.
     Observations { reply: oneshot::Sender<Vec<EndpointObservation>> },
-    /// An operator suspends or resumes an endpoint.
+    /// Suspends or resumes an endpoint on behalf of an operator.
     SetSuspension { uid: String, suspension: Suspension, reply: oneshot::Sender<SuspensionResult> },
-    /// How far client connections are closed.
+    /// Sets the state of client connections.
     SetClientConnections(ClientConnections),
-    /// What the last step before the release has put out is to be executed now.
+    /// Executes the withheld outputs of the last step before the release of the journal.
     SendLastAnswers,
-    /// The journal belongs to another process from now on; outcomes of calls in flight go to `late`. The owner's lock is
-    /// dropped with the release.
+    /// Releases the journal to another process. Outcomes of calls in flight are written to `late` afterwards. The owner lock is
+    /// dropped on release.
     ReleaseJournal { late: LateOutcomeWriter, owner_lock: FolderLock, reply: oneshot::Sender<()> },
 }
 
 /// An update of the endpoint list.
 pub enum EndpointUpdate {
-    /// All endpoints: those that it does not name are removed.
+    /// The complete list. Endpoints that it does not contain are removed.
     Complete(Vec<Endpoint>),
-    /// Endpoints that are new or changed: all others stay as they are.
+    /// Only new or changed endpoints. All others stay as they are.
     Changes(Vec<Endpoint>),
 }
 
-/// What an operator wants of an endpoint.
+/// An operator's change of an endpoint's suspension.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Suspension {
-    /// It is taken out of rotation until it is resumed, also over restarts.
+    /// Takes the endpoint out of rotation until it is resumed. Persists across restarts.
     Suspend,
-    /// It goes back into rotation.
+    /// Returns the endpoint to rotation.
     Resume,
 }
 
-/// How far client connections are closed; each step goes further than the one before.
+/// The state of client connections, ordered from open to closing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ClientConnections {
-    /// They are accepted, and stay open for the next request.
+    /// New connections are accepted, and connections stay open for the next request.
     Open,
-    /// They are accepted, and closed between two requests.
+    /// New connections are accepted, and connections are closed between two requests.
     Draining,
-    /// The same, but no new one is accepted.
+    /// No new connections are accepted, and connections are closed between two requests.
     NotAccepted,
-    /// The same, and a request that is still arriving is soon given up. This is final.
+    /// As `NotAccepted`, and a request that is still being received is aborted soon. This state is final.
     Closing,
 }
 
-/// One attempt of a message.
+/// The id of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
-    /// The message.
+    /// The id of the message.
     pub message: MessageId,
     /// The number of the attempt, from 0.
     pub attempt: u32,
@@ -76,14 +76,14 @@
     }
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptResult {
-    /// Its outcome.
+    /// The outcome.
     pub outcome: Outcome,
-    /// Whether the endpoint says that the message needs no further attempt.
+    /// Whether the endpoint reported that the message needs no further attempt.
     pub is_message_over: bool,
-    /// The load report that came with the answer.
+    /// The load report in the endpoint's response.
     pub report: Option<LoadReport>,
 }
 
@@ -93,9 +93,9 @@
     }
 }
 
-/// What the server side does for the exchange.
+/// A command of the exchange to the upstream side.
 pub enum UpstreamCommand {
-    /// Makes one call that carries these attempts, all to the same endpoint.
+    /// Makes one call that carries these attempts, which all go to the same endpoint.
     Call(Vec<Attempt>),
     /// Cancels this attempt.
     CancelAttempt(AttemptId),
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -1,10 +1,10 @@
-//! The exchange: the one object in which client side and server side meet. Clients submit requests and wait for answers;
-//! the server side takes calls and callbacks from it and returns their outcomes. Neither side knows the other.
+//! The exchange connects the client side with the upstream side. Client handlers submit requests and wait for their answers.
+//! The upstream side receives calls and callbacks and reports their outcomes. Neither side depends on the other.
 //!
-//! - `command`: the messages between the two sides and the exchange task
+//! - `command`: the commands to and from the exchange task
 //! - `task`: the task that drives the core
-//! - `core_handle`: the core behind its lock
-//! - `receipts`: asynchronous AS2 receipts, matched with the attempts that wait for them
+//! - `core_handle`: the core behind a mutex
+//! - `receipts`: matches asynchronous AS2 receipts with the attempts that wait for them
 //! - `shutdown`: the phases of a graceful shutdown
 #![warn(missing_docs)]
 mod command;
@@ -33,15 +33,15 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::sync::{oneshot, watch};
 
-/// Why the exchange gave no reply.
+/// An error of a request to the exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ExchangeError {
-    /// The exchange task has ended, as it does with the process only.
-    #[error("exchange: its task has ended; the process is exiting, ask the one that serves now")]
+    /// The exchange task has ended, which happens only when the process exits.
+    #[error("the exchange task has ended because this process is exiting; retry with the process that replaced it")]
     TaskEnded,
 }
 
-/// The handle by which both sides reach the exchange task.
+/// A handle to the exchange task. Clones share the task.
 #[derive(Clone)]
 pub struct Exchange {
     commands: UnboundedSender<Command>,
@@ -49,18 +49,18 @@
     client_connections: watch::Receiver<ClientConnections>,
 }
 
-/// The receiving ends of the work that the exchange hands out.
+/// The receivers of the work that the exchange dispatches.
 pub struct Outputs {
-    /// Calls to start or cancel, and idle connections to close.
+    /// Commands to start or cancel calls, and to close idle connections.
     pub upstream_commands: UnboundedReceiver<UpstreamCommand>,
     /// Completion callbacks to the platform.
     pub platform_callbacks: UnboundedReceiver<Callback>,
-    /// Completions for which an AS2 partner is owed an asynchronous receipt (MDN).
+    /// Completions of messages from AS2 partners, each due an asynchronous receipt (MDN).
     pub as2_receipts: UnboundedReceiver<Callback>,
 }
 
 impl Exchange {
-    /// Starts the exchange task for this core.
+    /// Starts the exchange task, which drives `core`.
     pub fn new(core: Core) -> (Exchange, Outputs) {
         let (commands, received) = unbounded_channel();
         let core = SharedCore::new(core);
@@ -69,11 +69,11 @@
         (Exchange { commands, core, client_connections }, outputs)
     }
 
-    /// Submits a request. A caller that drops this future before the answer withdraws the request. Once the exchange task has
-    /// ended the request is rejected.
+    /// Submits a request and returns its answer. Dropping the future before the answer arrives withdraws the request. Rejects the
+    /// request if the exchange task has ended.
     pub async fn submit(&self, context: RequestContext) -> Answer {
-        let answer = self.request(|reply| Command::Submit { context, reply }).await;
-        answer.unwrap_or(Answer::Reject(None))
+        let result = self.request(|reply| Command::Submit { context, reply }).await;
+        result.unwrap_or(Answer::Reject(None))
     }
 
     /// Applies an update of the endpoint list.
@@ -85,115 +85,117 @@
         self.send(Command::Input(Input::Endpoints { complete, endpoints }));
     }
 
-    /// Whether an attempt that has its connection may still be sent. Every transport asks once, right before the first byte:
-    /// a connect may take seconds, and a retry-after, a drain or a withdrawal may have come meanwhile.
+    /// Returns whether an attempt may still be sent, now that it has a connection. Every transport calls this once per attempt,
+    /// right before the first byte: a connect may take seconds, during which a Retry-After, a drain or a withdrawal may arrive.
     pub fn may_send(&self, id: AttemptId) -> bool {
         self.core.lock().may_send(clock::now(), id.message, id.attempt)
     }
 
-    /// Reports how an attempt ended, exactly once for each attempt that was handed out.
+    /// Reports how an attempt ended. Called exactly once for each dispatched attempt.
     pub fn attempt_ended(&self, id: AttemptId, result: AttemptResult) {
         let AttemptId { message: id, attempt } = id;
         let AttemptResult { outcome, is_message_over: over, report } = result;
         self.send(Command::Input(Input::AttemptEnded { id, attempt, outcome, over, report }));
     }
 
-    /// An endpoint asked for a pause (Retry-After), which counts whatever becomes of the attempt that it answered.
+    /// Reports a Retry-After from an endpoint. The pause applies regardless of the outcome of the attempt whose response carried
+    /// it.
     pub fn retry_after_received(&self, host: EndpointId, dest: DestinationId, wait: Nanos) {
         self.send(Command::Input(Input::RetryAfter { host, dest, wait }));
     }
 
-    /// The recipient has acknowledged the callback for this message.
+    /// Reports that the recipient has acknowledged the completion callback of this message.
     pub fn callback_acknowledged(&self, id: MessageId) {
         self.send(Command::Input(Input::CallbackAcknowledged(id)));
     }
 
-    /// Applies what peers observed of endpoints.
+    /// Applies endpoint observations that peers have published.
     pub fn peer_observations(&self, observations: Vec<EndpointObservation>) {
         self.send(Command::Input(Input::PeerObservations(observations)));
     }
 
-    /// What this forwarder has observed itself of its endpoints; nothing once the exchange task has ended.
+    /// Returns this forwarder's local endpoint observations, or none if the exchange task has ended.
     pub async fn observations(&self) -> Vec<EndpointObservation> {
         self.request(|reply| Command::Observations { reply }).await.unwrap_or_default()
     }
 
-    /// Suspends or resumes the endpoint with this uid for an operator. Returns once that is in force, or has failed.
+    /// Suspends or resumes the endpoint with this uid on behalf of an operator. Returns once the change has taken effect or
+    /// failed.
     ///
     /// # Errors
     ///
-    /// The exchange task has ended.
+    /// Returns [`ExchangeError::TaskEnded`] if the exchange task has ended.
     pub async fn set_suspension(
         &self, uid: String, suspension: Suspension,
     ) -> Result<SuspensionResult, ExchangeError> {
         self.request(|reply| Command::SetSuspension { uid, suspension, reply }).await
     }
 
-    /// The metrics for operators. They are counted from the first call on.
+    /// Returns the operator metrics. Counting starts with the first call of this method.
     pub fn metrics(&self) -> Arc<Metrics> {
         self.core.lock().enable_metrics(clock::now())
     }
 
-    /// Registers an attempt that waits for the asynchronous AS2 receipt (MDN) of this message, which arrives on a client
-    /// connection.
+    /// Registers an attempt that waits for the asynchronous AS2 receipt (MDN) of this message. The receipt arrives on a client
+    /// connection and is delivered through the returned receiver.
     pub fn await_receipt(&self, message_id: &str) -> oneshot::Receiver<Bytes> {
         let (reply, receipt) = oneshot::channel();
         self.send(Command::AwaitReceipt { message_id: message_id.to_string(), reply });
         receipt
     }
 
-    /// Passes an asynchronous AS2 receipt (MDN) on to the attempt that waits for it.
+    /// Forwards an asynchronous AS2 receipt (MDN) to the attempt that waits for it.
     pub fn receipt_received(&self, message_id: String, receipt: Bytes) {
         self.send(Command::ReceiptReceived { message_id, receipt });
     }
 
-    /// Sets how far client connections are closed. Once they are closed to the end this changes nothing.
+    /// Sets the state of client connections. Has no effect once the state is [`ClientConnections::Closing`].
     pub fn set_client_connections(&self, connections: ClientConnections) {
         self.send(Command::SetClientConnections(connections));
     }
 
-    /// Whether the journal cannot be released now.
+    /// Returns whether the journal cannot be released at present.
     pub fn is_release_blocked(&self) -> bool {
         self.core.lock().is_release_blocked()
     }
 
-    /// Releases the journal to a successor, and writes to `late` what this process knows and what becomes of its calls in
-    /// flight. Once this returns, it does not write the journal, accepts no request and starts no attempt, and the owner's
-    /// lock is free.
+    /// Releases the journal to a successor. Writes what the successor should know of the endpoints to `late`, followed by the
+    /// outcomes of the calls in flight as they end. After the return this process writes nothing to the journal, accepts no
+    /// request and starts no attempt, and the owner lock is free.
     pub async fn release_journal(&self, late: LateOutcomeWriter, owner_lock: FolderLock) {
-        // Where the task has ended there is nothing left to release.
+        // If the task has ended, the journal is no longer in use.
         let _ = self.request(|reply| Command::ReleaseJournal { late, owner_lock, reply }).await;
     }
 
-    /// Sends the answers of the last step before the release, which are held back until now.
+    /// Sends the answers of the last step before the release of the journal, which were withheld until the successor listens.
     pub fn send_last_answers(&self) {
         self.send(Command::SendLastAnswers);
     }
 
-    /// Calls whose first byte may have been sent and that have not ended.
+    /// Returns the number of calls whose first byte may have been sent and that have not ended.
     pub fn calls_in_flight(&self) -> usize {
         self.core.lock().calls_in_flight()
     }
 
-    /// Applies what the predecessor of this process recorded of its calls.
+    /// Applies records that the predecessor wrote after it released the journal, such as late outcomes.
     pub fn predecessor_records(&self, records: Vec<Record>) {
         if !records.is_empty() {
             self.send(Command::Input(Input::PredecessorRecords(records)));
         }
     }
 
-    /// The predecessor has exited or has no call in flight: no more records come from it.
+    /// Reports that the predecessor has exited or has no call in flight, so it writes no more records.
     pub fn predecessor_exited(&self) {
         self.send(Command::Input(Input::PredecessorExited));
     }
 
-    /// Shuts down gracefully. Returns when the process may exit: calls have ended, or [`SHUTDOWN_TIMEOUT`] has passed.
+    /// Shuts down gracefully. Returns when the process may exit: all calls have ended, or [`SHUTDOWN_TIMEOUT`] has passed.
     pub async fn shut_down(&self) {
-        // Where the task has ended the process may exit as well.
+        // If the task has ended, the process may exit as well.
         let _ = self.request(|reply| Command::ShutDown { reply }).await;
     }
 
-    /// How far client connections are closed.
+    /// Returns a receiver of the state of client connections.
     pub fn client_connections(&self) -> watch::Receiver<ClientConnections> {
         self.client_connections.clone()
     }
@@ -202,13 +204,13 @@
     async fn request<T>(
         &self, command: impl FnOnce(oneshot::Sender<T>) -> Command,
     ) -> Result<T, ExchangeError> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, reply_receiver) = oneshot::channel();
         self.send(command(reply));
-        answer.await.map_err(|_| ExchangeError::TaskEnded)
+        reply_receiver.await.map_err(|_| ExchangeError::TaskEnded)
     }
 
     fn send(&self, command: Command) {
-        // The task ends with the process only, and then nobody waits for the effect of a command.
+        // The send fails only if the task has ended. The process is exiting then, so the command can be dropped.
         let _ = self.commands.send(command);
     }
 }
--- a/src/exchange/receipts.rs
+++ b/src/exchange/receipts.rs
@@ -1,10 +1,10 @@
-//! Asynchronous AS2 receipts (MDNs, RFC 4130, section 7): attempts that wait for one, matched by their message id with the
-//! receipts that arrive on client connections.
+//! Matches asynchronous AS2 receipts (MDNs, RFC 4130, section 7) that arrive on client connections with the attempts that wait
+//! for them, by message id.
 use bytes::Bytes;
 use std::collections::BTreeMap;
 use tokio::sync::oneshot;
 
-/// Waiting attempts from which on those that have ended are removed.
+/// The number of registered attempts at which those that have ended are removed.
 const CLEANUP_THRESHOLD: usize = 1024;
 
 /// The attempts that wait for a receipt, by message id.
@@ -12,7 +12,7 @@
 pub(super) struct PendingReceipts(BTreeMap<String, oneshot::Sender<Bytes>>);
 
 impl PendingReceipts {
-    /// Registers an attempt that waits; its receiver is dropped when the attempt ends.
+    /// Registers an attempt that waits for a receipt. The attempt drops the receiver of `reply` when it ends.
     pub(super) fn register(&mut self, message_id: String, reply: oneshot::Sender<Bytes>) {
         if self.0.len() >= CLEANUP_THRESHOLD {
             self.0.retain(|_, reply| !reply.is_closed());
@@ -20,17 +20,15 @@
         self.0.insert(message_id, reply);
     }
 
-    /// Passes a receipt on to the attempt that waits for it. One that comes too late changes nothing: its attempt has had
-    /// its outcome.
+    /// Forwards a receipt to the attempt that waits for it. A late receipt is logged and ignored, because its attempt already has
+    /// an outcome.
     pub(super) fn deliver(&mut self, message_id: &str, receipt: Bytes) {
         let Some(reply) = self.0.remove(message_id) else {
-            log::warn!(
-                "AS2: receipt for {message_id}, which no attempt of this process waits for: changes nothing"
-            );
+            log::warn!("AS2: ignored receipt for {message_id}: no attempt in this process waits for it");
             return;
         };
         if reply.send(receipt).is_err() {
-            log::warn!("AS2: receipt for {message_id} after its attempt had ended: changes nothing");
+            log::warn!("AS2: ignored receipt for {message_id}: its attempt had already ended");
         }
     }
 }
--- a/src/exchange/shutdown.rs
+++ b/src/exchange/shutdown.rs
@@ -1,32 +1,33 @@
-//! The phases of a graceful shutdown, without I/O: what the process still does how long after the shutdown was requested.
+//! The phases of a graceful shutdown as a function of the time since the shutdown was requested. Performs no I/O.
 use std::time::Duration;
 
-/// How long client connections stay open at least: new ones still arrive for 0.4 s after SIGTERM.
+/// The minimum time that client connections stay open. New connections still arrive for 0.4 s after SIGTERM.
 const CONNECTION_GRACE_PERIOD: Duration = Duration::from_millis(500);
-/// How long new attempts still start.
+/// How long after the shutdown request new attempts still start.
 const ATTEMPT_GRACE_PERIOD: Duration = Duration::from_millis(1500);
-/// How long the process waits for attempts in flight. With the last answers (`client::FINAL_RESPONSES`) and the time that the
-/// process outlives them (`client::CLOSE_LINGER`) it must have exited before a SIGKILL that comes after 3.7 s.
+/// How long after the shutdown request the process waits for attempts in flight. Together with the time for the last answers
+/// (`client::FINAL_RESPONSES`) and the linger time after them (`client::CLOSE_LINGER`), the process must exit before the SIGKILL
+/// 3.7 s after SIGTERM.
 pub const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3300);
-/// Pause between two checks of the phase once all its deadlines have passed.
+/// Interval between two checks of the phase after the last deadline.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 const _: () = assert!(CONNECTION_GRACE_PERIOD.as_millis() <= ATTEMPT_GRACE_PERIOD.as_millis());
 const _: () = assert!(ATTEMPT_GRACE_PERIOD.as_millis() < SHUTDOWN_TIMEOUT.as_millis());
 
-/// How far a shutdown has progressed.
+/// The phase of a shutdown, in the order of progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ShutdownPhase {
     /// Requests are accepted and attempts start as usual.
     Serving,
-    /// Requests are accepted for the next process; attempts in flight may end, and no new one starts.
+    /// Requests are accepted for the next process, attempts in flight may end, and no new attempt starts.
     Draining,
-    /// Client connections are closed; the process may exit.
+    /// Client connections are closed and the process may exit.
     Closing,
 }
 
 impl ShutdownPhase {
-    /// The phase so long after the shutdown was requested. A phase that was reached is never left for an earlier one.
+    /// Returns the phase at `elapsed` after the shutdown request. Never returns a phase earlier than the current one.
     pub(super) fn after(self, elapsed: Duration, attempts_in_flight: usize) -> ShutdownPhase {
         self.max(ShutdownPhase::reached(elapsed, attempts_in_flight))
     }
@@ -45,7 +46,7 @@
     }
 }
 
-/// How long after the request for the shutdown its phase is to be checked next.
+/// Returns the time of the next check of the phase. Both times are relative to the shutdown request.
 pub(super) fn next_check(elapsed: Duration) -> Duration {
     let deadlines = [ATTEMPT_GRACE_PERIOD, SHUTDOWN_TIMEOUT];
     deadlines.into_iter().find(|deadline| *deadline > elapsed).unwrap_or(elapsed + RECHECK_INTERVAL)
--- a/src/exchange/task.rs
+++ b/src/exchange/task.rs
@@ -1,4 +1,4 @@
-//! The task that drives the core: collects commands, lets the core decide once a tick, and executes its outputs.
+//! The task that drives the core. It collects commands, runs at most one step of the core per tick, and executes the outputs.
 use super::command::{ClientConnections, Command, Suspension, UpstreamCommand};
 use super::core_handle::SharedCore;
 use super::receipts::PendingReceipts;
@@ -14,74 +14,77 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::Instant;
 
-/// The longest tick. Guards the deadlines of messages against settings that name a long one.
+/// The longest tick. Caps the configured tick, since a long tick would delay messages past their deadlines.
 const MAX_TICK: Duration = Duration::from_millis(10);
 
-/// Turns of the runtime from a connection in the accept queue to its request's command: accept, read, submit; and one more.
-const TURNS_OF_A_REQUEST: usize = 4;
+/// Number of yields to the runtime after which a connection in the accept queue has submitted its request: one each to accept,
+/// read and submit, and one spare.
+const YIELDS_PER_ARRIVAL: usize = 4;
 
-/// A shutdown that has been requested.
+/// A shutdown in progress.
 struct Shutdown {
     requested_at: Instant,
     phase: ShutdownPhase,
     reply: oneshot::Sender<()>,
 }
 
-/// A change of an endpoint's suspension that has been requested.
+/// A requested change of an endpoint's suspension.
 struct SuspensionRequest {
     uid: String,
     suspension: Suspension,
     reply: oneshot::Sender<SuspensionResult>,
 }
 
-/// The journal belongs to another process.
+/// The state after the journal was released to another process.
 struct ReleasedJournal {
-    /// Where outcomes of calls in flight go. Closed with the last of them: while its file is locked, the process that owns the
-    /// journal cannot release it in its turn.
+    /// Receives the outcomes of calls in flight. Closed when the last call has ended, because the new owner cannot release the
+    /// journal in turn while this file is locked.
     late: Option<LateOutcomeWriter>,
 }
 
-/// A release of the journal that has been requested.
+/// A requested release of the journal.
 struct ReleaseRequest {
     late: LateOutcomeWriter,
     owner_lock: FolderLock,
     reply: oneshot::Sender<()>,
 }
 
-/// Why the task woke up.
+/// The reason for which the task woke up.
 enum Wakeup {
     Command(Command),
-    /// The core or the shutdown has something to do.
+    /// A deadline of the core or of the shutdown has passed.
     Timer,
     /// The last handle was dropped.
     Disconnected,
 }
 
-/// The owner of the core.
+/// The task that drives the core.
 pub(super) struct ExchangeTask {
     core: SharedCore,
     /// The shortest time between two steps.
     tick: Duration,
-    /// Clients that wait for an answer.
+    /// Reply channels of the clients that wait for an answer.
     answers: BTreeMap<MessageId, oneshot::Sender<Answer>>,
     receipts: PendingReceipts,
     upstream_commands: UnboundedSender<UpstreamCommand>,
     platform_callbacks: UnboundedSender<Callback>,
     as2_receipts: UnboundedSender<Callback>,
     client_connections: watch::Sender<ClientConnections>,
-    /// Set once the journal belongs to another process.
+    /// Set once the journal has been released to another process.
     released: Option<ReleasedJournal>,
-    /// Applied after all inputs of their step, an endpoint list among them, so that they find the endpoints it adds.
+    /// Suspension requests of the current step. Applied after its inputs, so that an endpoint which an endpoint list of the same
+    /// step adds can be suspended.
     suspensions: Vec<SuspensionRequest>,
-    /// Carried out after the inputs of its step: whoever asked before the release is answered by the owner.
+    /// The release requested in the current step. Executed after the inputs of the step, so that this process still answers the
+    /// requests submitted before the release.
     release: Option<ReleaseRequest>,
-    /// Outputs of the last step before the release.
+    /// Withheld outputs of the last step before the release.
     last_outputs: Vec<Output>,
     shutdown: Option<Shutdown>,
 }
 
 impl ExchangeTask {
-    /// A task for this core, how far client connections are closed, and the receiving ends of its outputs.
+    /// Returns a task for this core, a receiver of the state of client connections, and the receivers of the task's outputs.
     pub(super) fn new(core: SharedCore) -> (ExchangeTask, watch::Receiver<ClientConnections>, Outputs) {
         let (upstream_commands, upstream_commands_received) = unbounded_channel();
         let (platform_callbacks, platform_callbacks_received) = unbounded_channel();
@@ -111,7 +114,7 @@
         (task, client_connections_received, outputs)
     }
 
-    /// Runs until the last handle is dropped, which is when the process exits.
+    /// Runs until the last handle is dropped, which happens when the process exits.
     pub(super) async fn run(mut self, mut commands: UnboundedReceiver<Command>) {
         let mut next_step = Instant::now();
         loop {
@@ -121,8 +124,8 @@
                 Wakeup::Timer => {}
                 Wakeup::Disconnected => return,
             }
-            // Guards the CPU under load: the fixed cost of a step is paid once a tick, as in the simulator, and not once an
-            // event.
+            // Batches all events of a tick into one step, as the simulator does. Under load, the fixed cost of a step for every
+            // event would exhaust the CPU.
             tokio::time::sleep_until(next_step).await;
             next_step = Instant::now() + self.tick;
             while let Ok(command) = commands.try_recv() {
@@ -150,7 +153,7 @@
         }
     }
 
-    /// When the core or the shutdown has something to do even if no command comes.
+    /// Returns the next deadline of the core or of the shutdown.
     fn next_deadline(&self) -> Option<Instant> {
         let core = self.core.lock().next_wake().map(clock::instant);
         let shutdown =
@@ -180,7 +183,7 @@
             }
             Command::SendLastAnswers => {
                 let outputs = std::mem::take(&mut self.last_outputs);
-                // A client that has not waited has its message with the successor.
+                // The withdrawals are ignored: messages of clients that have disconnected belong to the successor now.
                 self.execute(outputs);
             }
             Command::ReleaseJournal { late, owner_lock, reply } => {
@@ -193,7 +196,7 @@
         }
     }
 
-    /// Lets the core decide on all that happened, and executes its outputs.
+    /// Runs one step of the core with these inputs and executes its outputs.
     fn step(&mut self, inputs: Vec<Input>) {
         let outputs = self.core.lock().step(clock::now(), inputs);
         self.apply_suspensions();
@@ -202,7 +205,7 @@
             return;
         }
         let outputs = self.core.lock().step(clock::now(), withdrawals);
-        // Answers of this second step are not followed up: one pass bounds the work of a tick.
+        // Withdrawals that this second step causes are ignored, which bounds the work of a tick.
         self.execute(outputs);
     }
 
@@ -229,7 +232,7 @@
     }
 
     fn set_client_connections(&self, connections: ClientConnections) {
-        // A takeover that is undone while the process ends does not open them again.
+        // `Closing` is final: a takeover that is rolled back during the shutdown must not reopen client connections.
         self.client_connections.send_if_modified(|now| {
             let is_change = *now != ClientConnections::Closing && *now != connections;
             if is_change {
@@ -246,10 +249,10 @@
         }
     }
 
-    /// Collects the commands of all requests that have arrived: their connections may be ready to be accepted or read, and
-    /// have not had their turn. After the release they would be rejected.
+    /// Collects the commands of all requests that have reached the process, including those whose connections still wait to be
+    /// accepted or read. After the release these requests would be rejected.
     async fn collect_arrived(&mut self, commands: &mut UnboundedReceiver<Command>, inputs: &mut Vec<Input>) {
-        for _ in 0..TURNS_OF_A_REQUEST {
+        for _ in 0..YIELDS_PER_ARRIVAL {
             tokio::task::yield_now().await;
             while let Ok(command) = commands.try_recv() {
                 self.handle_command(command, inputs);
@@ -257,8 +260,8 @@
         }
     }
 
-    /// The last step as the owner, and the release. Its answers are held back: a client that has its answer may come again at
-    /// once, and by then the successor is to listen.
+    /// Runs the last step as the owner of the journal and releases the journal. Withholds the outputs of the step until the
+    /// successor listens, because a client may send its next request as soon as it has an answer.
     fn release_journal(&mut self, request: ReleaseRequest, inputs: Vec<Input>) {
         let ReleaseRequest { mut late, owner_lock, reply } = request;
         let now = clock::now();
@@ -272,18 +275,18 @@
         let _ = reply.send(());
     }
 
-    /// A step once the journal belongs to another process: calls in flight end, and requests are rejected.
+    /// Runs a step after the release of the journal: records outcomes of calls in flight and rejects requests.
     fn step_after_release(&mut self, inputs: Vec<Input>) {
         let Some(released) = &mut self.released else { return };
-        let outputs = after_release(&mut self.core.lock(), released.late.as_mut(), inputs);
+        let outputs = handle_inputs_after_release(&mut self.core.lock(), released.late.as_mut(), inputs);
         if self.core.lock().calls_in_flight() == 0 {
             released.late = None;
         }
-        // A client that has gone has nothing to withdraw: its request was rejected.
+        // Withdrawals are ignored: the requests of disconnected clients were rejected.
         self.execute(outputs);
     }
 
-    /// Executes outputs of the core. Returns the withdrawals of those clients that did not wait for their answer.
+    /// Executes outputs of the core. Returns a withdrawal for each client that disconnected before its answer.
     fn execute(&mut self, outputs: Vec<Output>) -> Vec<Input> {
         let mut withdrawals = Vec::new();
         for output in outputs {
@@ -300,28 +303,29 @@
         withdrawals
     }
 
-    /// Answers a client; returns its withdrawal where it has not waited.
+    /// Answers a client. Returns a withdrawal if the client has disconnected.
     fn answer(&mut self, id: MessageId, answer: Answer) -> Option<Input> {
         let reply = self.answers.remove(&id)?;
         reply.send(answer).is_err().then_some(Input::Withdrawn(id))
     }
 
     fn send_upstream(&self, command: UpstreamCommand) {
-        // Its receiver ends with the process only.
+        // The receiver is dropped only when the process exits.
         let _ = self.upstream_commands.send(command);
     }
 
     fn send_callback(&self, callback: Callback) {
-        // Only messages that came by another transport than the platform's have an origin.
+        // Only messages that arrived by a transport other than the platform's have an origin.
         let channel = if callback.origin.is_empty() { &self.platform_callbacks } else { &self.as2_receipts };
-        // Where no AS2 transport is configured, its receiver is gone.
+        // The send fails if no AS2 transport is configured, since the receiver is dropped then.
         let _ = channel.send(callback);
     }
 }
 
-/// Applies inputs once the journal belongs to another process: outcomes and retry-after times go to `late`, and requests
-/// are rejected.
-fn after_release(core: &mut Core, late: Option<&mut LateOutcomeWriter>, inputs: Vec<Input>) -> Vec<Output> {
+/// Handles inputs after the release of the journal: writes outcomes and Retry-After times to `late`, and rejects requests.
+fn handle_inputs_after_release(
+    core: &mut Core, late: Option<&mut LateOutcomeWriter>, inputs: Vec<Input>,
+) -> Vec<Output> {
     let now = clock::now();
     let mut outputs = Vec::new();
     let mut records = Vec::new();
@@ -336,7 +340,7 @@
             Input::RetryAfter { host, wait, .. } => {
                 records.extend(core.late_retry_after(now, host, wait));
             }
-            // The successor learns of these itself.
+            // The successor receives these from their sources.
             Input::Endpoints { .. }
             | Input::PeerObservations(_)
             | Input::CallbackAcknowledged(_)
--- a/src/exchange/tests.rs
+++ b/src/exchange/tests.rs
@@ -1,4 +1,4 @@
-//! The phases of a graceful shutdown.
+//! Tests of the phases of a graceful shutdown.
 use super::shutdown::{next_check, ShutdownPhase, SHUTDOWN_TIMEOUT};
 use rstest::rstest;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 #[case::attempts_in_flight(1500, 3, ShutdownPhase::Draining)]
 #[case::an_attempt_hangs(3299, 1, ShutdownPhase::Draining)]
 #[case::timed_out(3300, 1, ShutdownPhase::Closing)]
-fn a_shutdown_serves_drains_and_closes(
+fn a_shutdown_phase_follows_from_the_time_and_the_attempts_in_flight(
     #[case] ms: u64, #[case] attempts_in_flight: usize, #[case] expected: ShutdownPhase,
 ) {
     let phase = ShutdownPhase::Serving.after(Duration::from_millis(ms), attempts_in_flight);
@@ -24,9 +24,9 @@
     assert_eq!(ShutdownPhase::Closing.after(early, 5), ShutdownPhase::Closing);
 }
 
-/// The phase is checked when it may change, and never in a loop without a pause.
+/// The phase is checked at each deadline and otherwise at intervals of at least 50 ms.
 #[test]
-fn the_next_check_is_in_the_future() {
+fn phase_checks_never_form_a_busy_loop() {
     let mut elapsed = Duration::ZERO;
     for _ in 0..10 {
         let next = next_check(elapsed);
--- a/tests/as2.rs
+++ b/tests/as2.rs
@@ -229,7 +229,7 @@
     let sent = later.bank.wait("the payout", |all| !all.is_empty());
     later.disco.wait_text(r#"{"id":"s2","status":"undeliverable"}"#);
     assert_eq!(later.post_receipt(&sent[0]), 200);
-    later.daemon.wait_log("receipt for <s2@us> after its attempt had ended: changes nothing");
+    later.daemon.wait_log("ignored receipt for <s2@us>: its attempt had already ended");
     assert_eq!(later.disco.count_distinct("s2"), 1);
 }
 
