--- a/src/discovery/list_parser.rs
+++ b/src/discovery/list_parser.rs
@@ -1,60 +1,61 @@
-//! Cuts what discovery sends into values as they come: lists, over one line or many, and the empty lines between them.
-//! Works wherever the bytes are cut. What is no list is skipped, up to the end of its line; memory is bounded.
+//! Parses the byte stream from discovery incrementally into lists, each on one line or spread over several, and the empty
+//! keep-alive lines between them. The stream may be split at any byte. Input that is not a list is skipped: a JSON object as a
+//! whole, anything else up to the end of its line. Memory use is bounded.
 use crate::settings::EndpointListUpdate;
 use serde::de::IgnoredAny;
 use serde_json::{Deserializer, Error};
 
-/// Bytes of the longest value: some ten thousand endpoints, more than any deployment has.
+/// The longest value in bytes. Holds about ten thousand endpoints, more than any deployment has.
 const MAX_VALUE_BYTES: usize = 4 << 20;
-/// Bytes of a skipped value that are logged.
+/// Number of bytes of a skipped value that are logged.
 const MAX_LOGGED_BYTES: usize = 80;
 
-/// What came is longer than any list.
+/// A received value is longer than any list.
 #[derive(Debug, PartialEq, thiserror::Error)]
-#[error("endpoint list longer than {MAX_VALUE_BYTES} bytes; see whether that address is discovery's")]
+#[error("endpoint list longer than {MAX_VALUE_BYTES} bytes; check that the setting \"discovery\" is the address of discovery")]
 pub(super) struct ListTooLong;
 
 /// One event of a watch.
 pub(super) enum WatchEvent {
-    /// An empty line: nothing has changed.
+    /// An empty line, sent while nothing changes.
     KeepAlive,
-    /// The list, or changes of it.
+    /// The complete list, or changes to it.
     List(EndpointListUpdate),
 }
 
-/// What one step through the bytes came to.
+/// The result of one parsing step.
 enum Step {
     Event(WatchEvent),
-    /// Something was skipped, and more may follow.
+    /// Input was skipped, and more may be buffered.
     Skipped,
-    /// Nothing more is complete.
+    /// The buffer contains no further complete value.
     Incomplete,
 }
 
-/// The bytes of an answer that have not been read.
+/// An incremental parser with the received bytes that are not parsed yet.
 #[derive(Default)]
 pub(super) struct ListParser {
     bytes: Vec<u8>,
-    /// The value at the front is known to be incomplete, and nothing that may end it has come since.
+    /// The value at the front is incomplete, and no bytes that may complete it have been added since that was found.
     is_known_incomplete: bool,
-    /// In the middle of a line that is skipped.
+    /// The rest of the current line is skipped.
     is_skipping_line: bool,
 }
 
 impl ListParser {
-    /// Adds bytes that have come.
+    /// Appends received bytes.
     pub(super) fn push(&mut self, data: &[u8]) {
-        // Guards the CPU against a long list that comes in small pieces: it is parsed once, when it may be complete, and not
-        // with each of them.
+        // A long list that arrives in small pieces is parsed only when it may be complete. Parsing it again after each piece
+        // would waste CPU time.
         self.is_known_incomplete &= !may_end_list(data);
         self.bytes.extend_from_slice(data);
     }
 
-    /// The next event that is complete.
+    /// Returns the next event, or `None` if the buffer contains no complete value.
     ///
     /// # Errors
     ///
-    /// A value is longer than any list.
+    /// Returns [`ListTooLong`] if an incomplete value exceeds [`MAX_VALUE_BYTES`].
     pub(super) fn next(&mut self) -> Result<Option<WatchEvent>, ListTooLong> {
         loop {
             match self.step() {
@@ -77,15 +78,14 @@
             None => Step::Incomplete,
             Some(b'{') if self.is_known_incomplete => Step::Incomplete,
             Some(b'{') => self.parse_list(),
-            // A list is an object.
             Some(_) => {
-                self.start_skipping_line("is no list");
+                self.start_skipping_line("expected a JSON object");
                 Step::Skipped
             }
         }
     }
 
-    /// Drops white space at the front; true if a line ended in it.
+    /// Removes whitespace at the front. Returns whether it contained a line feed.
     fn skip_whitespace(&mut self) -> bool {
         let length = self.bytes.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
         self.bytes.drain(..length).any(|byte| byte == b'\n')
@@ -108,7 +108,8 @@
         }
     }
 
-    /// Skips an object that is no list: all of it where it is JSON, else its line. Not before it is complete.
+    /// Skips an object that is not a list, once it is complete. Skips the whole object if it is valid JSON, otherwise the rest
+    /// of its line.
     fn skip_object(&mut self, error: &Error) -> Step {
         let mut stream = Deserializer::from_slice(&self.bytes).into_iter::<IgnoredAny>();
         match stream.next() {
@@ -135,7 +136,7 @@
         self.is_skipping_line = true;
     }
 
-    /// Drops what has come of a line that is skipped; true if its end has come.
+    /// Removes the buffered part of a line that is skipped. Returns whether the end of the line was reached.
     fn skip_line(&mut self) -> bool {
         self.is_known_incomplete = false;
         let Some(end) = self.bytes.iter().position(|byte| *byte == b'\n') else {
@@ -150,11 +151,12 @@
     fn log_skipped(&self, reason: &str) {
         let shown = &self.bytes[..self.bytes.len().min(MAX_LOGGED_BYTES)];
         let text = String::from_utf8_lossy(shown).into_owned();
-        log::warn!("discovery: ignored a value that is no endpoint list: {}: {reason}", text.trim());
+        log::warn!("discovery: ignored a value that is not an endpoint list: {}: {reason}", text.trim());
     }
 }
 
-/// Whether a list may end in this piece: with a brace after which none of its arrays goes on.
+/// Returns whether a list may end in this piece: whether it contains a closing brace that is not followed by `,` or `]`, which
+/// would continue or end one of the list's arrays.
 fn may_end_list(piece: &[u8]) -> bool {
     let mut is_after_brace = false;
     for byte in piece.iter().filter(|byte| !byte.is_ascii_whitespace()) {
@@ -163,7 +165,7 @@
         }
         is_after_brace = *byte == b'}';
     }
-    // Also one of which the line feed alone is missing.
+    // A brace at the end of the piece may be the last byte of a list before its line feed.
     is_after_brace
 }
 
--- a/src/discovery/timing.rs
+++ b/src/discovery/timing.rs
@@ -1,32 +1,32 @@
-//! The bound on how stale the endpoint list may be, and one formula over all delays and timeouts that keeps it.
+//! The staleness bound of the endpoint list, and one formula over all delays and timeouts that keeps it.
 //!
-//! A change counts as known [`STALENESS_BOUND`] after a watch fell silent, or after discovery had it and could be reached,
-//! whatever became of earlier polls. So from the moment in which a poll is due, a backoff, a few polls that stay silent, and
-//! one that is answered have to fit in: `worst_case`.
+//! A change must be applied within [`STALENESS_BOUND`] after a watch fell silent, or after discovery had the change and became
+//! reachable, regardless of how earlier polls ended. `worst_case` therefore covers everything that may happen once a poll is
+//! due: a delay before the poll, a few polls that get no response, and one poll that does.
 use std::time::Duration;
 
-/// How long after a watch fell silent, or after discovery could be reached, its list has to be known.
+/// The longest time from the moment a watch falls silent, or discovery becomes reachable, until its list is applied.
 pub(super) const STALENESS_BOUND: Duration = Duration::from_secs(6);
-/// The same after the address of discovery has changed.
+/// The longest time from a change of the discovery address until the list of the new server is applied.
 pub(super) const MOVE_STALENESS_BOUND: Duration = Duration::from_secs(4);
-/// How often a watch sends an empty line while nothing changes.
+/// Interval at which discovery sends an empty line on a watch while nothing changes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// How late such a line may be before its watch counts as broken.
+/// How late a keep-alive line may be before the watch counts as broken.
 const KEEPALIVE_TOLERANCE: Duration = Duration::from_millis(500);
 
-/// Interval at which further watches are opened while nothing is received; the earlier ones go on.
+/// Interval at which further polls start while nothing is received. Earlier polls stay open.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_secs(1);
-/// Polls in a row that may stay silent with one more still answered in time.
+/// Number of consecutive polls without a response that the staleness bound allows for before a poll that is answered.
 const MAX_SILENT_POLLS: u32 = 2;
-/// How long the answer to a poll may take: a lost first packet is sent again after a second.
+/// How long the response to a poll may take. Covers one lost first packet, which TCP retransmits after 1 s.
 const POLL_ANSWER_TIME: Duration = Duration::from_millis(1200);
-/// Time for this process to act on what it has read, on a core that it shares with others.
+/// Time for this process to apply a received list on a CPU core shared with other processes.
 const PROCESSING_MARGIN: Duration = Duration::from_millis(200);
-/// A poll that has received nothing for this long is given up. Bounds how many are in flight at once.
+/// Time without a response after which a poll is abandoned. Bounds the number of polls in flight.
 pub(super) const POLL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The longest time from the moment in which a poll is due until its answer has been acted on: it starts after a delay, and
-/// this many polls before the one that is answered stay silent.
+/// Returns the longest time from the moment a poll is due until a response is applied, if the poll starts after `delay` and
+/// `silent_polls` polls get no response before one does.
 const fn worst_case(delay: Duration, silent_polls: u32) -> Duration {
     delay
         .saturating_add(POLL_INTERVAL.saturating_mul(silent_polls))
@@ -34,41 +34,42 @@
         .saturating_add(PROCESSING_MARGIN)
 }
 
-/// Silence after which a watch counts as broken.
+/// Time without data after which a watch counts as broken.
 pub(super) const SILENCE_TIMEOUT: Duration =
     STALENESS_BOUND.saturating_sub(worst_case(Duration::ZERO, MAX_SILENT_POLLS));
-/// The longest delay before a poll, at the start and after polls that failed.
+/// The longest delay before the first poll and after failed polls.
 pub(super) const MAX_BACKOFF: Duration = SILENCE_TIMEOUT;
 /// The longest delay before the first poll at a new address.
 pub(super) const MAX_MOVE_DELAY: Duration =
     MOVE_STALENESS_BOUND.saturating_sub(worst_case(Duration::ZERO, 1));
 
-/// Over how long many forwarders spread their first polls. Longer than the formula allows: the list that each has is good
-/// enough until then, and a server that all forwarders poll at once answers nobody (docs/design/terms.md).
+/// Period over which many forwarders spread their first polls after a start. Longer than the formula allows: until its first
+/// poll each forwarder can serve from the list it has, and a server that all forwarders poll at once is overloaded and answers
+/// none of them (docs/design/terms.md).
 pub(super) const SHARED_START_SPREAD: Duration = Duration::from_secs(5);
-/// Over how long many forwarders spread their first polls at a new address.
+/// Period over which many forwarders spread their first polls at a new address.
 pub(super) const SHARED_MOVE_SPREAD: Duration = Duration::from_secs(3);
-/// The longest time between two connects where many forwarders poll one server that does not accept any: it is known within
-/// the bound once it does.
+/// The longest time between two connects to a server that many forwarders poll and that accepts no connections. Short enough
+/// for its list to be applied within the bound once the server accepts connections again.
 pub(super) const SHARED_PROBE_DELAY: Duration = STALENESS_BOUND.saturating_sub(worst_case(Duration::ZERO, 0));
-/// How long the answer to a poll may take where many forwarders poll one server, once it has accepted the connection. A poll
-/// that is given up and sent again costs a server that is overloaded a second answer.
+/// Time after which a poll is abandoned if many forwarders poll the server and the server has accepted the connection. Long,
+/// because abandoning a poll and sending it again costs an overloaded server a second response.
 pub(super) const SHARED_POLL_TIMEOUT: Duration = Duration::from_secs(30);
-/// The longest backoff where many forwarders poll one server, after answers of overload.
+/// The longest backoff after overload responses of a server that many forwarders poll.
 const SHARED_MAX_BACKOFF: Duration = Duration::from_secs(30);
 
 /// How many forwarders poll the same discovery server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Pollers {
-    /// This forwarder alone, whose list is pushed to an agent beside it.
+    /// Only this forwarder, which polls a local agent that receives the list by push.
     One,
-    /// Several, which must not poll at the same moment.
+    /// Several forwarders, which must not poll at the same time.
     Many,
 }
 
 impl Pollers {
-    /// For this number of forwarders.
-    pub(super) fn of(forwarders: usize) -> Pollers {
+    /// Returns the variant for this number of forwarders.
+    pub(super) fn from_count(forwarders: usize) -> Pollers {
         if forwarders > 1 {
             Pollers::Many
         } else {
@@ -76,7 +77,7 @@
         }
     }
 
-    /// The longest backoff of one of them.
+    /// Returns the longest backoff of a forwarder.
     pub(super) fn max_backoff(self) -> Duration {
         match self {
             Pollers::One => MAX_BACKOFF,
@@ -84,7 +85,7 @@
         }
     }
 
-    /// How long a poll may take in all, if its connection came up in time.
+    /// Returns how long a poll may take in total, given that its connection was established in time.
     pub(super) fn poll_timeout(self) -> Duration {
         match self {
             Pollers::One => POLL_TIMEOUT,
@@ -92,7 +93,7 @@
         }
     }
 
-    /// The longest delay before the first poll after a start.
+    /// Returns the longest delay before the first poll after a start.
     pub(super) fn max_start_delay(self) -> Duration {
         match self {
             Pollers::One => MAX_BACKOFF,
@@ -100,7 +101,7 @@
         }
     }
 
-    /// The longest delay before the first poll at a new address.
+    /// Returns the longest delay before the first poll at a new address.
     pub(super) fn max_move_delay(self) -> Duration {
         match self {
             Pollers::One => MAX_MOVE_DELAY,
@@ -116,5 +117,5 @@
 const _: () = assert!(worst_case(MAX_MOVE_DELAY, 1).as_millis() <= MOVE_STALENESS_BOUND.as_millis());
 const _: () = assert!(
     SILENCE_TIMEOUT.as_millis() >= KEEPALIVE_INTERVAL.saturating_add(KEEPALIVE_TOLERANCE).as_millis(),
-    "a keep-alive line may be late"
+    "the silence timeout must tolerate a late keep-alive line"
 );
--- a/src/discovery/watcher.rs
+++ b/src/discovery/watcher.rs
@@ -1,5 +1,6 @@
-//! Follows the endpoint list: keeps one watch open, opens further ones beside one that has fallen silent, and keeps whichever
-//! sends first. Knows nothing of what the list is for; its connections come from a [`Connector`], which tests replace.
+//! Follows the endpoint list. Keeps one watch open; when the watch falls silent, opens further watches in parallel and keeps the
+//! first one that receives data. Independent of the use of the list. A [`Connector`] opens the connections, so that tests can
+//! replace them.
 use super::list_parser::{ListParser, ListTooLong, WatchEvent};
 use super::timing::{Pollers, POLL_INTERVAL, POLL_TIMEOUT, SHARED_PROBE_DELAY, SILENCE_TIMEOUT};
 use crate::backoff::Backoff;
@@ -21,47 +22,47 @@
 use tokio::task::{JoinError, JoinSet};
 use tokio::time::{sleep_until, timeout, timeout_at, Instant};
 
-/// Why a poll or an open watch brought nothing. The next poll follows by itself.
+/// The failure of a poll or of an open watch. The watcher retries after each failure.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum WatchError {
-    /// Discovery cannot be reached, or the connection broke.
-    #[error("no connection: {0}; see whether discovery runs at that address")]
+    /// The connection to discovery cannot be established.
+    #[error("cannot connect: {0}; check that discovery runs at the configured address")]
     Connect(#[from] io::Error),
-    /// What came is not HTTP, or it broke off.
+    /// The response is not HTTP, or the connection broke.
     #[error("the connection failed: {0}")]
     Http(#[from] hyper::Error),
-    /// The address cannot be part of a request.
-    #[error("not a valid address: {0}; see the key \"discovery\"")]
+    /// The address cannot be used in a request.
+    #[error("invalid address: {0}; check the setting \"discovery\"")]
     Address(#[from] hyper::http::Error),
-    /// It answered, though not with a list.
-    #[error("the watch was answered {0}")]
+    /// Discovery responded with a status other than 200.
+    #[error("the watch request was answered with status {0}")]
     Status(StatusCode),
-    /// The answer came to its end.
-    #[error("the watch ended")]
+    /// The response body ended.
+    #[error("discovery ended the watch")]
     Ended,
-    /// Nothing was received in time.
-    #[error("a poll was not answered in time")]
+    /// A poll received no list or keep-alive in time.
+    #[error("a poll timed out without a response")]
     TimedOut,
-    /// What came is too long for a list.
+    /// The response contains a value that is too long for a list.
     #[error(transparent)]
     TooLong(#[from] ListTooLong),
-    /// No connection came up within [`POLL_TIMEOUT`].
-    #[error("no connection in time; see whether discovery can be reached at that address")]
+    /// The connection was not established within [`POLL_TIMEOUT`].
+    #[error("the connect timed out; check that discovery is reachable at the configured address")]
     ConnectTimedOut,
     /// The task of the poll panicked.
-    #[error("the poll failed: {0}")]
+    #[error("the poll task failed: {0}")]
     Task(#[from] JoinError),
 }
 
-/// How connections to discovery are opened.
+/// Opens connections to discovery.
 pub(super) trait Connector: Clone + Send + Sync + 'static {
-    /// A connection.
+    /// The type of a connection.
     type Stream: AsyncRead + AsyncWrite + Unpin + Send + 'static;
-    /// Connects to this address.
+    /// Opens a connection to this address.
     fn connect(&self, address: &str) -> impl Future<Output = io::Result<Self::Stream>> + Send;
 }
 
-/// Connections over TCP.
+/// Opens TCP connections.
 #[derive(Clone)]
 pub(super) struct TcpConnector;
 
@@ -73,17 +74,17 @@
     }
 }
 
-/// What the watcher starts from.
+/// The initial state of a watcher.
 pub(super) struct WatchStart {
     /// The version of the list in use.
     pub(super) version: u64,
-    /// The list in use can be served from until the first answer.
+    /// Whether the forwarder can serve from the list in use until the first response.
     pub(super) can_serve: bool,
     /// How many forwarders poll the same server.
     pub(super) pollers: Pollers,
 }
 
-/// What happens next to the watcher.
+/// An event that the watcher reacts to.
 enum WatcherEvent {
     AddressChanged,
     Received(WatchEvent),
@@ -93,7 +94,7 @@
 
 type PollResult = Result<(Watch, WatchEvent), WatchError>;
 
-/// Keeps the watch on the list.
+/// Follows the endpoint list of one discovery address.
 pub(super) struct Watcher<C: Connector> {
     connector: C,
     address: watch::Receiver<String>,
@@ -102,22 +103,22 @@
     pollers: Pollers,
     backoff: Backoff,
     watch: Option<Watch>,
-    /// Further watches that have not sent anything yet.
+    /// Watches that have not received anything yet.
     polls: JoinSet<PollResult>,
-    /// How many of them have their connection.
+    /// The number of those with an established connection.
     connected_polls: ConnectedPolls,
     next_poll_at: Instant,
 }
 
 impl<C: Connector> Watcher<C> {
-    /// A watcher of the list at this address, which may change.
+    /// Creates a watcher of the list at `address`, which may change.
     pub(super) fn new(
         connector: C, mut address: watch::Receiver<String>, start: WatchStart, mut backoff: Backoff,
     ) -> Watcher<C> {
         let WatchStart { version, can_serve, pollers } = start;
         let current_address = address.borrow_and_update().clone();
-        // Guards a discovery that all forwarders poll against a rollout: they start at once, and the list that each has is good
-        // enough to serve from until its own poll.
+        // In a rollout all forwarders start at the same time and would overload a shared discovery server. A forwarder that has
+        // a usable list therefore delays its first poll and serves from that list meanwhile.
         let delay = if can_serve { backoff.initial_delay(pollers.max_start_delay()) } else { Duration::ZERO };
         Watcher {
             connector,
@@ -133,16 +134,16 @@
         }
     }
 
-    /// Follows the list for as long as the process runs. `apply` applies each update and returns the version in use from then
-    /// on; each new watch goes on from that.
+    /// Follows the list until the process exits. `apply` applies each update and returns the version in use afterwards, from
+    /// which each new watch resumes.
     pub(super) async fn run(mut self, mut apply: impl FnMut(EndpointListUpdate) -> u64) {
         loop {
             match self.next_event().await {
-                WatcherEvent::AddressChanged => self.address_changed(),
-                WatcherEvent::PollDue => self.poll(),
-                WatcherEvent::Failed(error) => self.failed(&error),
+                WatcherEvent::AddressChanged => self.handle_address_change(),
+                WatcherEvent::PollDue => self.start_poll(),
+                WatcherEvent::Failed(error) => self.handle_failure(&error),
                 WatcherEvent::Received(event) => {
-                    self.received();
+                    self.handle_received();
                     match event {
                         WatchEvent::KeepAlive => {}
                         WatchEvent::List(update) => self.version = apply(update),
@@ -175,9 +176,9 @@
         }
     }
 
-    /// Guards against an update that is missed: the old server sends nothing more, and the new one may count its versions in
-    /// another way, so it is polled for the complete list.
-    fn address_changed(&mut self) {
+    /// Restarts at the new address from version 0, which requests the complete list. The new server may number its versions
+    /// differently, so resuming from the version in use could miss updates.
+    fn handle_address_change(&mut self) {
         self.current_address = self.address.borrow_and_update().clone();
         self.watch = None;
         self.polls = JoinSet::new();
@@ -187,32 +188,36 @@
         self.next_poll_at = Instant::now() + delay;
     }
 
-    /// The watch is alive: further ones are dropped, and the next poll is due once it has been silent for too long.
-    fn received(&mut self) {
+    /// Handles data received on a watch, which shows that the watch works: drops the other polls, resets the backoff and
+    /// schedules the next poll for the time at which the watch counts as silent.
+    fn handle_received(&mut self) {
         self.polls = JoinSet::new();
         self.backoff.reset();
         self.next_poll_at = Instant::now() + SILENCE_TIMEOUT;
     }
 
-    fn poll(&mut self) {
+    fn start_poll(&mut self) {
         let is_first_poll = self.polls.is_empty();
         if self.watch.is_some() && is_first_poll {
-            log::warn!("discovery: silent for {} ms; reopening the watch", SILENCE_TIMEOUT.as_millis());
+            log::warn!(
+                "discovery: nothing received for {} ms; opening another watch",
+                SILENCE_TIMEOUT.as_millis()
+            );
         }
         let poll = Poll {
             connector: self.connector.clone(),
             address: self.current_address.clone(),
             after_version: self.version,
-            answer_timeout: self.pollers.poll_timeout(),
+            response_timeout: self.pollers.poll_timeout(),
             connected_polls: self.connected_polls.clone(),
         };
-        // Guards a server that answers slowly because many forwarders poll it: the poll that it has is kept, and further ones
-        // follow more and more seldom.
+        // A connected poll without a response indicates a server that is slow because many forwarders poll it. That poll stays
+        // open, and further polls follow at increasing intervals.
         let is_slow = self.pollers == Pollers::Many && self.connected_polls.any();
         self.polls.spawn(poll.run());
         let delay = match self.pollers {
             Pollers::One => POLL_INTERVAL,
-            // The first poll has come by chance already.
+            // The time of the first poll is already randomized.
             Pollers::Many if is_first_poll => SHARED_PROBE_DELAY,
             Pollers::Many if is_slow => self.backoff.overload_delay(),
             Pollers::Many => self.backoff.probe_delay(SHARED_PROBE_DELAY),
@@ -220,16 +225,16 @@
         self.next_poll_at = Instant::now() + delay;
     }
 
-    fn failed(&mut self, error: &WatchError) {
+    fn handle_failure(&mut self, error: &WatchError) {
         let delay = self.delay_after(error);
         let pause_ms = delay.as_millis() as u64;
-        log::warn!(pause_ms; "discovery: {error}; watching again after version {}", self.version);
+        log::warn!(pause_ms; "discovery: {error}; the next watch resumes from version {}", self.version);
         if self.polls.is_empty() {
             self.next_poll_at = Instant::now() + delay;
         }
     }
 
-    /// How long to wait after a poll or watch that failed, where no other is in flight.
+    /// Returns the delay before the next poll after a failure. Applies if no other poll is in flight.
     fn delay_after(&mut self, error: &WatchError) -> Duration {
         if self.pollers == Pollers::One {
             return self.backoff.next_delay();
@@ -248,7 +253,7 @@
     }
 }
 
-/// The number of polls that have their connection and no answer yet.
+/// The number of polls with an established connection and no response yet.
 #[derive(Clone, Default)]
 struct ConnectedPolls(Arc<AtomicUsize>);
 
@@ -263,7 +268,7 @@
     }
 }
 
-/// A poll that has its connection.
+/// Counts a poll with an established connection until it is dropped.
 struct ConnectedPoll(ConnectedPolls);
 
 impl Drop for ConnectedPoll {
@@ -272,14 +277,14 @@
     }
 }
 
-/// An open watch. Dropped, its connection closes.
+/// An open watch. Dropping it closes its connection.
 struct Watch {
     body: Incoming,
     parser: ListParser,
     _connection: JoinSet<hyper::Result<()>>,
 }
 
-/// The next event of the watch; never one where there is none.
+/// Returns the next event of the watch. Stays pending if there is no watch.
 async fn next_watch_event(watch: &mut Option<Watch>) -> Result<WatchEvent, WatchError> {
     match watch {
         Some(watch) => watch.next().await,
@@ -301,12 +306,12 @@
     }
 }
 
-/// One poll: opens a watch and waits for its first event.
+/// A poll, which opens a watch and waits for its first event.
 struct Poll<C> {
     connector: C,
     address: String,
     after_version: u64,
-    answer_timeout: Duration,
+    response_timeout: Duration,
     connected_polls: ConnectedPolls,
 }
 
@@ -321,8 +326,8 @@
             let event = watch.next().await?;
             Ok((watch, event))
         };
-        let answered = timeout_at(started + self.answer_timeout, first_event);
-        answered.await.unwrap_or(Err(WatchError::TimedOut))
+        let response = timeout_at(started + self.response_timeout, first_event);
+        response.await.unwrap_or(Err(WatchError::TimedOut))
     }
 
     async fn start_watch(&self, socket: C::Stream) -> Result<Watch, WatchError> {
@@ -332,10 +337,10 @@
         let request = Request::get(format!("/v1/endpoints?watch=1&after={}", self.after_version))
             .header("host", &self.address)
             .body(Empty::<Bytes>::new())?;
-        let answer = sender.send_request(request).await?;
-        if answer.status() != StatusCode::OK {
-            return Err(WatchError::Status(answer.status()));
+        let response = sender.send_request(request).await?;
+        if response.status() != StatusCode::OK {
+            return Err(WatchError::Status(response.status()));
         }
-        Ok(Watch { body: answer.into_body(), parser: ListParser::default(), _connection: connection_task })
+        Ok(Watch { body: response.into_body(), parser: ListParser::default(), _connection: connection_task })
     }
 }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -51,7 +51,7 @@
     let endpoint = Server::always("200 OK");
     let disco = discovery(list(3, &[]));
     let daemon = setup(&disco, list(1, &[(7, endpoint.addr)])).start();
-    daemon.wait_log("the old one stays in use");
+    daemon.wait_log("the current list stays in use");
     assert_eq!(daemon.submit("stats", "still"), 202);
     endpoint.wait_request("still");
 }
--- a/tests/forwarder.rs
+++ b/tests/forwarder.rs
@@ -60,7 +60,7 @@
     let known = list(1, &[(7, endpoint.addr)]);
     let disco = discovery("{\"rev\": what".into());
     let daemon = setup(&disco, known).start();
-    daemon.wait_log("ignored a value that is no endpoint list");
+    daemon.wait_log("ignored a value that is not an endpoint list");
     assert_eq!(daemon.submit("nothing", "c1"), 404);
     let text = String::from_utf8(message("stats", "c2", "20000m", "")).expect("text");
     let status = daemon.ask(text.replace("dest=7", "dest=8").as_bytes()).map(|h| h.status());
