--- a/src/discovery/list_parser/tests.rs
+++ b/src/discovery/list_parser/tests.rs
@@ -1,9 +1,9 @@
-//! What comes on a watch, cut anywhere.
+//! Tests of the list parser with streams that are split at arbitrary bytes.
 use super::*;
 use proptest::prelude::*;
 use rstest::rstest;
 
-/// The events of a text that comes in these pieces: the version of a list, or nothing for a keep-alive.
+/// Parses a stream that arrives in these pieces. Returns the version of each list, and `None` for each keep-alive.
 fn events<'a>(pieces: impl IntoIterator<Item = &'a [u8]>) -> Result<Vec<Option<u64>>, ListTooLong> {
     let mut parser = ListParser::default();
     let mut events = Vec::new();
@@ -38,8 +38,8 @@
 
 proptest! {
     #[test]
-    fn lists_are_complete_at_any_cut_indented_or_not_and_with_noise_between(
-        parts in prop::collection::vec(0..7u8, 1..8), cuts in prop::collection::vec(1..200usize, 1..12),
+    fn parses_all_lists_for_any_split_indentation_and_noise_between_them(
+        parts in prop::collection::vec(0..7u8, 1..8), piece_lengths in prop::collection::vec(1..200usize, 1..12),
     ) {
         let (mut text, mut expected) = (String::new(), Vec::new());
         for (n, part) in parts.iter().enumerate() {
@@ -57,41 +57,44 @@
                 }
             }
         }
-        let (mut pieces, mut rest, mut at) = (Vec::new(), text.as_bytes(), 0);
-        while !rest.is_empty() {
-            let (piece, more) = rest.split_at(cuts[at % cuts.len()].min(rest.len()));
+        let (mut pieces, mut remaining, mut index) = (Vec::new(), text.as_bytes(), 0);
+        while !remaining.is_empty() {
+            let length = piece_lengths[index % piece_lengths.len()].min(remaining.len());
+            let (piece, after) = remaining.split_at(length);
             pieces.push(piece);
-            (rest, at) = (more, at + 1);
+            (remaining, index) = (after, index + 1);
         }
-        prop_assert_eq!(versions(events(pieces).expect("an end")), expected);
+        prop_assert_eq!(versions(events(pieces).expect("lists within the size limit")), expected);
     }
 }
 
 #[rstest]
-#[case::glued(format!("{}{}", list(1, false), list(2, true)), vec![1, 2])]
-#[case::half_then_complete(format!("{}\n{}\n", &list(1, false)[..60], list(2, false)), vec![2])]
-#[case::half_indented_then_complete(format!("{}\n{}\n", &list(1, true)[..60], list(2, true)), vec![2])]
-#[case::a_field_too_many(list(3, true).replacen("\"rev\"", "\"more\": [{}], \"rev\"", 1) + "\n", vec![3])]
-#[case::no_text(format!("\u{feff}\n{}", list(4, false)), vec![4])]
-fn unusual_texts_are_read(#[case] text: String, #[case] expected: Vec<u64>) {
-    assert_eq!(versions(events([text.as_bytes()]).expect("an end")), expected);
-    assert_eq!(versions(events(text.as_bytes().chunks(1)).expect("an end")), expected, "a byte at a time");
+#[case::no_line_feed_between(format!("{}{}", list(1, false), list(2, true)), vec![1, 2])]
+#[case::truncated_then_complete(format!("{}\n{}\n", &list(1, false)[..60], list(2, false)), vec![2])]
+#[case::truncated_indented_then_complete(format!("{}\n{}\n", &list(1, true)[..60], list(2, true)), vec![2])]
+#[case::unknown_field(list(3, true).replacen("\"rev\"", "\"more\": [{}], \"rev\"", 1) + "\n", vec![3])]
+#[case::byte_order_mark(format!("\u{feff}\n{}", list(4, false)), vec![4])]
+fn parses_lists_in_unusual_streams(#[case] text: String, #[case] expected: Vec<u64>) {
+    assert_eq!(versions(events([text.as_bytes()]).expect("lists within the size limit")), expected);
+    let byte_by_byte = events(text.as_bytes().chunks(1)).expect("lists within the size limit");
+    assert_eq!(versions(byte_by_byte), expected, "one byte at a time");
 }
 
 #[test]
-fn a_value_without_end_is_not_buffered() {
-    let open = [br#"{"rev":1,"all":true,"targets":["#.as_slice(), &vec![b' '; MAX_VALUE_BYTES]];
-    assert_eq!(events(open), Err(ListTooLong));
-    // No object: skipped as it comes.
+fn rejects_an_endless_object_and_skips_an_endless_line_without_buffering_it() {
+    let endless_object = [br#"{"rev":1,"all":true,"targets":["#.as_slice(), &vec![b' '; MAX_VALUE_BYTES]];
+    assert_eq!(events(endless_object), Err(ListTooLong));
+    // Not an object, so each piece is skipped when it arrives.
     let noise = vec![b'x'; MAX_VALUE_BYTES];
     let end = format!("\n{}", list(9, true));
-    assert_eq!(versions(events([&noise[..], &noise, &noise, end.as_bytes()]).expect("an end")), [9]);
+    let events = events([&noise[..], &noise, &noise, end.as_bytes()]).expect("lists within the size limit");
+    assert_eq!(versions(events), [9]);
 }
 
 #[test]
-fn a_long_list_in_small_pieces_is_parsed_few_times() {
+fn a_piece_from_the_middle_of_a_list_does_not_trigger_parsing() {
     let target = &list(1, true)[40..200];
     assert!(!may_end_list(target.as_bytes()), "{target}");
-    assert!(may_end_list(b"}\n  ]\n}"), "its end");
-    assert!(may_end_list(b"}{"), "another one behind it");
+    assert!(may_end_list(b"}\n  ]\n}"), "the end of a list");
+    assert!(may_end_list(b"}{"), "a list directly followed by another");
 }
