--- a/src/upstream/as2.rs
+++ b/src/upstream/as2.rs
@@ -1,4 +1,4 @@
-//! The AS2 encoding of an attempt (RFC 4130): a signed message to a partner, and what its receipt (MDN) means.
+//! The AS2 encoding of attempts (RFC 4130) as signed messages to a partner, and the interpretation of the receipts (MDNs).
 use super::connection::UpstreamRequest;
 use super::platform::{self, CallKind};
 use super::pool::Pool;
@@ -15,25 +15,25 @@
 use std::sync::Arc;
 use tokio::time::timeout;
 
-/// Bytes of a receipt in an answer; a signed one has some ten thousand.
+/// The longest synchronous receipt in bytes. A signed receipt has about ten thousand.
 const MAX_RECEIPT_BYTES: usize = 256 * 1024;
 
 type EncodeError = Box<dyn std::error::Error + Send + Sync>;
 
-/// A request as it goes out, and what its receipt is compared with.
+/// An encoded request, and the digest that its receipt must contain.
 struct SignedRequest {
     request: UpstreamRequest,
-    /// The digest of the message (message integrity check, RFC 4130, section 7.3.1).
+    /// The message integrity check (MIC) of the message, a digest (RFC 4130, section 7.3.1).
     mic: String,
 }
 
-/// The id that a message has in all its attempts, by which the partner recognizes duplicates.
+/// Returns the message id. It is the same in all attempts of a message, so that the partner can recognize duplicates.
 fn message_id(name: &str, local_name: &str) -> String {
-    let plain = |c: char| if c.is_ascii_alphanumeric() || "._-".contains(c) { c } else { '-' };
-    format!("<{}@{local_name}>", name.chars().map(plain).collect::<String>())
+    let sanitize = |c: char| if c.is_ascii_alphanumeric() || "._-".contains(c) { c } else { '-' };
+    format!("<{}@{local_name}>", name.chars().map(sanitize).collect::<String>())
 }
 
-/// Makes the call and waits for its receipt. Dropping this future cancels it, which closes its connection.
+/// Makes the call and waits for its receipt. Dropping this future cancels the call and closes its connection.
 pub(super) async fn call(
     pool: Arc<Pool>, attempt: &Attempt, settings: &As2Settings, partner: &Partner, exchange: &Exchange,
 ) -> AttemptResult {
@@ -41,32 +41,32 @@
     let SignedRequest { request, mic } = match encode(attempt, settings, partner, &id) {
         Ok(signed) => signed,
         Err(e) => {
-            log::error!("AS2: message {id} to {} cannot be encoded: {e}", partner.name);
+            log::error!("AS2: cannot encode message {id} to {}: {e}", partner.name);
             return Outcome::Skipped.into();
         }
     };
-    // Registered before the first byte is sent: a receipt may overtake the answer.
-    let later_receipt = exchange.await_receipt(&id);
+    // Registered before the first byte is sent, because an asynchronous receipt may arrive before the response.
+    let asynchronous_receipt = exchange.await_receipt(&id);
     let to = request.uri().clone();
     let make_request = || exchange.may_send(attempt.into()).then_some(request);
     let listener = platform::retry_after_listener(attempt, CallKind::Single, exchange);
     let mut call = match pool.call(to, make_request, listener).await {
         Ok(call) => call,
-        Err(error) => return platform::call_failed(&partner.url, &error),
+        Err(error) => return platform::result_of_failed_call(&partner.url, &error),
     };
-    let (answer, connection) = match call.head().await {
-        Ok(answered) => answered,
-        Err(error) => return platform::call_failed(&partner.url, &error),
+    let (response, connection) = match call.head().await {
+        Ok(response_and_connection) => response_and_connection,
+        Err(error) => return platform::result_of_failed_call(&partner.url, &error),
     };
-    let (head, body) = answer.into_parts();
+    let (head, body) = response.into_parts();
     if !head.status.is_success() {
         return platform::result_of_head(head.status, &head.headers);
     }
     let receipt = if partner.is_mdn_asynchronous() {
-        later_receipt.await.unwrap_or_default()
+        asynchronous_receipt.await.unwrap_or_default()
     } else {
         let Ok(body) = Limited::new(body, MAX_RECEIPT_BYTES).collect().await else {
-            // Silent or gone before its receipt: the call may have run.
+            // The connection broke or the body is too long, so there is no receipt. The call may have run.
             return Outcome::Reset.into();
         };
         let _ = timeout(platform::COMPLETION_GRACE_PERIOD, connection.release_when_ready()).await;
@@ -75,7 +75,7 @@
     result_of_receipt(&receipt, &id, &mic, settings, partner)
 }
 
-/// A body as one MIME entity, its content type in front.
+/// Converts a response body to a MIME entity with the content type of the response.
 fn into_mime_entity(headers: &HeaderMap, body: &[u8]) -> Bytes {
     let content_type = headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok()).unwrap_or_default();
     [format!("Content-Type: {content_type}\r\n\r\n").as_bytes(), body].concat().into()
@@ -110,7 +110,8 @@
     Ok(SignedRequest { request: request.body(Full::new(body.into()))?, mic })
 }
 
-/// Only a receipt that the partner signed, for this message and with its digest, is a delivery.
+/// Returns the result that a receipt indicates. The message counts as delivered only if the partner signed the receipt and the
+/// receipt contains the id and the digest of the message.
 fn result_of_receipt(
     text: &[u8], id: &str, mic: &str, settings: &As2Settings, partner: &Partner,
 ) -> AttemptResult {
@@ -118,27 +119,29 @@
         log::warn!("AS2: message {id} to {}: {reason}", partner.name);
         AttemptResult::from(outcome)
     };
-    let Some(entity) = smime::parse_entity(text) else { return failed("no receipt came", Outcome::Error) };
+    let Some(entity) = smime::parse_entity(text) else {
+        return failed("no receipt received", Outcome::Error);
+    };
     let part = match smime::decrypt_and_verify(entity, &settings.identity, &partner.certificate) {
         Ok(part) => part,
-        Err(why) => {
+        Err(error) => {
             return failed(
-                &format!("its receipt is not good: {}", why.disposition_modifier()),
+                &format!("the receipt cannot be verified: {}", error.disposition_modifier()),
                 Outcome::Error,
             )
         }
     };
     let Some(receipt) = mdn::parse(&part) else {
-        return failed("its receipt cannot be read", Outcome::Error);
+        return failed("the receipt cannot be parsed", Outcome::Error);
     };
     if receipt.original_message_id != id {
-        return failed("its receipt is for another message", Outcome::Error);
+        return failed("the receipt is for another message", Outcome::Error);
     }
     match receipt.outcome() {
         DispositionOutcome::Processed if receipt.received_content_mic.as_deref() == Some(mic) => {
             Outcome::Ok.into()
         }
-        DispositionOutcome::Processed => failed("its receipt has another digest", Outcome::Error),
+        DispositionOutcome::Processed => failed("the receipt has a different digest", Outcome::Error),
         DispositionOutcome::NotProcessed => failed(&receipt.disposition, Outcome::Rejected(None)),
         DispositionOutcome::MayBeProcessed => failed(&receipt.disposition, Outcome::Error),
     }
--- a/src/upstream/batch.rs
+++ b/src/upstream/batch.rs
@@ -1,6 +1,6 @@
-//! Several messages for one endpoint in one call: it takes one slot and one connection, and its complete answer says how each
-//! of them ended. Each message keeps its own deadline and can be cancelled alone; what that means for the others is decided
-//! here.
+//! Batch calls, which carry several messages for one endpoint. A batch call occupies one slot and one connection, and its
+//! response contains the result of each message. Each message has a separate deadline and can be cancelled separately. This
+//! module decides what that means for the rest of the batch.
 use super::connection::UpstreamRequest;
 use super::platform::{self, CallKind};
 use super::pool::Pool;
@@ -19,13 +19,13 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// Bytes of an answer, which has a short line for each message.
-const MAX_ANSWER_BYTES: usize = 64 * 1024;
-/// How long the rest of an answer is waited for after its head. An endpoint writes it at once; without this bound the slot of
-/// a message that must not run twice would be taken until its deadline.
+/// The longest response body in bytes. A response has one short line per message.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024;
+/// How long to wait for the body of a response after its head. Endpoints write the body at once. Without this timeout, a call
+/// with an at-most-once message would occupy its slot until the deadline of that message.
 const BODY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Makes one call with several messages and reports the end of each. Dropping this future cancels the call.
+/// Makes a call with several messages and reports the result of each. Dropping this future cancels the call.
 pub(super) async fn run(
     pool: Arc<Pool>, attempts: Vec<Attempt>, exchange: Exchange,
     mut cancellations: UnboundedReceiver<AttemptId>,
@@ -46,17 +46,17 @@
     }
 }
 
-/// A message of the call whose end has not been reported.
-struct Pending<'a> {
+/// An attempt whose result has not been reported yet.
+struct PendingAttempt<'a> {
     attempt: &'a Attempt,
     deadline: Instant,
     is_cancelled: bool,
 }
 
-/// The messages of the call that are pending.
+/// The attempts of a call whose results have not been reported yet.
 struct Batch<'a> {
     exchange: &'a Exchange,
-    pending: Vec<Pending<'a>>,
+    pending: Vec<PendingAttempt<'a>>,
 }
 
 impl<'a> Batch<'a> {
@@ -64,7 +64,7 @@
         let now = Instant::now();
         let pending = attempts.iter().map(|attempt| {
             let deadline = now + attempt_timeout(attempt);
-            Pending { attempt, deadline, is_cancelled: false }
+            PendingAttempt { attempt, deadline, is_cancelled: false }
         });
         Batch { exchange, pending: pending.collect() }
     }
@@ -73,16 +73,16 @@
         self.pending.iter().map(|pending| pending.deadline).min()
     }
 
-    /// The call has ended: reports what became of each message. Returns that nothing is pending any more.
+    /// Reports the result of each pending attempt after the call has ended. Returns `true`, as nothing is pending any more.
     fn finish(&mut self, results: &BatchResults) -> bool {
         for pending in self.pending.drain(..) {
-            report(self.exchange, pending.attempt, results.of(pending.attempt));
+            report(self.exchange, pending.attempt, results.result_for(pending.attempt));
         }
         true
     }
 
-    /// Marks a message as cancelled. Guards the others: the call goes on, and the outcome of this message comes with theirs,
-    /// unless all are cancelled. Returns whether they are.
+    /// Marks an attempt as cancelled. The call continues for the other attempts, and the cancelled attempt gets its outcome with
+    /// them. If all attempts are cancelled, ends the call. Returns whether the call has ended.
     fn cancel(&mut self, id: AttemptId) -> bool {
         for pending in &mut self.pending {
             pending.is_cancelled |= AttemptId::from(pending.attempt) == id;
@@ -94,19 +94,19 @@
         are_all_cancelled
     }
 
-    /// Ends the messages whose deadline has passed. Returns whether that ends the call as well.
+    /// Reports a timeout for each attempt whose deadline has passed. Returns whether the call has ended as well.
     fn expire(&mut self, now: Instant) -> bool {
-        let expired: Vec<Pending<'_>> = self.pending.extract_if(.., |p| p.deadline <= now).collect();
-        // Guards the order by key: the next message of an expired one may not be sent while the call is still in flight on an
-        // open connection.
+        let expired: Vec<PendingAttempt<'_>> = self.pending.extract_if(.., |p| p.deadline <= now).collect();
+        // Preserves the order by key: the next message with the key of an expired one may be sent as soon as the expiry is
+        // reported, so the call must not stay in flight on an open connection.
         let has_ordering_key = expired.iter().any(|pending| pending.attempt.context.ordering_key.is_some());
         for pending in expired {
             report(self.exchange, pending.attempt, Outcome::Timeout.into());
         }
-        // Guards messages that must not run twice: cancelling the call forfeits them, so the deadline of another is no reason
-        // to.
-        let must_go_on = self.pending.iter().any(|pending| pending.attempt.at_most_once);
-        let is_finished = has_ordering_key || !must_go_on;
+        // Cancelling the call would forfeit its at-most-once messages, which must not be sent again. The deadline of another
+        // message is no reason to cancel them.
+        let must_continue = self.pending.iter().any(|pending| pending.attempt.at_most_once);
+        let is_finished = has_ordering_key || !must_continue;
         if is_finished {
             self.end_all(Outcome::Cancelled);
         }
@@ -120,11 +120,11 @@
     }
 }
 
-/// How the messages of a call ended.
+/// The results of the messages of a call.
 struct BatchResults {
-    /// Those of which the answer speaks and those that were not sent, by name.
+    /// The results of messages that the response contains or that were not sent, by message name.
     by_name: HashMap<String, AttemptResult>,
-    /// All others.
+    /// The result of all other messages.
     others: AttemptResult,
 }
 
@@ -133,24 +133,24 @@
         BatchResults { by_name: HashMap::new(), others: result }
     }
 
-    fn of(&self, attempt: &Attempt) -> AttemptResult {
+    fn result_for(&self, attempt: &Attempt) -> AttemptResult {
         *self.by_name.get(&attempt.context.name).unwrap_or(&self.others)
     }
 }
 
-/// Makes the call; dropping it closes its connection.
+/// Makes the call. Dropping this future closes the connection.
 async fn call(pool: Arc<Pool>, attempts: &[Attempt], exchange: &Exchange) -> BatchResults {
     let Some(first) = attempts.first() else {
         return BatchResults::same_for_all(Outcome::Skipped.into());
     };
     let address = &first.address;
     let Ok(to) = format!("http://{address}/v1/messages:batch").parse::<Uri>() else {
-        log::error!("{address} is not a valid address: messages for it are not sent");
+        log::error!("invalid endpoint address {address}; its messages are not sent");
         return BatchResults::same_for_all(Outcome::Skipped.into());
     };
     let mut by_name = HashMap::new();
     let make_request = || {
-        // Each message is checked again, as in a call of its own, and recorded in the journal before the first byte.
+        // As in a single call, each attempt is checked again and recorded in the journal before the first byte is sent.
         let (sendable, unsendable): (Vec<&Attempt>, Vec<&Attempt>) =
             attempts.iter().partition(|attempt| exchange.may_send(AttemptId::from(*attempt)));
         for attempt in unsendable {
@@ -161,39 +161,47 @@
     let listener = platform::retry_after_listener(first, CallKind::Batch, exchange);
     let mut call = match pool.call(to.clone(), make_request, listener).await {
         Ok(call) => call,
-        Err(error) => return BatchResults { by_name, others: platform::call_failed(address, &error) },
+        Err(error) => {
+            return BatchResults { by_name, others: platform::result_of_failed_call(address, &error) }
+        }
     };
     let monitor = call.monitor.clone();
-    let (answer, connection) = match call.head().await {
-        Ok(answered) => answered,
+    let (response, connection) = match call.head().await {
+        Ok(response_and_connection) => response_and_connection,
         Err(error) => {
-            return BatchResults { by_name, others: platform::head_failed(&monitor, address, &error) };
+            return BatchResults {
+                by_name,
+                others: platform::result_of_failed_head(&monitor, address, &error),
+            };
         }
     };
-    let results = read_answer(answer, address, by_name).await;
+    let results = read_response(response, address, by_name).await;
     let _ = timeout(platform::COMPLETION_GRACE_PERIOD, connection.release_when_ready()).await;
     results
 }
 
-/// Reads an answer. It counts as a whole or not at all.
-async fn read_answer(
-    answer: Response<Incoming>, address: &str, mut by_name: HashMap<String, AttemptResult>,
+/// Reads the results from a response. An incomplete response is discarded as a whole.
+async fn read_response(
+    response: Response<Incoming>, address: &str, mut by_name: HashMap<String, AttemptResult>,
 ) -> BatchResults {
-    let (head, body) = answer.into_parts();
-    let body = match timeout(BODY_TIMEOUT, Limited::new(body, MAX_ANSWER_BYTES).collect()).await {
+    let (head, body) = response.into_parts();
+    let body = match timeout(BODY_TIMEOUT, Limited::new(body, MAX_RESPONSE_BYTES).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) => Err(error.to_string()),
-        Err(_) => Err("the rest of it does not come".to_string()),
+        Err(_) => Err("its body did not arrive in time".to_string()),
     };
     let others = match (head.status, body) {
         (StatusCode::OK, Ok(text)) => {
-            let others = platform::unreadable_answer(address, "it does not say how this message ended");
+            let others = platform::unreadable_response(address, "a message of the batch has no result");
             by_name.extend(parse_results(&text, &head.headers));
             others
         }
-        (StatusCode::OK, Err(reason)) => platform::unreadable_answer(address, &reason),
+        (StatusCode::OK, Err(reason)) => platform::unreadable_response(address, &reason),
         (StatusCode::BAD_REQUEST | StatusCode::PAYLOAD_TOO_LARGE, _) => {
-            log::error!("{address}: a call with several messages was answered {}; none has run", head.status);
+            log::error!(
+                "{address}: batch call rejected with status {}; none of its messages has run",
+                head.status
+            );
             Outcome::Skipped.into()
         }
         (status, _) => platform::result_of_head(status, &head.headers),
@@ -201,14 +209,14 @@
     BatchResults { by_name, others }
 }
 
-/// The request with these messages; none where there are none.
+/// Encodes a request with these messages. Returns `None` if there are none.
 fn encode(to: &Uri, attempts: &[&Attempt]) -> Option<UpstreamRequest> {
     let longest = attempts.iter().map(|attempt| attempt.timeout).max()?;
     let request = Request::post(to.clone()).header("x-deadline", format!("{}m", longest.0 / 1_000_000));
     request.body(Full::new(encode_body(attempts))).ok()
 }
 
-/// For each message a line with its id, its idempotency key and its length, and then its bytes.
+/// Encodes each message as a line with its id, idempotency key and length, followed by its body.
 fn encode_body(attempts: &[&Attempt]) -> Bytes {
     let mut body = BytesMut::new();
     for attempt in attempts {
@@ -221,7 +229,7 @@
     body.freeze()
 }
 
-/// How each message ended, by name, from lines of the form `NAME RESULT`. Unknown results are passed over.
+/// Parses lines of the form `NAME RESULT` and returns the result of each message by name. Ignores unknown results.
 fn parse_results(text: &[u8], headers: &HeaderMap) -> HashMap<String, AttemptResult> {
     let text = String::from_utf8_lossy(text);
     let report = platform::result_of_head(StatusCode::OK, headers).report;
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 connection to an endpoint, as a service that carries one call at a time.
+//! An HTTP/1.1 connection to an endpoint, implemented as a service that carries one call at a time.
 use super::monitored_stream::{CallMonitor, HeaderListener, MonitoredStream, StreamMonitor};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -15,47 +15,47 @@
 use tokio::time::Instant;
 use tower::{Service, ServiceExt};
 
-/// Bytes of an answer's head; those of endpoints are shorter.
+/// The longest head of a response in bytes. Endpoints send shorter ones.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 
 pub(super) type UpstreamRequest = Request<Full<Bytes>>;
 pub(super) type BoxFuture<T> = Pin<Box<dyn Future<Output = T> + Send>>;
 
-/// Why a call has no answer.
+/// The reason why a call has no response.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum UpstreamError {
-    /// No connection could be opened: see whether the endpoint listens at that address.
-    #[error("no connection: {0}")]
+    /// No connection could be established.
+    #[error("cannot connect: {0}; check that the endpoint listens at this address")]
     Connect(Box<dyn std::error::Error + Send + Sync>),
-    /// There is a connection, but by now the attempt may not be sent any more.
-    #[error("not sent: the attempt was reconsidered after the connect")]
+    /// The connection was established, but the attempt may no longer be sent.
+    #[error("not sent: the attempt was no longer permitted once it had a connection")]
     NotSent,
-    /// The connection was found closed; the request was handed back complete, so it never ran.
-    #[error("not written: {0}")]
+    /// The connection was already closed. The request was returned unsent, so the call has not run.
+    #[error("request not written: {0}")]
     NotWritten(hyper::Error),
-    /// The connection broke after the request was written: the call may have run.
-    #[error("{0}")]
+    /// The connection broke or the response was malformed after the request was written, so the call may have run.
+    #[error("call failed after the request was written: {0}")]
     Broken(hyper::Error),
 }
 
-/// The head of an answer, its body still to be read.
-pub(super) type Answer = Result<Response<Incoming>, UpstreamError>;
+/// The head of a response, whose body is still unread.
+pub(super) type ResponseResult = Result<Response<Incoming>, UpstreamError>;
 
-/// What a connection is to do.
+/// A command to a connection.
 pub(super) enum ConnectionCommand {
-    /// Sends this request and reports the lines of its answer's head.
+    /// Sends this request and reports the header lines of the response to the listener.
     Send(Box<UpstreamRequest>, HeaderListener),
-    /// Carries no further call and closes once dropped.
+    /// Marks the connection as closed: it carries no further call and closes when it is dropped.
     Close,
 }
 
-/// A request that was handed to its connection.
+/// A request that was passed to its connection.
 pub(super) struct SentRequest {
     pub(super) monitor: CallMonitor,
-    pub(super) answer: BoxFuture<Answer>,
+    pub(super) response: BoxFuture<ResponseResult>,
 }
 
-/// The connection is closed, or is to be.
+/// The connection is closed or marked as closed.
 #[derive(Debug)]
 pub(super) struct Closed;
 
@@ -68,7 +68,7 @@
 }
 
 impl Connection {
-    /// Whether it can carry another call, and has not been idle for this long.
+    /// Returns whether the connection can carry another call and has been idle for less than `max_idle_time`.
     pub(super) fn is_reusable(&self, max_idle_time: Duration) -> bool {
         self.sender.is_ready() && self.idle_since.elapsed() < max_idle_time
     }
@@ -79,7 +79,7 @@
     type Error = Closed;
     type Future = Ready<Result<SentRequest, Closed>>;
 
-    /// Ready for a call, or closed; pending while it carries one.
+    /// Returns ready if the connection can carry a call, an error if it is closed, and pending while it carries a call.
     fn poll_ready(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), Closed>> {
         if self.is_closed {
             return Poll::Ready(Err(Closed));
@@ -93,20 +93,20 @@
             self.is_closed = true;
             return ready(Err(Closed));
         };
-        // The monitor starts before the connection writes.
+        // The monitor must record the call before the connection writes its first byte.
         let monitor = self.monitor.start_call(listener);
         let sent = self.sender.try_send_request(*request);
-        let answer = async move {
+        let response = async move {
             sent.await.map_err(|mut error| match error.take_message() {
                 Some(_) => UpstreamError::NotWritten(error.into_error()),
                 None => UpstreamError::Broken(error.into_error()),
             })
         };
-        ready(Ok(SentRequest { monitor, answer: Box::pin(answer) }))
+        ready(Ok(SentRequest { monitor, response: Box::pin(response) }))
     }
 }
 
-/// Opens a connection, whose task runs until it closes.
+/// Opens a connection and spawns its task, which runs until the connection closes.
 pub(super) async fn connect(connector: HttpConnector, to: Uri) -> Result<Connection, UpstreamError> {
     let io = connector.oneshot(to).await.map_err(|e| UpstreamError::Connect(e.into()))?;
     let stream = MonitoredStream::new(io.into_inner());
@@ -122,7 +122,7 @@
     Ok(Connection { sender, monitor, idle_since: Instant::now(), is_closed: false })
 }
 
-/// The request with its target in origin form (RFC 9112, section 3.2.1) and its host in a header.
+/// Converts the request target to origin form (RFC 9112, section 3.2.1) and moves the host to the `Host` header.
 pub(super) fn into_origin_form(mut request: UpstreamRequest) -> UpstreamRequest {
     if let Some(host) = host_header(request.uri()) {
         request.headers_mut().entry(HOST).or_insert(host);
@@ -132,7 +132,7 @@
     request
 }
 
-/// The host without user information, which RFC 9112, section 3.2 excludes from the header.
+/// Returns the value of the `Host` header. User information is left out, as RFC 9112, section 3.2 requires.
 fn host_header(uri: &Uri) -> Option<HeaderValue> {
     let authority = uri.authority()?.as_str();
     let host = authority.rsplit('@').next().unwrap_or_default();
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -1,8 +1,8 @@
-//! Attempts on the wire: calls to endpoints over pooled connections, one pool for each endpoint.
+//! Sends calls to endpoints over pooled connections, with one pool per endpoint.
 //!
-//! - `platform`, `batch`, `as2`: how an attempt is encoded, and what its answer means
+//! - `platform`, `batch`, `as2`: encode attempts and interpret the responses
 //! - `pool`, `connection`: the connections to one endpoint
-//! - `monitored_stream`: what passes on a connection, below what hyper shows
+//! - `monitored_stream`: monitors the bytes on a connection below hyper
 #![warn(missing_docs)]
 mod as2;
 mod batch;
@@ -26,18 +26,18 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-/// The shortest time that an attempt gets.
+/// The shortest timeout of an attempt.
 const MIN_ATTEMPT_TIMEOUT: Nanos = Nanos(1_000_000);
 
-/// Carries out the commands of the exchange, for as long as the process runs. `as2_settings` names the AS2 partners, where there are
-/// any.
+/// Executes the commands of the exchange until the process exits. `as2_settings` contains the AS2 partners, if any are
+/// configured.
 pub async fn run(
-    site: Arc<DeploymentSettings>, as2_settings: Option<Arc<As2Settings>>, exchange: Exchange,
+    deployment: Arc<DeploymentSettings>, as2_settings: Option<Arc<As2Settings>>, exchange: Exchange,
     mut commands: UnboundedReceiver<UpstreamCommand>,
 ) {
-    let mut expiry_check = tokio::time::interval(pool::expiry_check_interval(&site));
+    let mut expiry_check = tokio::time::interval(pool::expiry_check_interval(&deployment));
     let (pools, in_flight) = (BTreeMap::new(), BTreeMap::new());
-    let mut dispatcher = Dispatcher { site, as2_settings, exchange, pools, in_flight };
+    let mut dispatcher = Dispatcher { deployment, as2_settings, exchange, pools, in_flight };
     loop {
         tokio::select! {
             biased;
@@ -50,11 +50,11 @@
     }
 }
 
-/// By what an attempt in flight is cancelled.
+/// The handle that cancels an attempt in flight.
 enum InFlight {
-    /// It has a call of its own: the task of that call.
+    /// The task of a call that carries only this attempt.
     Single(AbortHandle),
-    /// Its call carries others as well: where that call takes cancellations.
+    /// The cancellation channel of a call that carries several attempts.
     Batch(UnboundedSender<AttemptId>),
 }
 
@@ -67,9 +67,9 @@
     }
 }
 
-/// Starts calls, each in a task of its own, and cancels them.
+/// Starts calls, each in a separate task, and cancels them.
 struct Dispatcher {
-    site: Arc<DeploymentSettings>,
+    deployment: Arc<DeploymentSettings>,
     as2_settings: Option<Arc<As2Settings>>,
     exchange: Exchange,
     pools: BTreeMap<EndpointId, Arc<Pool>>,
@@ -81,7 +81,7 @@
         match command {
             UpstreamCommand::Call(attempts) => self.start_call(attempts),
             UpstreamCommand::CancelAttempt(id) => self.cancel(id),
-            // Calls in flight go on, and close their connections when they end.
+            // Calls in flight continue and close their connections when they end.
             UpstreamCommand::CloseIdle(endpoint) => {
                 if let Some(pool) = self.pools.remove(&endpoint) {
                     pool.close_all_idle();
@@ -107,9 +107,9 @@
         }
     }
 
-    /// The pool of this endpoint; a new one where the endpoint has moved to another address.
+    /// Returns the pool of this endpoint. Creates a new pool if the endpoint is new or has moved to another address.
     fn pool(&mut self, endpoint: EndpointId, address: &str) -> Arc<Pool> {
-        let new_pool = || Arc::new(Pool::new(&self.site, address.to_string()));
+        let new_pool = || Arc::new(Pool::new(&self.deployment, address.to_string()));
         let pool = self.pools.entry(endpoint).or_insert_with(new_pool);
         if pool.address != address {
             *pool = new_pool();
@@ -137,20 +137,20 @@
             return;
         }
         match call {
-            // Dropping the call closes its connection, by which the endpoint learns of it.
+            // Aborting the task drops the call, which closes its connection and so signals the cancellation to the endpoint.
             InFlight::Single(task) => {
                 task.abort();
                 self.exchange.attempt_ended(id, Outcome::Cancelled.into());
             }
             InFlight::Batch(cancellations) => {
-                // It has ended since then where nobody receives this.
+                // The send fails if the call has ended in the meantime.
                 let _ = cancellations.send(id);
             }
         }
     }
 }
 
-/// Makes the call of one attempt and reports how it ended.
+/// Makes a call that carries one attempt, and reports the result.
 async fn run_single(
     pool: Arc<Pool>, attempt: Attempt, as2_settings: Option<Arc<As2Settings>>, exchange: Exchange,
 ) {
@@ -170,12 +170,12 @@
     platform::call(pool, attempt, exchange).await
 }
 
-/// How long this attempt may take.
+/// Returns the timeout of this attempt.
 fn attempt_timeout(attempt: &Attempt) -> Duration {
     Duration::from_nanos(attempt.timeout.max(MIN_ATTEMPT_TIMEOUT).0)
 }
 
-/// The one place where the end of an attempt is reported, whether it had a call of its own or not.
+/// Logs the result of an attempt and reports it to the exchange. Used for single and batch calls.
 fn report(exchange: &Exchange, attempt: &Attempt, result: AttemptResult) {
     let (message, dest) = (&attempt.context.name, attempt.context.dest);
     let AttemptResult { outcome, report, .. } = result;
--- a/src/upstream/monitored_stream.rs
+++ b/src/upstream/monitored_stream.rs
@@ -1,6 +1,6 @@
-//! A thin wrapper round an endpoint's socket. It records what hyper does not show of an answer that it cannot parse: whether
-//! anything came, and what the status line says. It reports each header line as it comes, whatever becomes of the call, and
-//! shuts down the sending side of a call that is cancelled.
+//! A wrapper around the socket of a connection to an endpoint. It records what hyper does not expose of a response that it cannot
+//! parse: whether any bytes arrived, and the status code. It reports each header line on arrival, regardless of the outcome of
+//! the call, and shuts down the sending side when a call is cancelled.
 use socket2::SockRef;
 use std::io::{self, IoSlice};
 use std::mem::MaybeUninit;
@@ -13,36 +13,36 @@
 use tokio::sync::Notify;
 use tokio::time::{timeout_at, Instant};
 
-/// Bytes of each head line that are recorded; status lines and the headers of interest are shorter.
+/// Number of bytes of each head line that are recorded. The relevant status lines and headers are shorter.
 const MAX_LINE_BYTES: usize = 64;
-/// How long the rest of a head is waited for after its first byte. An endpoint writes the head of an answer at once.
+/// How long to wait for the rest of a response head after its first byte. Endpoints write the head at once.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Called for each header line of an answer, with the answer's status code.
+/// A callback for each header line of a response. Its first argument is the status code of the response.
 pub(super) type HeaderListener = Box<dyn Fn(u16, &str) + Send>;
 
-/// What passed on a connection since its present call began.
+/// The state of the current call on a connection.
 #[derive(Default)]
 struct CallState {
     /// The number of the call on this connection, from 1.
     call: u64,
-    /// A byte of the call was given to the socket.
+    /// Whether a byte of the call was passed to the socket.
     is_written: bool,
-    /// A byte of its answer has come.
-    has_answer_bytes: bool,
-    /// The head line that is being read.
+    /// Whether a byte of the response has arrived.
+    has_response_bytes: bool,
+    /// The received part of the current head line.
     line: Vec<u8>,
-    /// In the head of an interim (1xx) answer, which the final one follows (RFC 9110, section 15.2).
+    /// Whether the current line belongs to an interim (1xx) response, which the final one follows (RFC 9110, section 15.2).
     in_interim_head: bool,
-    /// The status code of the final answer; 0 where its first line is no status line of HTTP/1.
+    /// The status code of the final response, or 0 if its first line is not an HTTP/1 status line.
     status: Option<u16>,
     is_head_complete: bool,
     listener: Option<HeaderListener>,
-    /// Bytes came before any of this call were written: they are no answer to it.
+    /// Whether bytes arrived before the first byte of the call was written. They cannot be a response to it.
     has_unsolicited_bytes: bool,
-    /// The sending side is to be shut down by the task that reads.
+    /// Whether the reading task must shut down the sending side.
     is_shutdown_requested: bool,
-    /// The task that reads.
+    /// Wakes the reading task.
     reader: Option<Waker>,
 }
 
@@ -56,7 +56,7 @@
             if self.is_head_complete {
                 return;
             }
-            self.has_answer_bytes = true;
+            self.has_response_bytes = true;
             match byte {
                 b'\n' => self.end_line(),
                 _ if self.line.len() < MAX_LINE_BYTES => self.line.push(*byte),
@@ -77,11 +77,11 @@
         }
     }
 
-    /// Only what follows an interim answer is the answer itself.
+    /// Handles a line of an interim response. Its bytes do not count as bytes of the final response.
     fn interim_line(&mut self, text: &str) {
         let is_end_of_head = text.is_empty();
         self.in_interim_head = !is_end_of_head;
-        self.has_answer_bytes = !is_end_of_head;
+        self.has_response_bytes = !is_end_of_head;
     }
 
     fn header_line(&mut self, status: u16, text: &str) {
@@ -101,7 +101,7 @@
     }
 }
 
-/// The code in a status line of HTTP/1 (RFC 9112, section 4).
+/// Parses the status code of an HTTP/1 status line (RFC 9112, section 4).
 fn parse_status(line: &str) -> Option<u16> {
     let mut words = line.split(' ');
     let version = words.next()?;
@@ -111,20 +111,20 @@
     words.next()?.parse().ok()
 }
 
-/// What a connection and its calls share.
+/// The state shared by a connection and the monitors of its calls.
 #[derive(Default)]
 struct Shared {
     state: Mutex<CallState>,
-    /// Notified whenever bytes have come.
+    /// Notified whenever bytes have been read.
     bytes_read: Notify,
 }
 
-/// The record of what passes on one connection.
+/// Monitors the bytes on one connection.
 #[derive(Clone, Default)]
 pub(super) struct StreamMonitor(Arc<Shared>);
 
 impl StreamMonitor {
-    /// Starts the record of the next call on this connection; the listener is called for the header lines of its answer.
+    /// Starts to monitor the next call on this connection. Calls the listener for each header line of the response.
     pub(super) fn start_call(&self, listener: HeaderListener) -> CallMonitor {
         let mut state = self.lock();
         let call = state.call + 1;
@@ -138,7 +138,7 @@
     }
 }
 
-/// The record of one call on its connection. Once the connection carries the next call, it reads as empty.
+/// Monitors one call. Once the connection carries the next call, all queries about this one return `false`.
 #[derive(Clone)]
 pub(super) struct CallMonitor {
     stream: StreamMonitor,
@@ -146,33 +146,33 @@
 }
 
 impl CallMonitor {
-    fn read(&self, field: impl Fn(&CallState) -> bool) -> bool {
+    fn query(&self, predicate: impl Fn(&CallState) -> bool) -> bool {
         let state = self.stream.lock();
-        state.call == self.call && field(&state)
+        state.call == self.call && predicate(&state)
     }
 
-    /// Whether this is the first call on its connection.
+    /// Returns whether this is the first call on its connection.
     pub(super) fn is_first_on_connection(&self) -> bool {
         self.call == 1
     }
 
-    /// Whether no byte of the call was given to the socket.
+    /// Returns whether no byte of the call was passed to the socket.
     pub(super) fn is_unwritten(&self) -> bool {
-        self.read(|state| !state.is_written)
+        self.query(|state| !state.is_written)
     }
 
-    /// Whether any byte of an answer came.
-    pub(super) fn has_answer_bytes(&self) -> bool {
-        self.read(|state| state.has_answer_bytes)
+    /// Returns whether any byte of the final response has arrived.
+    pub(super) fn has_response_bytes(&self) -> bool {
+        self.query(|state| state.has_response_bytes)
     }
 
-    /// Whether the status line of the answer says 200.
+    /// Returns whether the status code of the final response is 200.
     pub(super) fn has_status_ok(&self) -> bool {
-        self.read(|state| state.status == Some(200))
+        self.query(|state| state.status == Some(200))
     }
 
-    /// Shuts down the sending side, by which the endpoint learns that the call is cancelled. What it has answered by then
-    /// still comes.
+    /// Shuts down the sending side, which signals the cancellation of the call to the endpoint. A response that the endpoint has
+    /// already sent can still be read.
     pub(super) fn cancel(&self) {
         let mut state = self.stream.lock();
         if state.call != self.call {
@@ -184,30 +184,30 @@
         }
     }
 
-    /// Returns when nothing more needs to be known of the answer: its status line says 200, or the rest of its head has not
-    /// come within [`HEAD_TIMEOUT`].
-    pub(super) async fn answer_decided(&self) {
+    /// Waits until the outcome can be decided without the complete head: either the status code is 200, or the rest of the head
+    /// has not arrived within [`HEAD_TIMEOUT`] after its first byte.
+    pub(super) async fn outcome_decided(&self) {
         let mut head_deadline = None;
         while !self.has_status_ok() {
-            // An interim answer may set this back.
-            if !self.has_answer_bytes() {
+            // The end of an interim response resets `has_response_bytes`.
+            if !self.has_response_bytes() {
                 head_deadline = None;
             } else if head_deadline.is_none() {
                 head_deadline = Some(Instant::now() + HEAD_TIMEOUT);
             }
-            let more = self.stream.0.bytes_read.notified();
+            let bytes_read = self.stream.0.bytes_read.notified();
             let Some(deadline) = head_deadline else {
-                more.await;
+                bytes_read.await;
                 continue;
             };
-            if timeout_at(deadline, more).await.is_err() {
+            if timeout_at(deadline, bytes_read).await.is_err() {
                 return;
             }
         }
     }
 }
 
-/// A socket with the record of what passes on it.
+/// A socket whose traffic is monitored.
 pub(super) struct MonitoredStream {
     io: TcpStream,
     monitor: StreamMonitor,
@@ -218,14 +218,15 @@
         MonitoredStream { io, monitor: StreamMonitor::default() }
     }
 
-    /// Its record.
+    /// Returns the monitor of this stream.
     pub(super) fn monitor(&self) -> StreamMonitor {
         self.monitor.clone()
     }
 
-    /// Guards a call against a connection on which bytes came while it was idle, or which was closed meanwhile: the call would
-    /// be lost on it, or would take for its answer what is none. Asks the operating system and not the runtime, which learns of
-    /// it later. Nothing of the call is written then, so it has surely not run.
+    /// Rejects the first write of a call if bytes arrived while the connection was idle or if the endpoint has closed it. On such
+    /// a connection the call could be lost, or the unsolicited bytes could be mistaken for its response. Peeks at the socket,
+    /// because the runtime may not have noticed the event yet. On rejection no byte of the call is written, so the call has not
+    /// run.
     fn check_before_first_byte(&self) -> io::Result<()> {
         let mut state = self.monitor.lock();
         if state.is_written {
@@ -241,7 +242,7 @@
         Ok(())
     }
 
-    /// Registers who reads, and returns whether the sending side is to be shut down first.
+    /// Registers the reading task. Returns whether the task must shut down the sending side first.
     fn register_reader(&self, cx: &Context<'_>) -> bool {
         let mut state = self.monitor.lock();
         state.reader = Some(cx.waker().clone());
@@ -254,7 +255,7 @@
         mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         if self.register_reader(cx) {
-            // It fails on a broken connection, which the read reports as well.
+            // Fails on a broken connection, which the following read reports as well.
             let _ = ready!(Pin::new(&mut self.io).poll_shutdown(cx));
             self.monitor.lock().is_shutdown_requested = false;
         }
--- a/src/upstream/platform.rs
+++ b/src/upstream/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's encoding of an attempt: a call to an endpoint, and what its answer means.
+//! The platform's HTTP encoding of calls with one message, and the interpretation of the responses.
 use super::connection::UpstreamError;
 use super::monitored_stream::{CallMonitor, HeaderListener};
 use super::pool::{Call, Pool, PooledConnection};
@@ -13,37 +13,37 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Bytes of an answer's body that are read. It means nothing, and is read for the connection to be used again.
+/// Number of bytes of a response body that are read. The body is ignored and is read only so that the connection can be reused.
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// How long an answer's body is read.
+/// How long to read a response body.
 const BODY_TIMEOUT: Duration = Duration::from_millis(100);
-/// How long the rest of an answer is waited for once its outcome is known. Mostly it is there, and then its connection is
-/// free for the next call before that is decided.
+/// How long to wait for the rest of a response once the outcome is known. Usually the rest has already arrived, and the wait
+/// makes the connection available before the next call is decided.
 pub(super) const COMPLETION_GRACE_PERIOD: Duration = Duration::from_millis(3);
 
-/// The header in which a destination reports its load.
+/// The response header with the load report of a destination.
 const LOAD_REPORT_HEADER: &str = "x-load";
-/// The largest value of a load report that is believed.
+/// The largest plausible value in a load report.
 const MAX_LOAD_VALUE: f64 = 1e6;
-/// The header of a 503 that says that the endpoint has no slot free and has not run the call.
+/// The header of a 503 that indicates that the endpoint has no free slot and has not run the call.
 const NO_SLOT_HEADER: &str = "x-no-slot";
 
-/// The longest Retry-After that is heeded, in seconds: past any message's deadline, and short enough to be waited out.
+/// The longest Retry-After that is respected, in seconds. Longer than the deadline of any message, and short enough to wait out.
 const MAX_RETRY_AFTER_SECS: f64 = 3600.0;
 
-/// How many messages a call carries.
+/// Whether a call carries one message or several.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum CallKind {
     Single,
     Batch,
 }
 
-/// Makes the call of one attempt. Dropping this future cancels it, which closes its connection.
+/// Makes a call that carries one attempt. Dropping this future cancels the call and closes its connection.
 pub(super) async fn call(pool: Arc<Pool>, attempt: &Attempt, exchange: &Exchange) -> AttemptResult {
     let request = match encode(attempt) {
         Ok(request) => request,
         Err(e) => {
-            log::error!("attempt of {} cannot be encoded: {e}", attempt.context.name);
+            log::error!("cannot encode an attempt of message {}: {e}", attempt.context.name);
             return Outcome::Skipped.into();
         }
     };
@@ -52,24 +52,26 @@
     let listener = retry_after_listener(attempt, CallKind::Single, exchange);
     let mut call = match pool.call(to, make_request, listener).await {
         Ok(call) => call,
-        Err(error) => return call_failed(&attempt.address, &error),
+        Err(error) => return result_of_failed_call(&attempt.address, &error),
     };
     let monitor = call.monitor.clone();
     let head = tokio::select! {
         biased;
         head = call.head() => Some(head),
-        () = monitor.answer_decided() => timeout(COMPLETION_GRACE_PERIOD, call.head()).await.ok(),
+        () = monitor.outcome_decided() => timeout(COMPLETION_GRACE_PERIOD, call.head()).await.ok(),
     };
     match head {
-        Some(Ok((answer, connection))) => answered(answer, connection, &monitor, &attempt.address).await,
-        // The call has run: where its status line says 200 it is a delivery, whatever follows.
+        Some(Ok((response, connection))) => {
+            handle_response(response, connection, &monitor, &attempt.address).await
+        }
+        // With status 200 the message is delivered, even if the rest of the response cannot be read.
         Some(Err(_)) if monitor.has_status_ok() => Outcome::Ok.into(),
-        Some(Err(error)) => head_failed(&monitor, &attempt.address, &error),
+        Some(Err(error)) => result_of_failed_head(&monitor, &attempt.address, &error),
         None if monitor.has_status_ok() => {
             tokio::spawn(timeout(BODY_TIMEOUT, read_head_and_body(call)));
             Outcome::Ok.into()
         }
-        None => unreadable_answer(&attempt.address, "its head does not end"),
+        None => unreadable_response(&attempt.address, "its head is incomplete"),
     }
 }
 
@@ -84,8 +86,8 @@
     request.body(Full::new(context.body.clone()))
 }
 
-/// Reports the Retry-After of an answer as its head comes, line by line. It belongs to the partner and not to the message, so
-/// it counts also where the head never ends or cannot be read, and where nobody waits for the answer any more.
+/// Returns a listener that reports the Retry-After of a response as soon as its header line arrives. A Retry-After applies to the
+/// partner and not to the message, so it is respected even if the head is incomplete or malformed or the call was cancelled.
 pub(super) fn retry_after_listener(attempt: &Attempt, kind: CallKind, exchange: &Exchange) -> HeaderListener {
     let (host, dest, exchange) = (attempt.host, DestinationId(attempt.context.dest), exchange.clone());
     Box::new(move |status, line| {
@@ -99,8 +101,8 @@
     })
 }
 
-/// Whether an answer with this status may say that a message never ran, so that its Retry-After counts (RFC 9110, section
-/// 10.2.3). The answer to a batch may reject some of its messages.
+/// Returns whether a response with this status may mean that a message never ran, so that its Retry-After applies (RFC 9110,
+/// section 10.2.3). A 200 response to a batch may reject some of its messages.
 fn may_reject(status: u16, kind: CallKind) -> bool {
     match status {
         429 | 503 => true,
@@ -109,65 +111,67 @@
     }
 }
 
-/// What an answer means whose head could be read.
-async fn answered(
-    answer: Response<Incoming>, connection: PooledConnection, monitor: &CallMonitor, address: &str,
+/// Interprets a response whose head was parsed, and reads its body.
+async fn handle_response(
+    response: Response<Incoming>, connection: PooledConnection, monitor: &CallMonitor, address: &str,
 ) -> AttemptResult {
-    if answer.status() == StatusCode::SWITCHING_PROTOCOLS {
-        return unreadable_answer(address, "it is a 101");
+    if response.status() == StatusCode::SWITCHING_PROTOCOLS {
+        return unreadable_response(address, "unexpected status 101");
     }
-    let mut result = result_of_head(answer.status(), answer.headers());
-    // A new connection that ends with a rejection without Retry-After: the endpoint holds as many connections as it takes.
+    let mut result = result_of_head(response.status(), response.headers());
+    // A rejection without Retry-After that closes a new connection means that the endpoint has reached its connection limit.
     let is_rejected = result.outcome == Outcome::Rejected(None);
-    if is_rejected && monitor.is_first_on_connection() && closes_connection(&answer) {
+    if is_rejected && monitor.is_first_on_connection() && closes_connection(&response) {
         result.outcome = Outcome::ConnectionLimit;
     }
-    // The body means nothing, and may never end. Guards against surplus connections: mostly it is there, and then the next
-    // call finds this connection free instead of opening another.
-    let mut body = tokio::spawn(timeout(BODY_TIMEOUT, read_body(answer, connection)));
+    // The body is ignored and may never end, so it is read in the background. Usually it has already arrived, and the short wait
+    // lets the next call reuse this connection instead of opening another.
+    let mut body = tokio::spawn(timeout(BODY_TIMEOUT, read_body(response, connection)));
     let _ = timeout(COMPLETION_GRACE_PERIOD, &mut body).await;
     result
 }
 
-/// What it means that the head of an answer could not be read.
-pub(super) fn head_failed(monitor: &CallMonitor, address: &str, error: &UpstreamError) -> AttemptResult {
-    if monitor.has_answer_bytes() {
-        return unreadable_answer(address, &error.to_string());
+/// Returns the result of an attempt whose response head could not be read.
+pub(super) fn result_of_failed_head(
+    monitor: &CallMonitor, address: &str, error: &UpstreamError,
+) -> AttemptResult {
+    if monitor.has_response_bytes() {
+        return unreadable_response(address, &error.to_string());
     }
-    // Found closed before the first byte was written: that says nothing about the endpoint, only about a connection.
+    // The connection was unusable before the first byte was written, which says nothing about the health of the endpoint.
     if monitor.is_unwritten() {
-        log::debug!("{address}: {error}: not sent");
+        log::debug!("{address}: {error}; the call was not sent");
         return Outcome::Skipped.into();
     }
-    call_failed(address, error)
+    result_of_failed_call(address, error)
 }
 
-/// Whether the connection ends with this answer (RFC 9112, section 9.6).
-fn closes_connection(answer: &Response<Incoming>) -> bool {
-    answer.headers().get(CONNECTION).is_some_and(|c| c.as_bytes().eq_ignore_ascii_case(b"close"))
+/// Returns whether the endpoint closes the connection after this response (RFC 9112, section 9.6).
+fn closes_connection(response: &Response<Incoming>) -> bool {
+    response.headers().get(CONNECTION).is_some_and(|c| c.as_bytes().eq_ignore_ascii_case(b"close"))
 }
 
-/// An answer came that cannot be read: the call may have run.
-pub(super) fn unreadable_answer(address: &str, reason: &str) -> AttemptResult {
-    log::debug!("{address}: unreadable answer: {reason}");
+/// Returns the result of an attempt whose response cannot be read. The call may have run.
+pub(super) fn unreadable_response(address: &str, reason: &str) -> AttemptResult {
+    log::debug!("{address}: unreadable response: {reason}");
     Outcome::UnreadableAnswer.into()
 }
 
 async fn read_head_and_body(mut call: Call) -> Result<(), UpstreamError> {
-    let (answer, connection) = call.head().await?;
-    read_body(answer, connection).await;
+    let (response, connection) = call.head().await?;
+    read_body(response, connection).await;
     Ok(())
 }
 
-/// Reads an answer's body, for the connection to be used again. One that is too long closes it.
-async fn read_body(answer: Response<Incoming>, connection: PooledConnection) {
-    let _ = Limited::new(answer.into_body(), MAX_BODY_BYTES).collect().await;
+/// Reads a response body so that the connection can be reused. A body that is too long closes the connection.
+async fn read_body(response: Response<Incoming>, connection: PooledConnection) {
+    let _ = Limited::new(response.into_body(), MAX_BODY_BYTES).collect().await;
     connection.release_when_ready().await;
 }
 
-/// What it means that a call failed. It never ran where no connection came up, or where the request was handed back before it
-/// was written. After that its last byte may have been sent, so it may have run.
-pub(super) fn call_failed(address: &str, error: &UpstreamError) -> AttemptResult {
+/// Returns the result of an attempt whose call failed. The call has not run if no connection was established or the request was
+/// returned before it was written. Otherwise its last byte may have been sent, so the call may have run.
+pub(super) fn result_of_failed_call(address: &str, error: &UpstreamError) -> AttemptResult {
     log::debug!("{address}: {error}");
     let outcome = match error {
         UpstreamError::Connect(_) | UpstreamError::NotWritten(_) => Outcome::ConnectFailed,
@@ -177,7 +181,7 @@
     outcome.into()
 }
 
-/// What the head of an answer means.
+/// Returns the result that the head of a response indicates.
 pub(super) fn result_of_head(status: StatusCode, headers: &HeaderMap) -> AttemptResult {
     let outcome = match status.as_u16() {
         200 => Outcome::Ok,
@@ -195,13 +199,13 @@
     parse_load_report(value)
 }
 
-/// A destination's load report: the share of its limit that is left, and the calls a second that it allows, 0 for none.
-/// Guards the pacing against values that no endpoint can mean: then it counts as no report.
+/// Parses a load report: the unused share of the destination's limit, and its limit in calls per second, 0 for none. Returns
+/// `None` for an implausible value, so that it cannot affect the pacing.
 fn parse_load_report(value: &str) -> Option<LoadReport> {
     Some(LoadReport { left: load_value(value, "x0")?, limit: load_value(value, "x1")? })
 }
 
-/// The value of this field in a list of the form `x0=0.4,x1=25`.
+/// Returns the value of this field in a list of the form `x0=0.4,x1=25`, if it is plausible.
 fn load_value(list: &str, name: &str) -> Option<f64> {
     let mut fields = list.split(',').filter_map(|field| field.split_once('='));
     let (_, value) = fields.find(|(field, _)| field.trim() == name)?;
@@ -209,25 +213,25 @@
     (0.0..=MAX_LOAD_VALUE).contains(&value).then_some(value)
 }
 
-/// The Retry-After of an answer, as the platform writes it: in seconds, with a fraction (RFC 9110, section 10.2.3 knows whole
-/// seconds).
+/// Returns the Retry-After of a response. The platform writes seconds with a fraction, whereas RFC 9110, section 10.2.3 defines
+/// whole seconds only.
 pub(super) fn retry_after(headers: &HeaderMap) -> Option<Nanos> {
     parse_retry_after(headers.get(RETRY_AFTER)?.to_str().unwrap_or_default())
 }
 
-/// Guards against values that no endpoint can mean: what is no number or not positive is none, and what is longer than an
-/// hour is an hour, or a slip would shut a partner out until the next restart.
+/// Parses a Retry-After value and bounds it. A value that is not a positive number is ignored. A value over an hour is reduced to
+/// an hour, because an erroneous value could otherwise exclude a partner until the next restart.
 fn parse_retry_after(value: &str) -> Option<Nanos> {
     let value = value.trim();
     match value.parse::<f64>() {
         Ok(secs) if secs > MAX_RETRY_AFTER_SECS => {
-            log::warn!(value; "retry-after is longer than {MAX_RETRY_AFTER_SECS} s: taken for that");
+            log::warn!(value; "Retry-After exceeds {MAX_RETRY_AFTER_SECS} s; waiting {MAX_RETRY_AFTER_SECS} s instead");
             Some(Nanos::from_secs(MAX_RETRY_AFTER_SECS))
         }
         Ok(secs) if secs > 0.0 => Some(Nanos::from_secs(secs)),
         Ok(0.0) => None,
         Ok(_) | Err(_) => {
-            log::warn!(value; "retry-after is no time that can be waited: ignored");
+            log::warn!(value; "ignored a Retry-After that is not a positive number of seconds");
             None
         }
     }
--- a/src/upstream/platform/tests.rs
+++ b/src/upstream/platform/tests.rs
@@ -1,4 +1,4 @@
-//! What load reports and Retry-After headers mean.
+//! Tests of the parsing of load reports and Retry-After headers.
 use super::*;
 use rstest::rstest;
 
@@ -13,7 +13,7 @@
 #[case("x0=0.4", None)]
 #[case("x0=0.4,x1=", None)]
 #[case("", None)]
-fn a_load_report_with_impossible_values_is_ignored(
+fn a_load_report_with_implausible_values_is_ignored(
     #[case] value: &str, #[case] expected: Option<(f64, f64)>,
 ) {
     assert_eq!(parse_load_report(value), expected.map(|(left, limit)| LoadReport { left, limit }));
@@ -31,7 +31,7 @@
 #[case("NaN", None)]
 #[case("soon", None)]
 #[case("", None)]
-fn a_retry_after_is_bounded(#[case] value: &str, #[case] secs: Option<f64>) {
+fn a_retry_after_is_positive_and_at_most_an_hour(#[case] value: &str, #[case] secs: Option<f64>) {
     let mut headers = HeaderMap::new();
     headers.insert(RETRY_AFTER, value.parse().expect("a header"));
     assert_eq!(retry_after(&headers), secs.map(Nanos::from_secs));
--- a/src/upstream/pool.rs
+++ b/src/upstream/pool.rs
@@ -1,8 +1,8 @@
-//! The connections to one endpoint, on hyper-util's cache. An attempt first gets its connection, then it is checked again
-//! whether it may be sent, and only then its request is handed over: a connect may take seconds, and much may change
-//! meanwhile. A connection whose attempt may not be sent any more serves the next one.
+//! The connection pool of one endpoint, based on hyper-util's cache. An attempt first gets its connection, and only then the pool
+//! checks whether the attempt may still be sent, because a connect may take seconds and the decision may be outdated by the end.
+//! If the attempt may not be sent, its connection serves the next attempt.
 use super::connection::{
-    connect, into_origin_form, Answer, BoxFuture, Closed, Connection, ConnectionCommand, SentRequest,
+    connect, into_origin_form, BoxFuture, Closed, Connection, ConnectionCommand, ResponseResult, SentRequest,
     UpstreamError, UpstreamRequest,
 };
 use super::monitored_stream::{CallMonitor, HeaderListener};
@@ -20,51 +20,52 @@
 use tokio::time::timeout;
 use tower::{service_fn, Service, ServiceExt};
 
-/// Idle connections are closed after this share of the time after which the endpoint's machine closes them.
+/// Share of the endpoint's idle timeout after which this side closes an idle connection.
 const IDLE_TIME_SHARE: f64 = 0.7;
-/// Connections to one endpoint that stay open while they are idle.
+/// The number of idle connections to one endpoint that stay open.
 const MAX_IDLE_CONNECTIONS: usize = 3;
-/// The shortest time between two checks for connections that have been idle for too long.
+/// The shortest interval between two checks for expired idle connections.
 const MIN_EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// How long the answer to a cancelled call is still read. Guards retry-after times: an answer that was written before the
-/// endpoint could learn of the cancellation counts, and arrives within one round trip through a slow network.
+/// How long the response to a cancelled call is still read. An endpoint may have responded with a Retry-After before it noticed
+/// the cancellation, and that Retry-After must be respected. Such a response arrives within one round trip, also on a slow
+/// network.
 const CANCELLED_READ_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A call whose request has been handed to its connection. Dropped before the head of its answer has come, it is cancelled:
-/// the sending side is shut down at once, and the connection is still read for an answer that was under way.
+/// A call whose request has been passed to its connection. Dropping it before the head of the response arrives cancels the call:
+/// the sending side is shut down at once, and a response that is already on its way is still read.
 pub(super) struct Call {
     pub(super) monitor: CallMonitor,
     in_flight: Option<InFlight>,
 }
 
 struct InFlight {
-    answer: BoxFuture<Answer>,
+    response: BoxFuture<ResponseResult>,
     connection: PooledConnection,
 }
 
 impl Call {
-    /// Waits for the head of the answer. Returns it with the connection, which can be used again once the body has been read;
-    /// dropped before that, it is closed.
+    /// Waits for the head of the response. Returns the response with its connection. The connection can be reused once the body
+    /// has been read. Dropping it earlier closes it.
     ///
     /// # Errors
     ///
-    /// The connection broke, or the head cannot be read.
+    /// Returns an error if the connection broke or the head cannot be parsed.
     pub(super) async fn head(&mut self) -> Result<(Response<Incoming>, PooledConnection), UpstreamError> {
         let Some(in_flight) = &mut self.in_flight else { return Err(UpstreamError::NotSent) };
-        let answer = (&mut in_flight.answer).await;
+        let response = (&mut in_flight.response).await;
         let InFlight { connection, .. } = self.in_flight.take().ok_or(UpstreamError::NotSent)?;
-        Ok((answer?, connection))
+        Ok((response?, connection))
     }
 }
 
 impl Drop for Call {
     fn drop(&mut self) {
-        let Some(InFlight { answer, mut connection }) = self.in_flight.take() else { return };
+        let Some(InFlight { response, mut connection }) = self.in_flight.take() else { return };
         self.monitor.cancel();
         let Ok(runtime) = Handle::try_current() else { return };
         runtime.spawn(async move {
-            let _ = timeout(CANCELLED_READ_TIMEOUT, answer).await;
-            // Nothing more can be written on it.
+            let _ = timeout(CANCELLED_READ_TIMEOUT, response).await;
+            // The sending side is shut down, so the connection cannot be reused.
             connection.close();
         });
     }
@@ -77,17 +78,17 @@
         Future = Ready<Result<SentRequest, Closed>>,
     > + Send;
 
-/// Closes idle connections that have been so for too long, and all beyond the given number.
+/// Closes expired idle connections, and all idle connections beyond the given number.
 type CloseIdle = Arc<dyn Fn(usize) + Send + Sync>;
 
-/// A connection in use. Dropped, it goes back to the pool if it can carry another call.
+/// A connection in use. Dropping it returns it to the pool if it can carry another call.
 pub(super) struct PooledConnection {
     service: Option<Box<PooledService>>,
     close_idle: CloseIdle,
 }
 
 impl PooledConnection {
-    /// Waits until the connection can carry another call, or is closed, and gives it back.
+    /// Waits until the connection can carry another call or is closed, and then returns it to the pool.
     pub(super) async fn release_when_ready(mut self) {
         let _ = poll_fn(|cx| self.poll_ready(cx)).await;
     }
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Marks it as closed, so that it does not go back to the pool.
+    /// Marks the connection as closed, so that it does not return to the pool.
     fn close(&mut self) {
         drop(self.call(ConnectionCommand::Close));
     }
@@ -118,23 +119,23 @@
 
 impl Drop for PooledConnection {
     fn drop(&mut self) {
-        // Guards the next call against a connection that still carries this one: cancelling it closes the connection.
+        // A connection that still carries a call must not serve the next one. Closing it cancels the call.
         if !self.is_ready() {
             self.close();
-            // The pool looks at the state that was polled last.
+            // The pool uses the readiness that was polled last, so the connection is polled again after it was marked as closed.
             self.is_ready();
         }
-        // Guards endpoints that hold few connections, idle ones counted: each call has one of its own here, so a burst would
-        // leave as many open, and the endpoint would reject all further ones.
+        // Some endpoints accept only a few connections, including idle ones. Each call uses a separate connection, so without
+        // this limit a burst would leave many connections open, and the endpoint would reject all further ones.
         drop(self.service.take());
         (self.close_idle)(MAX_IDLE_CONNECTIONS);
     }
 }
 
-/// How often [`Pool::close_expired`] is to be called, so that idle connections are closed before the endpoint's machine
-/// closes them.
-pub(super) fn expiry_check_interval(site: &DeploymentSettings) -> Duration {
-    let idle_timeout = site.module.connection_idle_timeout.secs();
+/// Returns the interval at which to call [`Pool::close_expired`], so that this side closes idle connections before the endpoint
+/// does.
+pub(super) fn expiry_check_interval(deployment: &DeploymentSettings) -> Duration {
+    let idle_timeout = deployment.module.connection_idle_timeout.secs();
     Duration::from_secs_f64(idle_timeout * (1.0 - IDLE_TIME_SHARE)).max(MIN_EXPIRY_CHECK_INTERVAL)
 }
 
@@ -146,28 +147,29 @@
 }
 
 impl Pool {
-    /// An empty pool for the endpoint at this address.
-    pub(super) fn new(site: &DeploymentSettings, address: String) -> Pool {
+    /// Creates an empty pool for the endpoint at this address.
+    pub(super) fn new(deployment: &DeploymentSettings, address: String) -> Pool {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(Duration::from_nanos(site.connect_timeout.0)));
+        connector.set_connect_timeout(Some(Duration::from_nanos(deployment.connect_timeout.0)));
         let connect = service_fn(move |to: Uri| -> BoxFuture<Result<Connection, UpstreamError>> {
             Box::pin(connect(connector.clone(), to))
         });
-        // A connect that another connection overtakes is completed, and serves the next call.
+        // If another connection becomes available during a connect, the connect is completed in the background, and the new
+        // connection serves a later call.
         let cache = cache::builder().executor(TokioExecutor::new()).build(connect);
-        // Guards against connections that the endpoint closes while they are idle: a request written to such a one is reset
-        // (RFC 9112, section 9.5).
-        let idle_timeout = site.module.connection_idle_timeout.secs();
+        // Idle connections are closed here before the endpoint closes them, because a request written to a connection that the
+        // endpoint is closing is reset (RFC 9112, section 9.5).
+        let idle_timeout = deployment.module.connection_idle_timeout.secs();
         let max_idle_time = Duration::from_secs_f64(idle_timeout * IDLE_TIME_SHARE);
         let cached = Mutex::new(cache.clone());
         let close_idle: CloseIdle = Arc::new(move |max_connections: usize| {
             let mut remaining = max_connections;
             let mut cached = cached.lock().unwrap_or_else(PoisonError::into_inner);
             cached.retain(|connection: &mut Connection| {
-                let stays = remaining > 0 && connection.is_reusable(max_idle_time);
-                remaining -= usize::from(stays);
-                stays
+                let is_kept = remaining > 0 && connection.is_reusable(max_idle_time);
+                remaining -= usize::from(is_kept);
+                is_kept
             });
         });
         let close_idle_on_release = close_idle.clone();
@@ -179,39 +181,39 @@
         Pool { address, acquire: Box::new(acquire), close_idle }
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes expired idle connections.
     pub(super) fn close_expired(&self) {
         (self.close_idle)(MAX_IDLE_CONNECTIONS);
     }
 
-    /// Closes all idle connections; calls in flight go on.
+    /// Closes all idle connections. Calls in flight continue.
     pub(super) fn close_all_idle(&self) {
         (self.close_idle)(0);
     }
 
-    /// Gets a connection, has the request made of what may still be sent, if anything may, and hands it over. The one place
-    /// where a request meets its connection, for all transports.
+    /// Acquires a connection, then creates the request with `make_request` and passes it to the connection. `make_request`
+    /// returns `None` if nothing may be sent any more. All transports send their requests through this method.
     ///
     /// # Errors
     ///
-    /// No connection could be opened, or nothing may be sent any more.
+    /// Returns an error if no connection could be established or nothing may be sent any more.
     pub(super) async fn call(
         self: Arc<Pool>, to: Uri, make_request: impl FnOnce() -> Option<UpstreamRequest>,
         listener: HeaderListener,
     ) -> Result<Call, UpstreamError> {
-        // Removes connections that were closed meanwhile.
+        // Removes connections that have been closed in the meantime.
         self.close_expired();
         let mut connection = (self.acquire)(to).await?;
-        // A new connection that is closed at once is a connect that failed. Guards the endpoint against a loop of connects of
-        // which the decision module knows nothing.
+        // A new connection that is closed at once counts as a failed connect. Retrying it here could send the endpoint an endless
+        // series of connects that the decision module does not see.
         if !connection.is_ready() {
             return Err(UpstreamError::Connect("closed as soon as it was established".into()));
         }
         let Some(request) = make_request() else { return Err(UpstreamError::NotSent) };
         let request = Box::new(into_origin_form(request));
         match connection.call(ConnectionCommand::Send(request, listener)).await {
-            Ok(SentRequest { monitor, answer }) => {
-                Ok(Call { monitor, in_flight: Some(InFlight { answer, connection }) })
+            Ok(SentRequest { monitor, response }) => {
+                Ok(Call { monitor, in_flight: Some(InFlight { response, connection }) })
             }
             Err(Closed) => Err(UpstreamError::NotSent),
         }
