--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -2,7 +2,7 @@
 //! applies the list of the server within the staleness bound.
 mod capacity;
 
-use super::timing::{Pollers, MOVE_STALENESS_BOUND, STALENESS_BOUND};
+use super::timing::{Pollers, ADDRESS_CHANGE_STALENESS_BOUND, STALENESS_BOUND};
 use super::watcher::{Connector, WatchStart, Watcher};
 use crate::backoff::Backoff;
 use rstest::rstest;
@@ -256,7 +256,7 @@
             }
         });
         let elapsed = first_applied_at(&applied.await, 3) - address_changes_at;
-        assert!(elapsed < MOVE_STALENESS_BOUND, "seed {seed}: {elapsed:?}");
+        assert!(elapsed < ADDRESS_CHANGE_STALENESS_BOUND, "seed {seed}: {elapsed:?}");
     }
 }
 
--- a/src/discovery/timing.rs
+++ b/src/discovery/timing.rs
@@ -8,7 +8,7 @@
 /// The longest time from the moment a watch falls silent, or discovery becomes reachable, until its list is applied.
 pub(super) const STALENESS_BOUND: Duration = Duration::from_secs(6);
 /// The longest time from a change of the discovery address until the list of the new server is applied.
-pub(super) const MOVE_STALENESS_BOUND: Duration = Duration::from_secs(4);
+pub(super) const ADDRESS_CHANGE_STALENESS_BOUND: Duration = Duration::from_secs(4);
 /// Interval at which discovery sends an empty line on a watch while nothing changes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 /// How late a keep-alive line may be before the watch counts as broken.
@@ -19,7 +19,7 @@
 /// Number of consecutive polls without a response that the staleness bound allows for before a poll that is answered.
 const MAX_SILENT_POLLS: u32 = 2;
 /// How long the response to a poll may take. Covers one lost first packet, which TCP retransmits after 1 s.
-const POLL_ANSWER_TIME: Duration = Duration::from_millis(1200);
+const POLL_RESPONSE_TIME: Duration = Duration::from_millis(1200);
 /// Time for this process to apply a received list on a CPU core shared with other processes.
 const PROCESSING_MARGIN: Duration = Duration::from_millis(200);
 /// Time without a response after which a poll is abandoned. Bounds the number of polls in flight.
@@ -30,7 +30,7 @@
 const fn worst_case(delay: Duration, silent_polls: u32) -> Duration {
     delay
         .saturating_add(POLL_INTERVAL.saturating_mul(silent_polls))
-        .saturating_add(POLL_ANSWER_TIME)
+        .saturating_add(POLL_RESPONSE_TIME)
         .saturating_add(PROCESSING_MARGIN)
 }
 
@@ -40,15 +40,15 @@
 /// The longest delay before the first poll and after failed polls.
 pub(super) const MAX_BACKOFF: Duration = SILENCE_TIMEOUT;
 /// The longest delay before the first poll at a new address.
-pub(super) const MAX_MOVE_DELAY: Duration =
-    MOVE_STALENESS_BOUND.saturating_sub(worst_case(Duration::ZERO, 1));
+pub(super) const MAX_ADDRESS_CHANGE_DELAY: Duration =
+    ADDRESS_CHANGE_STALENESS_BOUND.saturating_sub(worst_case(Duration::ZERO, 1));
 
 /// Period over which many forwarders spread their first polls after a start. Longer than the formula allows: until its first
 /// poll each forwarder can serve from the list it has, and a server that all forwarders poll at once is overloaded and answers
 /// none of them (docs/design/terms.md).
 pub(super) const SHARED_START_SPREAD: Duration = Duration::from_secs(5);
 /// Period over which many forwarders spread their first polls at a new address.
-pub(super) const SHARED_MOVE_SPREAD: Duration = Duration::from_secs(3);
+pub(super) const SHARED_ADDRESS_CHANGE_SPREAD: Duration = Duration::from_secs(3);
 /// The longest time between two connects to a server that many forwarders poll and that accepts no connections. Short enough
 /// for its list to be applied within the bound once the server accepts connections again.
 pub(super) const SHARED_PROBE_DELAY: Duration = STALENESS_BOUND.saturating_sub(worst_case(Duration::ZERO, 0));
@@ -102,10 +102,10 @@
     }
 
     /// Returns the longest delay before the first poll at a new address.
-    pub(super) fn max_move_delay(self) -> Duration {
+    pub(super) fn max_address_change_delay(self) -> Duration {
         match self {
-            Pollers::One => MAX_MOVE_DELAY,
-            Pollers::Many => SHARED_MOVE_SPREAD,
+            Pollers::One => MAX_ADDRESS_CHANGE_DELAY,
+            Pollers::Many => SHARED_ADDRESS_CHANGE_SPREAD,
         }
     }
 }
@@ -114,7 +114,9 @@
     assert!(worst_case(SILENCE_TIMEOUT, MAX_SILENT_POLLS).as_millis() <= STALENESS_BOUND.as_millis());
 const _: () = assert!(worst_case(MAX_BACKOFF, MAX_SILENT_POLLS).as_millis() <= STALENESS_BOUND.as_millis());
 const _: () = assert!(worst_case(SHARED_PROBE_DELAY, 0).as_millis() <= STALENESS_BOUND.as_millis());
-const _: () = assert!(worst_case(MAX_MOVE_DELAY, 1).as_millis() <= MOVE_STALENESS_BOUND.as_millis());
+const _: () = assert!(
+    worst_case(MAX_ADDRESS_CHANGE_DELAY, 1).as_millis() <= ADDRESS_CHANGE_STALENESS_BOUND.as_millis()
+);
 const _: () = assert!(
     SILENCE_TIMEOUT.as_millis() >= KEEPALIVE_INTERVAL.saturating_add(KEEPALIVE_TOLERANCE).as_millis(),
     "the silence timeout must tolerate a late keep-alive line"
--- a/src/discovery/watcher.rs
+++ b/src/discovery/watcher.rs
@@ -184,7 +184,7 @@
         self.polls = JoinSet::new();
         self.version = 0;
         self.backoff.reset();
-        let delay = self.backoff.initial_delay(self.pollers.max_move_delay());
+        let delay = self.backoff.initial_delay(self.pollers.max_address_change_delay());
         self.next_poll_at = Instant::now() + delay;
     }
 
--- a/src/upstream/monitored_stream.rs
+++ b/src/upstream/monitored_stream.rs
@@ -138,7 +138,7 @@
     }
 }
 
-/// Monitors one call. Once the connection carries the next call, all queries about this one return `false`.
+/// Monitors one call. Once the connection carries the next call, the recorded state of this one reads as `false`.
 #[derive(Clone)]
 pub(super) struct CallMonitor {
     stream: StreamMonitor,
