--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -37,7 +37,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ExchangeError {
     /// The exchange task has ended, which happens only when the process exits.
-    #[error("the exchange task has ended because this process is exiting; retry with the process that serves now")]
+    #[error(
+        "the exchange task has ended because this process is exiting; retry with the process that serves now"
+    )]
     TaskEnded,
 }
 
