--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -11,8 +11,8 @@
 use crate::request::{RequestContext, RequestDetails};
 use std::collections::BTreeMap;
 
-/// Minimum interval between two warnings that the journal has no capacity left, in seconds: each rejected request would
-/// log one.
+/// Minimum interval between two warnings that the journal has no capacity left, in seconds. Without it each rejected
+/// request would log one.
 const WARNING_INTERVAL_S: f64 = 1.0;
 /// Longest `Retry-After` of a request that is rejected without the decision module, in seconds. Short, because the cause
 /// may disappear at any time.
@@ -34,7 +34,7 @@
             return None;
         }
         let Verdict::Pass(tags) = self.plugins.on_request(&context, self.details(&context)) else {
-            log::info!(message = context.name, dest = context.dest; "request rejected by a script");
+            log::info!(message = context.name, dest = context.dest; "request rejected by a plug-in script");
             self.answer(id, class, Answer::Reject(self.rejection_retry_after()));
             return None;
         };
@@ -46,7 +46,7 @@
         Some(id)
     }
 
-    /// Returns the answer to a request that needs no decision; `None` if plugins and the decision module must see it.
+    /// Returns the answer to a request that needs no decision; `None` if plug-in scripts and the decision module must see it.
     fn immediate_answer(&mut self, context: &RequestContext) -> Option<Answer> {
         if let Some(answer) = self.answer_to_repeat(context) {
             return Some(answer);
@@ -105,7 +105,7 @@
         rejection_retry_after(&self.settings)
     }
 
-    /// Returns the details of a request that plugins receive in addition to its context.
+    /// Returns the details of a request that plug-in scripts receive in addition to its context.
     pub(super) fn details(&self, context: &RequestContext) -> RequestDetails<'_> {
         RequestDetails {
             class: self.deployment.classes.get(context.class).map_or("", String::as_str),
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -87,7 +87,7 @@
     }
 
     /// Returns the completion of a message whose endpoint confirmed the delivery. For the platform, which gets no callback on
-    /// a delivery, a confirmation at the deadline counts as undeliverable: the platform has given the message up by then and
+    /// a delivery, a confirmation at the deadline counts as undeliverable: the platform has already given the message up and
     /// still waits for its completion. A callback on a delivery in time does no harm. Other client interfaces are notified
     /// of every completion and judge lateness themselves.
     pub(super) fn completion_of_delivery(&self, context: &RequestContext) -> Completion {
@@ -156,7 +156,7 @@
 
     /// Returns whether an attempt may still be sent. The transport calls this once, after the connect and before the first
     /// byte: during a slow connect a `Retry-After`, a drain, an outage (which permits trial attempts only) or a withdrawal
-    /// may have overtaken the decision. After `true` the journal has the attempt and it may run; after `false` it must end as
+    /// may have outdated the decision. After `true` the journal has the attempt and it may run; after `false` it must end as
     /// [`Outcome::NotSent`].
     pub fn may_send(&mut self, now: Nanos, id: MessageId, attempt: u32) -> bool {
         let Some(message) = self.pending.get_mut(id).filter(|m| m.is_open()) else { return false };
--- a/src/core/journal_writer.rs
+++ b/src/core/journal_writer.rs
@@ -19,7 +19,7 @@
 
 /// First pause before a failed disk is retried, in seconds: short, for a transient error.
 const FIRST_BACKOFF_S: f64 = 0.02;
-/// Longest pause before a failed disk is retried, in seconds: one failing call a second.
+/// Longest pause before a failed disk is retried, in seconds: one failing call per second.
 const MAX_BACKOFF_S: f64 = 1.0;
 /// A disk that fails again within this time after its recovery, in seconds, counts as having the same fault: no second
 /// line at level ERROR, and the backoff is not reset.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -53,13 +53,13 @@
 
 /// Parameters of [`Core::new`].
 pub struct CoreOptions {
-    /// Settings of the decision module, and the the names of classes, tenants, zones and endpoint kinds.
+    /// Settings of the decision module, and the names of classes, tenants, zones and endpoint kinds.
     pub deployment: Arc<DeploymentSettings>,
     /// Seed of the decision module's random numbers.
     pub seed: u64,
     /// Endpoints from the settings rather than from discovery; added to each complete endpoint list.
     pub static_endpoints: Vec<Endpoint>,
-    /// Scripts that inspect each request and each outcome.
+    /// Plug-in scripts that inspect each request and each outcome.
     pub plugins: Plugins,
     /// The journal, open for appending.
     pub journal: Journal,
@@ -80,7 +80,7 @@
     MayHaveCalls,
 }
 
-/// The table of pending messages; drives the decision module and writes the journal.
+/// Keeps the pending messages with their attempts and completions, drives the decision module and writes the journal.
 pub struct Core {
     settings: Settings,
     deployment: Arc<DeploymentSettings>,
--- a/src/core/ordering.rs
+++ b/src/core/ordering.rs
@@ -11,7 +11,7 @@
     unacknowledged: HashMap<u64, usize>,
     /// Messages whose attempt is handed to the transport at the end of the step, unless their key is blocked.
     deferred: BTreeSet<MessageId>,
-    /// By key, messages whose attempt waits until the key is unblocked.
+    /// By key, messages whose attempt waits until the key is unblocked. They are not examined before.
     parked: HashMap<u64, Vec<MessageId>>,
 }
 
--- a/src/core/suspensions.rs
+++ b/src/core/suspensions.rs
@@ -7,7 +7,7 @@
 
 /// Maximum number of suspended endpoints; bounds their records in the journal.
 const SUSPENDED_MAX: usize = 256;
-/// Interval between counts of avoided endpoints, in seconds. Metrics may be up to half a second old.
+/// Interval between counts of avoided endpoints, in seconds. The metrics are allowed to be half a second old.
 const COUNT_INTERVAL_S: f64 = 0.1;
 
 /// Result of an operator's request to suspend or resume an endpoint.
@@ -15,7 +15,7 @@
 pub enum SuspensionResult {
     /// The change is in force and in the journal, or was so before.
     Applied,
-    /// No such endpoint is known from the endpoint list.
+    /// No endpoint of this name is listed, suspended or among the remembered retired ones.
     UnknownEndpoint,
     /// The maximum number of endpoints is suspended: resume one first.
     LimitReached,
@@ -62,7 +62,7 @@
         self.wake_at = Some(now);
     }
 
-    /// Returns the metrics, and from now on updates the gauges in each step.
+    /// Returns the metrics, and keeps their gauges up to date from now on.
     pub fn enable_metrics(&mut self, now: Nanos) -> Arc<Metrics> {
         self.endpoint_count_at = Some(now);
         self.wake_at = Some(now);
--- a/src/core/takeover.rs
+++ b/src/core/takeover.rs
@@ -187,7 +187,7 @@
     }
 
     /// Processes the outcome of the predecessor's call that started at `at`. Ignores a report from an earlier takeover: it
-    /// is about another attempt, and with it the message could run twice.
+    /// is about another attempt, and applying it could let the message run twice.
     fn predecessor_call_reported(&mut self, id: MessageId, at: Nanos, outcome: LateOutcome) {
         let in_flight = self.pending.get(id).and_then(|m| m.in_flight());
         if in_flight.is_some_and(|attempt| attempt.started == at) {
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -675,8 +675,8 @@
     simulation.check_guarantees();
 }
 
-/// Guards against a message whose completion nobody reports: its endpoint confirmed the delivery in the millisecond of its
-/// deadline, when the client had already given it up.
+/// Guards against a message whose completion is never reported: its endpoint confirmed the delivery in the millisecond of
+/// its deadline, when the client had already given it up.
 #[test]
 fn delivery_confirmed_at_the_deadline_is_reported_as_undeliverable() {
     for (seconds_before_deadline, is_reported) in [(0.2, false), (0.01, true), (0.0, true), (-0.004, true)] {
--- a/src/discovery/timing.rs
+++ b/src/discovery/timing.rs
@@ -16,7 +16,7 @@
 
 /// Interval at which further polls start while nothing is received. Earlier polls stay open.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_secs(1);
-/// Number of consecutive polls without a response that the staleness bound allows for before a poll that is answered.
+/// Number of consecutive polls without a response that the staleness bound allows for before a poll that gets one.
 const MAX_SILENT_POLLS: u32 = 2;
 /// How long the response to a poll may take. Covers one lost first packet, which TCP retransmits after 1 s.
 const POLL_RESPONSE_TIME: Duration = Duration::from_millis(1200);
@@ -44,8 +44,8 @@
     ADDRESS_CHANGE_STALENESS_BOUND.saturating_sub(worst_case(Duration::ZERO, 1));
 
 /// Period over which many forwarders spread their first polls after a start. Longer than the formula allows: until its first
-/// poll each forwarder can serve from the list it has, and a server that all forwarders poll at once is overloaded and answers
-/// none of them (docs/design/terms.md).
+/// poll each forwarder can serve from the list it has, and a server that all forwarders poll at once is overloaded and responds
+/// to none of them (docs/design/terms.md).
 pub(super) const SHARED_START_SPREAD: Duration = Duration::from_secs(5);
 /// Period over which many forwarders spread their first polls at a new address.
 pub(super) const SHARED_ADDRESS_CHANGE_SPREAD: Duration = Duration::from_secs(3);
--- a/src/discovery/watcher.rs
+++ b/src/discovery/watcher.rs
@@ -176,8 +176,8 @@
         }
     }
 
-    /// Restarts at the new address from version 0, which requests the complete list. The new server may number its versions
-    /// differently, so resuming from the version in use could miss updates.
+    /// Restarts at the new address from version 0, which requests the complete list. The old server sends no further updates,
+    /// and the new one may number its versions differently, so resuming from the version in use could miss updates.
     fn handle_address_change(&mut self) {
         self.current_address = self.address.borrow_and_update().clone();
         self.watch = None;
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -161,7 +161,7 @@
         self.core.lock().is_release_blocked()
     }
 
-    /// Releases the journal to a successor. Writes what the successor should know of the endpoints to `late`, followed by the
+    /// Releases the journal to a successor. Writes this forwarder's observations of endpoints to `late`, followed by the
     /// outcomes of the calls in flight as they end. After the return this process writes nothing to the journal, accepts no
     /// request and starts no attempt, and the owner lock is free.
     pub async fn release_journal(&self, late: LateOutcomeWriter, owner_lock: FolderLock) {
--- a/src/exchange/shutdown.rs
+++ b/src/exchange/shutdown.rs
@@ -5,9 +5,9 @@
 const CONNECTION_GRACE_PERIOD: Duration = Duration::from_millis(500);
 /// How long after the shutdown request new attempts still start.
 const ATTEMPT_GRACE_PERIOD: Duration = Duration::from_millis(1500);
-/// How long after the shutdown request the process waits for attempts in flight. Together with the time for the last answers
-/// (`client::FINAL_RESPONSE_TIMEOUT`) and the linger time after them (`client::CLOSE_LINGER`), the process must exit before the SIGKILL
-/// 3.7 s after SIGTERM.
+/// How long after the shutdown request the process waits for attempts in flight. The time for the last answers
+/// (`client::FINAL_RESPONSE_TIMEOUT`) and the linger time after them (`client::CLOSE_LINGER`) follow, and then the process must
+/// have exited before the SIGKILL 3.7 s after SIGTERM.
 pub const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3300);
 /// Interval between two checks of the phase after the last deadline.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(50);
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -53,7 +53,7 @@
     open_messages: usize,
     /// True while no send may start.
     paused: bool,
-    /// Ordering keys that have unanswered messages, attempts in flight or a pause.
+    /// Ordering keys that have messages without a final answer, attempts in flight or a pause.
     ordering_keys: BTreeMap<u64, OrderingKey>,
     /// Destinations and their pending messages.
     destinations: BTreeMap<DestinationId, DestinationQueue>,
--- a/src/logic/connections.rs
+++ b/src/logic/connections.rs
@@ -46,9 +46,10 @@
         endpoint.used_at = now;
     }
 
-    /// Updates the idle time after which connections are assumed to be dropped. If a call was lost on an idle
-    /// connection and the next one is served on a new connection, connections that were idle for that long
-    /// are dropped without notice. A response on a connection that was idle for longer disproves this.
+    /// Updates the idle time after which connections are assumed to be dropped, for a served call. If a call
+    /// was lost on an idle connection and a later call is soon served on a new connection, connections that
+    /// were idle for that long are assumed to be dropped without notice. A late response disproves this if it
+    /// belongs to a call that counted as unanswered and whose connection had been idle for at least as long.
     pub(super) fn update_idle_limit(&mut self, attempt: &InFlight) {
         let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) else { return };
         let on_new_connection = attempt.connection_idle_secs <= IDLE_RISK_SECS;
--- a/src/logic/expiry.rs
+++ b/src/logic/expiry.rs
@@ -13,7 +13,7 @@
 }
 
 impl Balancer {
-    /// Returns the time by which an answer is given ahead of the deadline.
+    /// Returns how long before its deadline a pending message gets its final answer.
     pub(super) fn deadline_margin(&self) -> Nanos {
         Nanos(self.settings.tick.0 * DEADLINE_MARGIN_TICKS)
     }
@@ -93,8 +93,8 @@
                 continue;
             };
             let Some(endpoint) = self.endpoints.get(&attempt.endpoint) else { continue };
-            let silent = (self.now - attempt.sent_at).secs() > endpoint.answer_timeout_secs();
-            if silent && endpoint.last_answer_at <= attempt.sent_at {
+            let silent = (self.now - attempt.sent_at).secs() > endpoint.response_timeout_secs();
+            if silent && endpoint.last_response_at <= attempt.sent_at {
                 attempt.unanswered = true;
                 found.push((*id, *attempt));
             }
@@ -102,11 +102,11 @@
         found
     }
 
-    /// Cancels one attempt if all slots are taken and another message needs only a slot: the attempt with the
-    /// least remaining value among the overdue ones or, if too many calls are past their answer timeout,
-    /// among all unanswered ones. Otherwise unanswered calls could occupy all slots, whatever their cause.
-    /// The cost: an attempt at a very slow endpoint may be cancelled although a response would still have
-    /// come.
+    /// Cancels one attempt if all slots are taken and a pending message needs only a slot. Cancels the attempt
+    /// with the least remaining value: of the overdue ones or, if too many attempts are overdue or past their
+    /// response timeout, of all of these. Otherwise unanswered calls could occupy all slots, regardless of the
+    /// cause. The cost: an attempt at a very slow endpoint may be cancelled although its response would still
+    /// have arrived.
     pub(super) fn cancel_to_free_slot(&mut self) {
         let candidates = self.cancel_candidates();
         let too_many =
@@ -136,7 +136,7 @@
             let Some(message) = self.messages.get(id) else { continue };
             let Some(attempt) = message.in_flight.filter(|attempt| !attempt.cancelled) else { continue };
             let timeout = self.attempt_timeout(attempt.endpoint, &self.settings.classes[message.class]);
-            // An attempt past twice its timeout is overdue even if the endpoint answers other calls in the
+            // An attempt past twice its timeout is overdue even if the endpoint responds to other calls in the
             // meantime.
             let overdue = (self.now - attempt.sent_at).0 / 2 > timeout.0;
             if attempt.unanswered || overdue {
@@ -148,10 +148,10 @@
 
     /// Returns the timeout of an attempt that may be repeated.
     pub(super) fn attempt_timeout(&self, endpoint: EndpointId, class: &Class) -> Nanos {
-        let answer_timeout_secs = match self.endpoints.get(&endpoint) {
-            Some(endpoint) => endpoint.answer_timeout_secs(),
-            None => DEFAULT_ANSWER_TIMEOUT_SECS,
+        let response_timeout_secs = match self.endpoints.get(&endpoint) {
+            Some(endpoint) => endpoint.response_timeout_secs(),
+            None => DEFAULT_RESPONSE_TIMEOUT_SECS,
         };
-        Nanos::from_secs((2.0 * answer_timeout_secs).max(class.latency_objective.secs()))
+        Nanos::from_secs((2.0 * response_timeout_secs).max(class.latency_objective.secs()))
     }
 }
--- a/src/logic/gate.rs
+++ b/src/logic/gate.rs
@@ -7,7 +7,8 @@
 impl Balancer {
     /// Returns whether a send may still start as decided. The forwarder calls this once the connection is
     /// established, because a connect can take long enough for a wait, a drain or an outage to begin in the
-    /// meantime. Ordering and tokens are not checked again.
+    /// meantime. Ordering and tokens are not checked again, because the decision to send has already reserved
+    /// the place in the order and taken the token.
     pub fn may_still_send(&self, now: Nanos, id: MessageId) -> bool {
         let Some(message) = self.messages.get(&id) else { return false };
         if message.answered || message.deadline <= now {
--- a/src/logic/health.rs
+++ b/src/logic/health.rs
@@ -21,12 +21,12 @@
 
 impl EndpointRecord {
     /// Returns the time in seconds without any response after which a call counts as unanswered.
-    pub(super) fn answer_timeout_secs(&self) -> f64 {
-        let expected = self.latency.mean + ANSWER_TIMEOUT_DEVIATIONS * self.latency.deviation;
+    pub(super) fn response_timeout_secs(&self) -> f64 {
+        let expected = self.latency.mean + RESPONSE_TIMEOUT_DEVIATIONS * self.latency.deviation;
         if expected > 0.0 {
-            expected.max(MIN_ANSWER_TIMEOUT_SECS)
+            expected.max(MIN_RESPONSE_TIMEOUT_SECS)
         } else {
-            DEFAULT_ANSWER_TIMEOUT_SECS
+            DEFAULT_RESPONSE_TIMEOUT_SECS
         }
     }
 
@@ -45,8 +45,8 @@
         self.failure_share *= 1.0 - FAILURE_GAIN;
         self.suspected = false;
         let CircuitBreaker::Open { since, may_lose_calls, .. } = self.breaker else { return false };
-        // The outage was a false alarm if it was short and either the served call was sent before it or its
-        // calls were only refused until a connection succeeded. The endpoint was slow rather than silent.
+        // The outage was a false alarm if it was short and either the served call was sent before it began or
+        // no call was lost in it, only rejected or refused. The endpoint was slow rather than silent.
         let was_no_outage = (sent_at < since || !may_lose_calls) && (now - since).secs() < MIN_OUTAGE_SECS;
         if was_no_outage {
             self.breaker = CircuitBreaker::Closed;
@@ -93,7 +93,7 @@
         self.update_breaker(id, failure, now + first_trial);
     }
 
-    /// Marks the route's other endpoints that have not answered lately as suspected, because an outage
+    /// Marks the route's other endpoints that have not responded lately as suspected, because an outage
     /// usually affects all endpoints of a route and a returning destination must not be overloaded. The cost:
     /// if only one of several endpoints is down, the first call to another may be delayed.
     fn suspect_route_endpoints(&mut self, id: EndpointId, draw: f64) {
@@ -102,9 +102,9 @@
         let Some(destination) = self.destinations.get(&endpoint.dest) else { return };
         for other in &destination.endpoints {
             let Some(other) = self.endpoints.get_mut(other) else { continue };
-            let no_recent_answer = (self.now - other.last_answer_at).secs() > MIN_OUTAGE_SECS;
+            let no_recent_response = (self.now - other.last_response_at).secs() > MIN_OUTAGE_SECS;
             let is_healthy = !other.suspected && other.breaker == CircuitBreaker::Closed;
-            if other.route == route && is_healthy && no_recent_answer {
+            if other.route == route && is_healthy && no_recent_response {
                 other.suspect(self.now, MAX_SUSPECTED_ROUTE_TOKENS * draw);
                 other.consecutive_unanswered = 1;
             }
--- a/src/logic/observations.rs
+++ b/src/logic/observations.rs
@@ -74,8 +74,8 @@
 }
 
 impl EndpointRecord {
-    /// Records a local outcome. The breaker's state counts as locally observed from now on; a capacity or
-    /// latency that came from a peer does so once the outcome replaces it.
+    /// Records a local outcome. From now on the breaker's state counts as locally observed. A capacity or a
+    /// latency from a peer counts as local only once a local outcome replaces it.
     pub(super) fn record_local_outcome(&mut self, now: Nanos, outcome: Outcome) {
         // These outcomes say nothing about the endpoint.
         if matches!(outcome, Outcome::Cancelled | Outcome::Skipped | Outcome::NotSent) {
@@ -107,9 +107,9 @@
                 let since = now - since.max(self.local_since);
                 Some((Finding::Recovering { since }, local_outcome_at))
             }
-            _ if self.latency.mean > 0.0 && self.last_answer_at > Nanos(0) => {
+            _ if self.latency.mean > 0.0 && self.last_response_at > Nanos(0) => {
                 let finding = Finding::Healthy { mean: self.latency.mean, dev: self.latency.deviation };
-                Some((finding, self.last_answer_at))
+                Some((finding, self.last_response_at))
             }
             _ => None,
         }
--- a/src/logic/outcomes.rs
+++ b/src/logic/outcomes.rs
@@ -90,7 +90,7 @@
         endpoint.record_local_outcome(self.now, ended.outcome);
         endpoint.end_trial(ended.id);
         if ended.outcome.answered() {
-            endpoint.last_answer_at = self.now;
+            endpoint.last_response_at = self.now;
         }
         let route = self.routes.entry(endpoint.route).or_default();
         if let Some(report) = ended.report {
@@ -180,7 +180,7 @@
         self.connection_limited.insert(endpoint.kind);
         // An immediate refusal can come from a full connection table. A slow failure means that the endpoint
         // is silent, and calls may be lost there.
-        let may_lose_calls = ended.took.secs() > MIN_ANSWER_TIMEOUT_SECS;
+        let may_lose_calls = ended.took.secs() > MIN_RESPONSE_TIMEOUT_SECS;
         self.record_failure(id, Failure { unanswered: true, may_lose_calls });
     }
 
@@ -194,7 +194,7 @@
         if ended.outcome == Outcome::Timeout {
             endpoint.latency.sample(ended.took.secs());
         }
-        let unanswered = ended.outcome != Outcome::Error && endpoint.last_answer_at <= attempt.sent_at;
+        let unanswered = ended.outcome != Outcome::Error && endpoint.last_response_at <= attempt.sent_at;
         if !attempt.unanswered {
             self.record_lost_call(attempt, unanswered);
         }
--- a/src/logic/timers.rs
+++ b/src/logic/timers.rs
@@ -34,14 +34,14 @@
         }
     }
 
-    /// Adds the deadlines and answer timeouts of attempts in flight.
+    /// Adds the deadlines and response timeouts of attempts in flight.
     fn add_attempt_times(&self, earliest: &mut Earliest) {
         for message in self.in_flight.iter().filter_map(|id| self.messages.get(id)) {
             let Some(attempt) = message.in_flight else { continue };
             let endpoint = self.endpoints.get(&attempt.endpoint);
-            let answer_timeout_secs = endpoint.map_or(0.0, EndpointRecord::answer_timeout_secs);
+            let response_timeout_secs = endpoint.map_or(0.0, EndpointRecord::response_timeout_secs);
             earliest.add(message.deadline);
-            earliest.add(attempt.sent_at + answer_timeout_secs + self.deadline_margin());
+            earliest.add(attempt.sent_at + response_timeout_secs + self.deadline_margin());
         }
     }
 
--- a/src/logic/tuning.rs
+++ b/src/logic/tuning.rs
@@ -10,8 +10,8 @@
 /// An endpoint is slow if its latency exceeds this multiple of its lowest mean; the multiple is well above
 /// the usual variation.
 pub(super) const SLOW_FACTOR: f64 = 3.0;
-/// Share of the slots for all calls past their answer timeout together; the rest stays available for calls
-/// that are answered.
+/// Share of the slots for all calls past their response timeout together; the rest stays available for calls
+/// that get a response.
 pub(super) const UNANSWERED_SLOT_SHARE: f64 = 0.25;
 /// `ARRmin`: below this share of L the cap on η is waived, so that no slot stays idle for the sake of
 /// fairness.
@@ -31,7 +31,7 @@
 pub(super) const OBJECTIVE_WAIT_SHARE: f64 = 0.5;
 /// Share of an extra gain, and of a class's loss share, that remains after a review; seven reviews halve it.
 pub(super) const REVIEW_KEEP: f64 = 0.9;
-/// All gains are halved once one exceeds this multiple of κ (design page).
+/// All gains are halved once one exceeds this multiple of κ, so that large gains shrink again (design page).
 pub(super) const MAX_GAIN_FACTOR: f64 = 8.0;
 /// `few rounds`: time between reviews of gains, rates and idle destinations; it spans several latency
 /// objectives.
@@ -68,8 +68,8 @@
 pub(super) const MIN_FIRST_BACKOFF_SECS: f64 = 0.5;
 /// Maximum number of doublings of a backoff. Other bounds apply beyond them; this one keeps the power small.
 pub(super) const MAX_BACKOFF_DOUBLINGS: u32 = 8;
-/// A rejection is not attributed to the limit if more than this share of it is left. The value is not near
-/// zero because reports are delayed.
+/// A rejection is not attributed to the limit if the response reports that more than this share of the limit
+/// is left. The value is not near zero because reports are delayed.
 pub(super) const LIMIT_NOT_REACHED_SHARE: f64 = 0.5;
 
 // ---- Health.
@@ -78,11 +78,11 @@
 pub(super) const LATENCY_GAIN: f64 = 0.125;
 /// Mean deviations above the mean latency after which a call without any response counts as unanswered: 4, as
 /// in RFC 6298, section 2.
-pub(super) const ANSWER_TIMEOUT_DEVIATIONS: f64 = 4.0;
+pub(super) const RESPONSE_TIMEOUT_DEVIATIONS: f64 = 4.0;
 /// Shortest time without any response after which a call counts as unanswered, in seconds.
-pub(super) const MIN_ANSWER_TIMEOUT_SECS: f64 = 0.75;
+pub(super) const MIN_RESPONSE_TIMEOUT_SECS: f64 = 0.75;
 /// Time without any response after which a call counts as unanswered while no latency is known, in seconds.
-pub(super) const DEFAULT_ANSWER_TIMEOUT_SECS: f64 = 2.0;
+pub(super) const DEFAULT_RESPONSE_TIMEOUT_SECS: f64 = 2.0;
 /// Weight of one outcome in a failure share; see `BREAKER_FAILURE_SHARE`.
 pub(super) const FAILURE_GAIN: f64 = 0.3;
 /// Failure share that opens the breaker: seven consecutive failures.
@@ -122,7 +122,7 @@
 pub(super) const IDLE_LIMIT_SHARE: f64 = 0.5;
 /// Growth factor of that time per review.
 pub(super) const IDLE_LIMIT_GROWTH: f64 = 1.01;
-/// Increase of the estimated capacity with each served call, divided by the capacity.
+/// Each served call raises the estimated capacity by this value divided by the capacity.
 pub(super) const CAPACITY_GAIN: f64 = 0.2;
 /// First wait in seconds after an endpoint rejected the only call for lack of connections; doubled with each
 /// further one.
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -67,7 +67,7 @@
     /// Latency estimate.
     pub latency: Latency,
     /// Time of the last response.
-    pub last_answer_at: Nanos,
+    pub last_response_at: Nanos,
     /// Time at which a call to the endpoint last started or ended.
     pub used_at: Nanos,
     /// Estimated number of open connections to the endpoint.
--- a/src/state/ordering.rs
+++ b/src/state/ordering.rs
@@ -2,10 +2,10 @@
 use crate::interface::{MessageId, Nanos};
 use std::collections::VecDeque;
 
-/// The state of an ordering key: its unanswered messages in the order of their arrival.
+/// The state of an ordering key: its messages without a final answer, in the order of their arrival.
 #[derive(Default)]
 pub(crate) struct OrderingKey {
-    /// Unanswered messages of the key, in the order in which they are sent.
+    /// Messages of the key without a final answer, in the order in which they are sent.
     pub queue: VecDeque<MessageId>,
     /// Number of attempts in flight.
     pub in_flight: usize,
