--- a/src/logic/promotion.rs
+++ b/src/logic/promotion.rs
@@ -37,8 +37,8 @@
         for destination in self.active.iter().filter_map(|dest| self.destinations.get(dest)) {
             for id in &destination.endpoints {
                 let Some(endpoint) = self.endpoints.get_mut(id) else { continue };
-                let returns = matches!(endpoint.breaker, CircuitBreaker::SlowStart { .. });
-                let equal_share = if returns && self.settings.listed_rates == ListedRates::Nominal {
+                let is_returning = matches!(endpoint.breaker, CircuitBreaker::SlowStart { .. });
+                let equal_share = if is_returning && self.settings.listed_rates == ListedRates::Nominal {
                     endpoint.listed_rate * EQUAL_SHARE_DEMAND_FACTOR / self.settings.forwarders.max(1) as f64
                 } else {
                     0.0
--- a/src/upstream/monitored_stream.rs
+++ b/src/upstream/monitored_stream.rs
@@ -28,7 +28,7 @@
     call: u64,
     /// Whether a byte of the call was passed to the socket.
     is_written: bool,
-    /// Whether a byte of the response has arrived.
+    /// Whether a byte of the response has arrived, not counting interim responses that are complete.
     has_response_bytes: bool,
     /// The received part of the current head line.
     line: Vec<u8>,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Handles a line of an interim response. Its bytes do not count as bytes of the final response.
+    /// Handles a line of an interim response. Once its head is complete, its bytes no longer count as response bytes.
     fn interim_line(&mut self, text: &str) {
         let is_end_of_head = text.is_empty();
         self.in_interim_head = !is_end_of_head;
@@ -161,7 +161,7 @@
         self.query(|state| !state.is_written)
     }
 
-    /// Returns whether any byte of the final response has arrived.
+    /// Returns whether any byte of a response has arrived, not counting interim responses that are complete.
     pub(super) fn has_response_bytes(&self) -> bool {
         self.query(|state| state.has_response_bytes)
     }
