--- a/tests/acme.rs
+++ b/tests/acme.rs
@@ -39,12 +39,12 @@
     let issued = AtomicBool::new(false);
     Server::start(move |request, n| {
         let host = request.header("host").unwrap_or_default();
-        let path = request.first.split(' ').nth(1).unwrap_or_default();
+        let path = request.start_line.split(' ').nth(1).unwrap_or_default();
         let url = |path: &str| format!("\"http://{host}{path}\"");
         let headers = format!(
             "replay-nonce: n{n}\r\nlocation: http://{host}/order\r\ncontent-type: application/json\r\n"
         );
-        let json = |text: String| say("200 OK", &headers, &text);
+        let json = |text: String| respond("200 OK", &headers, &text);
         let order = |status: &str| {
             format!(
                 r#"{{"status":"{status}","identifiers":[{{"type":"dns","value":"as2.test"}}],"authorizations":[{}],"finalize":{},"certificate":{}}}"#,
@@ -65,13 +65,13 @@
                 url("/none")
             )),
             "/nonce" => Reply::Respond(format!("HTTP/1.1 200 OK\r\n{headers}content-length: 0\r\n\r\n")),
-            "/account" => say("201 Created", &headers, r#"{"status":"valid"}"#),
+            "/account" => respond("201 Created", &headers, r#"{"status":"valid"}"#),
             "/new" if fails.load(Ordering::SeqCst) => {
-                say("500 Oops", &headers, r#"{"type":"urn:ietf:params:acme:error:serverInternal"}"#)
+                respond("500 Oops", &headers, r#"{"type":"urn:ietf:params:acme:error:serverInternal"}"#)
             }
             "/new" => {
                 issued.store(false, Ordering::SeqCst);
-                say("201 Created", &headers, &order("pending"))
+                respond("201 Created", &headers, &order("pending"))
             }
             "/authz" => json(format!(
                 r#"{{"identifier":{{"type":"dns","value":"as2.test"}},"status":"pending","challenges":[{challenge_text}]}}"#
@@ -94,7 +94,7 @@
             "/cert" => {
                 let chain = std::fs::read_to_string(folder.join("cert.pem"))
                     .expect("the certificate has been issued");
-                say("200 OK", &headers, &chain)
+                respond("200 OK", &headers, &chain)
             }
             _ => json(order(if issued.load(Ordering::SeqCst) { "valid" } else { "ready" })),
         }
@@ -103,12 +103,12 @@
 
 /// Requests the key authorization of the challenge from the forwarder.
 fn key_authorization_at(address: &str, request: &[u8]) -> String {
-    ask(address.parse().expect("a socket address"), request).expect("a response").text()
+    send_request(address.parse().expect("a socket address"), request).expect("a response").text()
 }
 
 #[test]
 fn a_certificate_is_ordered_renewed_without_a_restart_and_kept_when_the_authority_fails() {
-    let folder = std::env::temp_dir().join(format!("acme-{}-{}", std::process::id(), unique()));
+    let folder = std::env::temp_dir().join(format!("acme-{}-{}", std::process::id(), unique_number()));
     std::fs::create_dir_all(&folder).expect("the folder is created");
     for name in ["ca", "us"] {
         openssl(
@@ -128,11 +128,13 @@
     );
     std::fs::write(folder.join("as2.json"), as2_settings).expect("the AS2 settings are written");
     let endpoint = Server::always("200 OK");
-    let known = list(1, &[(7, endpoint.addr)]);
-    let discovery_server = discovery(known.clone());
+    let known = endpoint_list(1, &[(7, endpoint.addr)]);
+    let discovery_server = start_discovery(known.clone());
     let env = vec![("MICALADDER_AS2".to_string(), folder.join("as2.json").display().to_string())];
     let mut daemon = Setup { env, ..setup(&discovery_server, known) }.start();
-    authority.wait("an order", |requests| requests.iter().any(|request| request.first.contains("/cert")));
+    authority.wait_until("an order", |requests| {
+        requests.iter().any(|request| request.start_line.contains("/cert"))
+    });
     daemon.wait_log("a new certificate for as2.test is in use");
     let serial = || {
         let session = openssl(
@@ -144,8 +146,8 @@
     };
     let first_serial = serial();
     assert!(first_serial.starts_with("serial="), "the handshake succeeds: {first_serial:?}");
-    authority.wait("a renewal", |requests| {
-        requests.iter().filter(|request| request.first.contains("/cert")).count() >= 2
+    authority.wait_until("a renewal", |requests| {
+        requests.iter().filter(|request| request.start_line.contains("/cert")).count() >= 2
     });
     fails.store(true, Ordering::SeqCst);
     daemon.wait_log("certificate renewal failed, the current one stays in use");
@@ -156,7 +158,7 @@
     );
     // The saved certificate is loaded after a kill, although the authority still rejects orders.
     daemon.kill();
-    daemon.start_again();
+    daemon.restart();
     daemon.wait_log("the saved certificate is in use");
     assert_eq!(serial(), second_serial);
     let _ = std::fs::remove_dir_all(folder);
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -7,8 +7,8 @@
 const GOOD: &str = "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
 
 fn start(endpoint: &Server) -> (Server, Daemon) {
-    let known = list(1, &[(7, endpoint.addr)]);
-    let disco = discovery(known.clone());
+    let known = endpoint_list(1, &[(7, endpoint.addr)]);
+    let disco = start_discovery(known.clone());
     let daemon = setup(&disco, known).start();
     (disco, daemon)
 }
@@ -71,8 +71,8 @@
 #[case::noise("%%%%")]
 #[case::copy(GOOD)]
 fn bytes_after_an_answer_belong_to_no_call(#[case] more: &'static str) {
-    let endpoint = Server::start(move |h, _| match h.id() {
-        "last" => say("500 Oops", "", ""),
+    let endpoint = Server::start(move |h, _| match h.request_id() {
+        "last" => respond("500 Oops", "", ""),
         _ => Reply::Respond(format!("{GOOD}{more}")),
     });
     let (disco, daemon) = start(&endpoint);
--- a/tests/as2.rs
+++ b/tests/as2.rs
@@ -20,7 +20,7 @@
 
 impl Keys {
     fn new(file: &str) -> Keys {
-        let folder = std::env::temp_dir().join(format!("as2-{}-{}", std::process::id(), unique()));
+        let folder = std::env::temp_dir().join(format!("as2-{}-{}", std::process::id(), unique_number()));
         std::fs::create_dir_all(&folder).expect("a folder");
         for who in ["us", "bank", "stranger"] {
             let args = format!(
@@ -35,7 +35,7 @@
         vec![("MICALADDER_AS2".into(), self.0.join("as2.json").display().to_string())]
     }
     fn file(&self, name: &str, text: &[u8]) -> String {
-        let name = format!("{name}-{}", unique());
+        let name = format!("{name}-{}", unique_number());
         std::fs::write(self.0.join(&name), text).expect("written");
         name
     }
@@ -144,11 +144,11 @@
         match how {
             Bank::Silent => Reply::RespondAndHold(String::new()),
             Bank::CutOff => Reply::Close,
-            Bank::Asynchronous => say("200 OK", "", ""),
+            Bank::Asynchronous => respond("200 OK", "", ""),
             Bank::Receipt { said, by, mic } => {
                 let mic = mic.map_or_else(|| mine.mic(&part), str::to_string);
                 let (kind, body) = mine.receipt(id, said, &mic, by);
-                say("200 OK", &format!("content-type: {kind}\r\n"), &body)
+                respond("200 OK", &format!("content-type: {kind}\r\n"), &body)
             }
         }
     });
@@ -161,8 +161,8 @@
         bank.addr
     );
     std::fs::write(keys.0.join("as2.json"), file).expect("its file");
-    let disco = discovery(list(1, &[]));
-    let daemon = Setup { env: keys.env(), ..setup(&disco, list(1, &[])) }.start();
+    let disco = start_discovery(endpoint_list(1, &[]));
+    let daemon = Setup { env: keys.env(), ..setup(&disco, endpoint_list(1, &[])) }.start();
     Fixture { keys, bank, disco, daemon, as2 }
 }
 
@@ -177,12 +177,16 @@
         bank.addr
     );
     let keys = Keys::new(&file);
-    let disco = discovery(list(1, &[]));
-    let daemon =
-        Setup { env: keys.env(), swaps: vec![LONG_CONNECT_TIMEOUT], ..setup(&disco, list(1, &[])) }.start();
+    let disco = start_discovery(endpoint_list(1, &[]));
+    let daemon = Setup {
+        env: keys.env(),
+        settings_replacements: vec![LONG_CONNECT_TIMEOUT],
+        ..setup(&disco, endpoint_list(1, &[]))
+    }
+    .start();
     let first = start_hanging_connect(&daemon, &mut bank);
     let second = retry_after_during_connect(&daemon, first, &mut bank);
-    assert!(call(&second).header("as2-to").is_some_and(|to| to == "bank"), "it serves the next one");
+    assert!(read_call(&second).header("as2-to").is_some_and(|to| to == "bank"), "it serves the next one");
 }
 
 /// Each payout is sent to the bank once and completes once: delivered without a callback, or with one callback.
@@ -197,7 +201,7 @@
 fn a_payout_completes_exactly_once(#[case] how: Bank, #[case] encrypt: bool, #[case] fault: Option<&str>) {
     let s = fixture(how, encrypt);
     assert_eq!(s.daemon.submit("payout", "p1"), 202);
-    let sent = s.bank.wait("the payout", |all| !all.is_empty());
+    let sent = s.bank.wait_until("the payout", |all| !all.is_empty());
     assert_eq!(sent[0].header("message-id"), Some("<p1@us>"));
     if fault.is_some() {
         s.disco.wait_text(r#"{"id":"p1","status":"undeliverable"}"#);
@@ -213,31 +217,34 @@
     let s =
         fixture(Bank::Receipt { said: "processed/error: decryption-failed", by: "bank", mic: None }, true);
     assert_eq!(s.daemon.submit("payout", "d1"), 202);
-    s.bank.wait("a second attempt", |all| all.len() >= 2);
+    s.bank.wait_until("a second attempt", |all| all.len() >= 2);
     assert_eq!(s.bank.received()[1].header("message-id"), Some("<d1@us>"));
 }
 
 #[test]
 fn a_payout_without_a_receipt_is_undeliverable_and_a_late_receipt_changes_nothing() {
     let s = fixture(Bank::Silent, false);
-    let handed = s.daemon.ask(&message("payout", "s1", "1500m", "")).map(|h| h.status());
+    let handed = s.daemon.send_request(&message_request("payout", "s1", "1500m", "")).map(|h| h.status());
     assert_eq!(handed, Some(202));
     s.disco.wait_text(r#"{"id":"s1","status":"undeliverable"}"#);
     assert_eq!(s.bank.received().len(), 1);
     let later = fixture(Bank::Asynchronous, false);
-    assert_eq!(later.daemon.ask(&message("payout", "s2", "1500m", "")).map(|h| h.status()), Some(202));
-    let sent = later.bank.wait("the payout", |all| !all.is_empty());
+    assert_eq!(
+        later.daemon.send_request(&message_request("payout", "s2", "1500m", "")).map(|h| h.status()),
+        Some(202)
+    );
+    let sent = later.bank.wait_until("the payout", |all| !all.is_empty());
     later.disco.wait_text(r#"{"id":"s2","status":"undeliverable"}"#);
     assert_eq!(later.post_receipt(&sent[0]), 200);
     later.daemon.wait_log("receipt for <s2@us> after its attempt had ended: changes nothing");
-    assert_eq!(later.disco.count_distinct("s2"), 1);
+    assert_eq!(later.disco.count_distinct_bodies("s2"), 1);
 }
 
 #[test]
 fn an_asynchronous_receipt_completes_a_delivery() {
     let s = fixture(Bank::Asynchronous, true);
     assert_eq!(s.daemon.submit("payout", "l1"), 202);
-    let sent = s.bank.wait("the payout", |all| !all.is_empty());
+    let sent = s.bank.wait_until("the payout", |all| !all.is_empty());
     assert_eq!(s.post_receipt(&sent[0]), 200);
     s.daemon.wait_log("message=l1 outcome=Ok attempt=0");
     assert!(!s.disco.received().iter().any(|h| h.text().contains("l1")));
@@ -248,9 +255,9 @@
 fn a_payout_in_flight_at_a_kill_is_not_sent_again() {
     let mut s = fixture(Bank::Asynchronous, false);
     assert_eq!(s.daemon.submit("payout", "k1"), 202);
-    let sent = s.bank.wait("the payout", |all| !all.is_empty());
+    let sent = s.bank.wait_until("the payout", |all| !all.is_empty());
     s.daemon.kill();
-    s.daemon.start_again();
+    s.daemon.restart();
     s.disco.wait_text(r#"{"id":"k1","status":"undeliverable"}"#);
     assert_eq!(s.post_receipt(&sent[0]), 200);
     s.daemon.wait_log("receipt for <k1@us>");
@@ -270,7 +277,7 @@
     fn post(&self, path: &str, head: &str, body: &str) -> HttpMessage {
         let text =
             format!("POST {path} HTTP/1.1\r\nhost: us\r\n{head}content-length: {}\r\n\r\n{body}", body.len());
-        ask(self.as2, text.as_bytes()).expect("an answer")
+        send_request(self.as2, text.as_bytes()).expect("an answer")
     }
     /// Submits a payout as the bank would.
     fn submit_as(&self, from: &str, signer: &str, more: &str) -> HttpMessage {
@@ -304,7 +311,7 @@
         let part = s.keys.open(&answer).expect("signed by us");
         let mic = s.keys.mic("Content-Type: text/plain\r\n\r\npay the creator");
         assert!(part.contains(&format!("Received-Content-MIC: {mic}, sha-256")), "{part}");
-        assert_eq!(endpoint.wait("the payout", |all| !all.is_empty())[0].text(), "pay the creator");
+        assert_eq!(endpoint.wait_until("the payout", |all| !all.is_empty())[0].text(), "pay the creator");
         s.daemon.wait_log("outcome=Ok");
         // A repeat gets the same answer, and nothing runs again.
         assert!(s.keys.open(&s.submit_as(from, signer, "")).expect("signed").contains(said));
@@ -321,9 +328,9 @@
     let mine = held.clone();
     let endpoint = Server::start(move |_, _| {
         if mine.load(Ordering::SeqCst) {
-            say("503 Shut", "", "")
+            respond("503 Shut", "", "")
         } else {
-            say(status, "", "")
+            respond(status, "", "")
         }
     });
     let mut s = fixture_with_endpoint(&endpoint);
@@ -333,8 +340,8 @@
     s.daemon.wait_log("pace reduced after a rejection");
     s.daemon.kill();
     held.store(false, Ordering::SeqCst);
-    s.daemon.start_again();
-    let receipts = s.bank.wait("the receipt", |all| !all.is_empty());
+    s.daemon.restart();
+    let receipts = s.bank.wait_until("the receipt", |all| !all.is_empty());
     let part = s.keys.open(&receipts[0]).expect("signed by us");
     assert!(part.contains(said), "{part}");
     assert_eq!(s.bank.received().len(), 1);
@@ -352,8 +359,8 @@
     let listen = file.split("\"listen\":\"").nth(1).and_then(|t| t.split('"').next()).expect("a place");
     let file = file.replace(old, &s.bank.addr.to_string()).replace(listen, &s.as2.to_string());
     std::fs::write(s.keys.0.join("as2.json"), file).expect("its file");
-    let known = list(1, &[(8, endpoint.addr)]);
-    s.disco = discovery(known.clone());
+    let known = endpoint_list(1, &[(8, endpoint.addr)]);
+    s.disco = start_discovery(known.clone());
     s.daemon = Setup { env: s.keys.env(), ..setup(&s.disco, known) }.start();
     s
 }
@@ -361,8 +368,8 @@
 #[test]
 fn the_front_is_off_without_a_settings_file() {
     let endpoint = Server::always("200 OK");
-    let known = list(1, &[(7, endpoint.addr)]);
-    let disco = discovery(known.clone());
+    let known = endpoint_list(1, &[(7, endpoint.addr)]);
+    let disco = start_discovery(known.clone());
     let daemon = setup(&disco, known).start();
     assert_eq!(daemon.submit("payout", "x1"), 202);
     endpoint.wait_request("x1");
--- a/tests/callers/mod.rs
+++ b/tests/callers/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 pub mod processes;
 
-use crate::stand::message;
+use crate::stand::message_request;
 use std::fmt;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -171,7 +171,7 @@
         };
         let connected_at = unix_time();
         let key = self.kind.key.map(|key| format!("X-Key: {key}\r\n")).unwrap_or_default();
-        let request = message(self.kind.class, &id, "20000m", &key);
+        let request = message_request(self.kind.class, &id, "20000m", &key);
         let (end, socket) = match socket {
             Ok(mut socket) => (exchange(&mut socket, &request), Some(socket)),
             Err(error) => (end_of(&error), None),
--- a/tests/callers/processes.rs
+++ b/tests/callers/processes.rs
@@ -17,14 +17,14 @@
 
 /// The same with this endpoint.
 pub fn start_first_with(endpoint: &Server) -> Daemon {
-    let known = list(1, &[(7, endpoint.addr)]);
+    let known = endpoint_list(1, &[(7, endpoint.addr)]);
     let env = vec![("RELAY_MGMT".to_string(), free_address().to_string())];
-    Setup { env, max_pending: 1000, ..setup(&discovery(known.clone()), known) }.start()
+    Setup { env, max_pending: 1000, ..setup(&start_discovery(known.clone()), known) }.start()
 }
 
 /// A second process beside this one, with a management address of its own.
 pub fn start_second(first: &Daemon) -> Daemon {
-    first.start_beside("RELAY_MGMT", &free_address().to_string())
+    first.start_second_process("RELAY_MGMT", &free_address().to_string())
 }
 
 /// A process was killed while it owned the folder: what was on its connections died with it, as in any kill.
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -195,23 +195,23 @@
 #[case::run("run")]
 #[case::default_command("")]
 fn a_flag_overrides_its_variable_and_both_override_the_file(#[case] command: &str) {
-    let discovery_server = discovery(list(1, &[]));
+    let discovery_server = start_discovery(endpoint_list(1, &[]));
     let flags = [command, "--name", "by-flag"]
         .into_iter()
         .filter(|argument| !argument.is_empty())
         .map(str::to_string)
         .collect();
     let env = vec![("RELAY_NAME".to_string(), "by-variable".to_string())];
-    let daemon = Setup { flags, env, ..setup(&discovery_server, list(1, &[])) }.start();
+    let daemon = Setup { flags, env, ..setup(&discovery_server, endpoint_list(1, &[])) }.start();
     daemon.wait_log("ready: by-flag listens on");
 }
 
 /// After a reload, a variable that only repeated the old value of its key no longer applies, but a flag does.
 #[test]
 fn a_flag_still_overrides_its_key_after_a_reload() {
-    let (old_server, new_server) = (discovery(list(1, &[])), Server::always("500 Oops"));
+    let (old_server, new_server) = (start_discovery(endpoint_list(1, &[])), Server::always("500 Oops"));
     let flags = vec!["--discovery".to_string(), old_server.addr.to_string()];
-    let daemon = Setup { flags, ..setup(&old_server, list(1, &[])) }.start();
+    let daemon = Setup { flags, ..setup(&old_server, endpoint_list(1, &[])) }.start();
     daemon.wait_log("upstream group: version 1");
     daemon.reload(&old_server.addr.to_string(), &new_server.addr.to_string());
     daemon.wait_log(&format!("configuration reloaded: discovery at {}", old_server.addr));
@@ -221,8 +221,8 @@
 #[test]
 fn json_log_lines_contain_their_fields() {
     let endpoint = Server::always("200 OK");
-    let known = list(1, &[(7, endpoint.addr)]);
-    let discovery_server = discovery(known.clone());
+    let known = endpoint_list(1, &[(7, endpoint.addr)]);
+    let discovery_server = start_discovery(known.clone());
     let flags = vec!["--log-format=json".to_string(), "--log-filter=warn,core=debug".to_string()];
     let env = vec![("MICALADDER_LOG".to_string(), "error".to_string())];
     let folder;
@@ -254,8 +254,8 @@
 #[test]
 fn the_log_lines_of_a_call_site_are_rate_limited() {
     let endpoint = Server::always("200 OK");
-    let known = list(1, &[(7, endpoint.addr)]);
-    let discovery_server = discovery(known.clone());
+    let known = endpoint_list(1, &[(7, endpoint.addr)]);
+    let discovery_server = start_discovery(known.clone());
     let env = vec![("MICALADDER_LOG_BURST".to_string(), "3".to_string())];
     let mut daemon = Setup { env, ..setup(&discovery_server, known) }.start();
     let started = std::time::Instant::now();
@@ -270,5 +270,5 @@
         "{lines} lines in {:?}:\n{log}",
         started.elapsed()
     );
-    assert!(daemon.runs());
+    assert!(daemon.is_running());
 }
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -10,8 +10,8 @@
 use std::time::{Duration, Instant};
 
 fn start(endpoint: &Server, sockets: u32) -> (Server, Daemon) {
-    let known = list(1, &[(7, endpoint.addr)]);
-    let disco = discovery(known.clone());
+    let known = endpoint_list(1, &[(7, endpoint.addr)]);
+    let disco = start_discovery(known.clone());
     let daemon = Setup { sockets, ..setup(&disco, known) }.start();
     (disco, daemon)
 }
@@ -71,7 +71,7 @@
     let endpoint = Server::always("200 OK");
     let (_disco, daemon) = start(&endpoint, 1024);
     let mut socket = daemon.connect();
-    socket.write_all(&message("stats", "c1", "9000m", "")).expect("written");
+    socket.write_all(&message_request("stats", "c1", "9000m", "")).expect("written");
     let mut reader = BufReader::new(socket.try_clone().expect("a handle"));
     assert_eq!(read_http(&mut reader).map(|h| h.status()), Some(202));
     socket.write_all(plain(CHUNKED, "3\r\nabc\r\n0\r\n\r\n").as_bytes()).expect("written");
@@ -93,7 +93,7 @@
     for n in 0..60 {
         let mut socket = daemon.connect();
         if ask {
-            socket.write_all(&message("stats", &format!("s{n}"), "9000m", "")).expect("written");
+            socket.write_all(&message_request("stats", &format!("s{n}"), "9000m", "")).expect("written");
             let answer = read_http(&mut BufReader::new(socket.try_clone().expect("a handle")));
             assert_eq!(answer.map(|h| h.status()), Some(202));
         }
@@ -109,16 +109,16 @@
 #[test]
 fn idle_clients_leave_descriptors_for_other_uses_while_discovery_is_down() {
     let (old, new) = (Server::always("200 OK"), Server::always("200 OK"));
-    let fresh = list(2, &[(7, new.addr)]).replace("s-0", "s-1");
+    let fresh = endpoint_list(2, &[(7, new.addr)]).replace("s-0", "s-1");
     let back = Arc::new(AtomicBool::new(false));
     let is_back = back.clone();
     let disco =
-        Server::start(move |heard, _| match (heard.first.starts_with("GET"), is_back.load(Relaxed)) {
-            (false, _) => say("204 No Content", "", ""),
+        Server::start(move |heard, _| match (heard.start_line.starts_with("GET"), is_back.load(Relaxed)) {
+            (false, _) => respond("204 No Content", "", ""),
             (true, false) => Reply::Close,
-            (true, true) => watch(&fresh),
+            (true, true) => watch_response(&fresh),
         });
-    let daemon = Setup { sockets: 60, ..setup(&disco, list(1, &[(7, old.addr)])) }.start();
+    let daemon = Setup { sockets: 60, ..setup(&disco, endpoint_list(1, &[(7, old.addr)])) }.start();
     daemon.limit_descriptors(60);
     let open: Vec<_> = (0..60).map(|_| daemon.connect()).collect();
     assert_eq!(daemon.submit("stats", "meanwhile"), 202);
@@ -138,19 +138,22 @@
 fn without_an_endpoint_list_a_message_is_rejected_and_not_failed() {
     let endpoint = Server::always("200 OK");
     let back = Arc::new(AtomicBool::new(false));
-    let (is_back, fresh) = (back.clone(), list(2, &[(7, endpoint.addr)]));
+    let (is_back, fresh) = (back.clone(), endpoint_list(2, &[(7, endpoint.addr)]));
     let disco = Server::start(move |_, _| match is_back.load(Relaxed) {
         false => Reply::Close,
-        true => watch(&fresh),
+        true => watch_response(&fresh),
     });
-    let daemon = setup(&disco, list(1, &[])).start();
-    let early = daemon.ask(&message("stats", "early", "9000m", "")).expect("an answer");
+    let daemon = setup(&disco, endpoint_list(1, &[])).start();
+    let early = daemon.send_request(&message_request("stats", "early", "9000m", "")).expect("an answer");
     assert_eq!((early.status(), early.header("retry-after")), (503, Some("1.000")));
     back.store(true, Relaxed);
     daemon.wait_log("upstream group: version 2");
     assert_eq!(daemon.submit("stats", "early"), 202);
-    let other = String::from_utf8(message("stats", "other", "9000m", "")).expect("text");
-    assert_eq!(daemon.ask(other.replace("dest=7", "dest=8").as_bytes()).map(|h| h.status()), Some(404));
+    let other = String::from_utf8(message_request("stats", "other", "9000m", "")).expect("text");
+    assert_eq!(
+        daemon.send_request(other.replace("dest=7", "dest=8").as_bytes()).map(|h| h.status()),
+        Some(404)
+    );
 }
 
 #[test]
@@ -164,7 +167,7 @@
     daemon.wait_log("cannot accept client connections");
     drop(open);
     assert_eq!(daemon.submit("stats", "d2"), 202);
-    assert!(daemon.runs());
+    assert!(daemon.is_running());
     assert!(daemon.log().matches("cannot accept client connections").count() < 200);
 }
 
@@ -185,9 +188,9 @@
     let endpoint = Server::start(|_, _| Reply::RespondAndHold(String::new()));
     let (_disco, daemon) = start(&endpoint, 1024);
     assert_eq!(daemon.submit("payout", "i1"), 202);
-    let other = String::from_utf8(message("payout", "i1", "9000m", "")).expect("text");
+    let other = String::from_utf8(message_request("payout", "i1", "9000m", "")).expect("text");
     let other = other.replace("body of i1", "body of xx");
-    assert_eq!(daemon.ask(other.as_bytes()).map(|h| h.status()), Some(503));
+    assert_eq!(daemon.send_request(other.as_bytes()).map(|h| h.status()), Some(503));
     assert_eq!(daemon.submit("payout", "i1"), 202);
     assert_eq!(endpoint.wait_request("i1").text(), "body of i1");
 }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -13,7 +13,7 @@
 
 fn failure(failure: Failure) -> Reply {
     match failure {
-        Failure::Refused => say("503 Service Unavailable", "connection: close\r\n", ""),
+        Failure::Refused => respond("503 Service Unavailable", "connection: close\r\n", ""),
         Failure::CutOff => Reply::Close,
     }
 }
@@ -23,15 +23,15 @@
 #[case::cut_off(Failure::CutOff)]
 fn a_discovery_that_fails_is_polled_with_backoff_while_the_known_list_serves(#[case] kind: Failure) {
     let (old, new) = (Server::always("200 OK"), Server::always("200 OK"));
-    let known = list(1, &[(7, old.addr)]);
-    let fresh = list(2, &[(7, new.addr)]).replace("s-0", "s-1");
-    let disco = Server::start(move |heard, number| match (heard.first.starts_with("GET"), number) {
+    let known = endpoint_list(1, &[(7, old.addr)]);
+    let fresh = endpoint_list(2, &[(7, new.addr)]).replace("s-0", "s-1");
+    let disco = Server::start(move |heard, number| match (heard.start_line.starts_with("GET"), number) {
         (true, 0..6) => failure(kind),
-        (true, _) => watch(&fresh),
-        (false, _) => say("204 No Content", "", ""),
+        (true, _) => watch_response(&fresh),
+        (false, _) => respond("204 No Content", "", ""),
     });
     let daemon = setup(&disco, known).start();
-    disco.wait("a first poll", |all| !all.is_empty());
+    disco.wait_until("a first poll", |all| !all.is_empty());
     assert_eq!(daemon.submit("stats", "meanwhile"), 202);
     old.wait_request("meanwhile");
     daemon.wait_log("upstream group: version 2");
@@ -49,8 +49,8 @@
 #[test]
 fn a_complete_list_without_endpoints_leaves_the_old_one_in_use() {
     let endpoint = Server::always("200 OK");
-    let disco = discovery(list(3, &[]));
-    let daemon = setup(&disco, list(1, &[(7, endpoint.addr)])).start();
+    let disco = start_discovery(endpoint_list(3, &[]));
+    let daemon = setup(&disco, endpoint_list(1, &[(7, endpoint.addr)])).start();
     daemon.wait_log("the old one stays in use");
     assert_eq!(daemon.submit("stats", "still"), 202);
     endpoint.wait_request("still");
@@ -65,11 +65,12 @@
     #[case] mode: &'static str, #[case] is_delayed: bool,
 ) {
     let endpoint = Server::always("200 OK");
-    let at = |rev| list(rev, &[(7, endpoint.addr)]);
-    let (disco, moved) = (discovery(at(2)), discovery(at(3)));
-    let swaps = vec![(r#""nInstances":1,"#, r#""nInstances":300,"#), (r#""registryMode":"pushed""#, mode)];
+    let at = |rev| endpoint_list(rev, &[(7, endpoint.addr)]);
+    let (disco, moved) = (start_discovery(at(2)), start_discovery(at(3)));
+    let settings_replacements =
+        vec![(r#""nInstances":1,"#, r#""nInstances":300,"#), (r#""registryMode":"pushed""#, mode)];
     let begun = Instant::now();
-    let daemon = Setup { swaps, ..setup(&disco, at(1)) }.start();
+    let daemon = Setup { settings_replacements, ..setup(&disco, at(1)) }.start();
     daemon.wait_log("upstream group: version 2");
     daemon.reload(&disco.addr.to_string(), &moved.addr.to_string());
     daemon.wait_log("upstream group: version 3");
@@ -88,16 +89,18 @@
 #[case::they_send_noise(2, "no list\nat all")]
 fn a_watch_that_falls_silent_is_reopened_in_time(#[case] silent: usize, #[case] text: &'static str) {
     let (old, new) = (Server::always("200 OK"), Server::always("200 OK"));
-    let known = list(1, &[(7, old.addr)]);
-    let fresh = list(2, &[(7, new.addr)]).replace("s-0", "s-1");
+    let known = endpoint_list(1, &[(7, old.addr)]);
+    let fresh = endpoint_list(2, &[(7, new.addr)]).replace("s-0", "s-1");
     let first = known.clone();
-    let disco = Server::start(move |heard, n| match (heard.first.starts_with("GET"), n) {
-        (false, _) => say("204 No Content", "", ""),
-        (true, 0) => watch(&first),
-        (true, n) if n <= silent => {
-            Reply::RespondAndHold(if text.is_empty() { String::new() } else { chunked([text.as_bytes()]) })
-        }
-        (true, _) => watch(&fresh),
+    let disco = Server::start(move |heard, n| match (heard.start_line.starts_with("GET"), n) {
+        (false, _) => respond("204 No Content", "", ""),
+        (true, 0) => watch_response(&first),
+        (true, n) if n <= silent => Reply::RespondAndHold(if text.is_empty() {
+            String::new()
+        } else {
+            chunked_response([text.as_bytes()])
+        }),
+        (true, _) => watch_response(&fresh),
     });
     let daemon = setup(&disco, known).start();
     daemon.wait_log("upstream group: version 1");
@@ -119,17 +122,17 @@
 fn indented_lists_are_read_and_noise_between_them_is_skipped() {
     let (old, new) = (Server::always("200 OK"), Server::always("200 OK"));
     let indent = |text: String| format!("{:#}\n", text.parse::<serde_json::Value>().expect("a list"));
-    let first = indent(list(2, &[(7, old.addr)]));
-    let change = list(3, &[(7, old.addr), (7, new.addr)]).replacen("Ready", "Terminating", 1);
+    let first = indent(endpoint_list(2, &[(7, old.addr)]));
+    let change = endpoint_list(3, &[(7, old.addr), (7, new.addr)]).replacen("Ready", "Terminating", 1);
     let change = indent(change.replacen("true", "false", 1));
     let texts = [&first[..], "\n", "  \"uid\": \"s-9\",\n}\n", &change];
-    let answer = chunked(texts.concat().as_bytes().chunks(37));
-    let disco = Server::start(move |heard, n| match (heard.first.starts_with("GET"), n) {
+    let answer = chunked_response(texts.concat().as_bytes().chunks(37));
+    let disco = Server::start(move |heard, n| match (heard.start_line.starts_with("GET"), n) {
         (true, 0) => Reply::RespondAndHold(answer.clone()),
         (true, _) => Reply::RespondAndHold(String::new()),
-        (false, _) => say("204 No Content", "", ""),
+        (false, _) => respond("204 No Content", "", ""),
     });
-    let daemon = setup(&disco, list(1, &[(7, old.addr)])).start();
+    let daemon = setup(&disco, endpoint_list(1, &[(7, old.addr)])).start();
     daemon.wait_log("upstream group: version 2 lines=1");
     daemon.wait_log("upstream group: version 3 lines=2");
     for n in 0..3 {
@@ -143,14 +146,14 @@
 #[test]
 fn a_list_without_end_is_dropped_and_polled_again() {
     let old = Server::always("200 OK");
-    let known = list(1, &[(7, old.addr)]);
+    let known = endpoint_list(1, &[(7, old.addr)]);
     let endless = format!("{{\"rev\":2,\"all\":true,\"targets\":[{}", " ".repeat(10 << 20));
-    let endless = chunked([endless.as_bytes()]);
-    let fresh = list(3, &[(7, old.addr)]);
-    let disco = Server::start(move |heard, n| match (heard.first.starts_with("GET"), n) {
+    let endless = chunked_response([endless.as_bytes()]);
+    let fresh = endpoint_list(3, &[(7, old.addr)]);
+    let disco = Server::start(move |heard, n| match (heard.start_line.starts_with("GET"), n) {
         (true, 0..2) => Reply::Respond(endless.clone()),
-        (true, _) => watch(&fresh),
-        (false, _) => say("204 No Content", "", ""),
+        (true, _) => watch_response(&fresh),
+        (false, _) => respond("204 No Content", "", ""),
     });
     let daemon = setup(&disco, known).start();
     daemon.wait_log("endpoint list longer than");
@@ -158,5 +161,5 @@
     old.wait_request("meanwhile");
     daemon.wait_log("upstream group: version 3");
     // Two at once at the most, and what is read of each is bounded.
-    assert!(daemon.memory() < 48 << 20, "{} bytes", daemon.memory());
+    assert!(daemon.anonymous_memory() < 48 << 20, "{} bytes", daemon.anonymous_memory());
 }
--- a/tests/fleet_view.rs
+++ b/tests/fleet_view.rs
@@ -33,7 +33,7 @@
     assert!(known - terminated < SUSPICION_SECS, "after {:.3} s\n{}", known - terminated, fleet.timeline());
     fleet.members[7].wait_exit(TIMEOUT);
     fleet.heal();
-    let began = fleet.start_again(7, false);
+    let began = fleet.restart(7, false);
     let back = fleet.wait_for_agreement(&all, TIMEOUT).expect("it is present again");
     assert!(back - began < SUSPICION_SECS, "after {:.3} s\n{}", back - began, fleet.timeline());
 }
@@ -55,7 +55,7 @@
         fleet.kill(*n);
     }
     for n in &all[2..] {
-        fleet.start_again(*n, false);
+        fleet.restart(*n, false);
     }
     assert!(fleet.wait_for_agreement(&all[2..], TIMEOUT).is_some(), "{}", fleet.timeline());
 }
@@ -65,7 +65,7 @@
 fn a_member_with_an_empty_folder_is_present_again_at_once() {
     let (mut fleet, all) = start_fleet(5, 4);
     fleet.kill(3);
-    let began = fleet.start_again(3, true);
+    let began = fleet.restart(3, true);
     // Those that have not missed it yet learn that it restarted; its view is complete once it knows the others.
     fleet.members[3].wait_log("neighbour is there");
     let back = fleet.wait_for_agreement(&all, TIMEOUT).expect("it is present again");
@@ -161,8 +161,8 @@
 /// Without a listening address there is no file and no socket.
 #[test]
 fn without_an_address_nothing_is_on_disk() {
-    let disco = stand::discovery(stand::list(1, &[]));
-    let daemon = stand::setup(&disco, stand::list(1, &[])).start();
+    let disco = stand::start_discovery(stand::endpoint_list(1, &[]));
+    let daemon = stand::setup(&disco, stand::endpoint_list(1, &[])).start();
     let names = std::fs::read_dir(daemon.folder.join("state")).expect("its folder");
     let names: std::collections::BTreeSet<String> =
         names.map(|e| e.expect("an entry").file_name().to_string_lossy().into()).collect();
--- a/tests/forwarder.rs
+++ b/tests/forwarder.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 fn one(endpoint: &Server) -> (Server, String) {
-    let known = list(1, &[(7, endpoint.addr)]);
-    (discovery(known.clone()), known)
+    let known = endpoint_list(1, &[(7, endpoint.addr)]);
+    (start_discovery(known.clone()), known)
 }
 
 #[test]
@@ -17,12 +17,12 @@
     let daemon = setup(&disco, known).start();
     assert_eq!(daemon.submit("sync", "a1"), 202);
     let call = endpoint.wait_request("a1");
-    assert_eq!(call.first.trim(), "POST /v1/messages HTTP/1.1");
+    assert_eq!(call.start_line.trim(), "POST /v1/messages HTTP/1.1");
     assert_eq!(call.header("idempotency-key"), Some("key-a1"));
     assert_eq!(call.text(), "body of a1");
     let left = call.header("x-deadline").and_then(|d| d.strip_suffix('m')).expect("in milliseconds");
     assert!((1..=20_000).contains(&left.parse::<u64>().expect("a number")), "{left}");
-    assert!(!disco.received().iter().any(|h| h.first.starts_with("POST")), "delivered: no notice");
+    assert!(!disco.received().iter().any(|h| h.start_line.starts_with("POST")), "delivered: no notice");
 }
 
 /// Bad input is a plain 4xx, and the program goes on.
@@ -43,27 +43,27 @@
     let endpoint = Server::always("200 OK");
     let (disco, known) = one(&endpoint);
     let mut daemon = setup(&disco, known).start();
-    let text = String::from_utf8(message("stats", "b", "20000m", "")).expect("text");
+    let text = String::from_utf8(message_request("stats", "b", "20000m", "")).expect("text");
     assert!(text.contains(from));
     let mut bytes = text.replace(from, to).into_bytes();
     if status == 413 {
         bytes.extend(vec![b'x'; 70_000]);
     }
-    assert_eq!(daemon.ask(&bytes).map(|h| h.status()), Some(status));
-    assert!(daemon.runs());
+    assert_eq!(daemon.send_request(&bytes).map(|h| h.status()), Some(status));
+    assert!(daemon.is_running());
     assert_eq!(daemon.submit("stats", "good"), 202);
 }
 
 #[test]
 fn unknown_classes_and_dests_fail_and_broken_lists_are_passed_over() {
     let endpoint = Server::always("200 OK");
-    let known = list(1, &[(7, endpoint.addr)]);
-    let disco = discovery("{\"rev\": what".into());
+    let known = endpoint_list(1, &[(7, endpoint.addr)]);
+    let disco = start_discovery("{\"rev\": what".into());
     let daemon = setup(&disco, known).start();
     daemon.wait_log("ignored a value that is no endpoint list");
     assert_eq!(daemon.submit("nothing", "c1"), 404);
-    let text = String::from_utf8(message("stats", "c2", "20000m", "")).expect("text");
-    let status = daemon.ask(text.replace("dest=7", "dest=8").as_bytes()).map(|h| h.status());
+    let text = String::from_utf8(message_request("stats", "c2", "20000m", "")).expect("text");
+    let status = daemon.send_request(text.replace("dest=7", "dest=8").as_bytes()).map(|h| h.status());
     assert_eq!(status, Some(404));
     assert_eq!(daemon.submit("stats", "c3"), 202);
 }
@@ -75,8 +75,13 @@
 fn a_payout_that_may_have_run_is_undeliverable(
     #[case] status: &'static str, #[case] head: &'static str, #[case] notices: usize,
 ) {
-    let endpoint =
-        Server::start(move |h, _| if h.id() == "p1" { say(status, head, "") } else { say("200 OK", "", "") });
+    let endpoint = Server::start(move |h, _| {
+        if h.request_id() == "p1" {
+            respond(status, head, "")
+        } else {
+            respond("200 OK", "", "")
+        }
+    });
     let (disco, known) = one(&endpoint);
     let daemon = setup(&disco, known).start();
     assert_eq!(daemon.submit("payout", "p1"), 202);
@@ -86,8 +91,8 @@
     }
     assert_eq!(daemon.submit("payout", "p2"), 202);
     endpoint.wait_request("p2");
-    assert_eq!(endpoint.received().iter().filter(|h| h.id() == "p1").count(), 1);
-    assert_eq!(disco.count_distinct("p1"), notices);
+    assert_eq!(endpoint.received().iter().filter(|h| h.request_id() == "p1").count(), 1);
+    assert_eq!(disco.count_distinct_bodies("p1"), notices);
 }
 
 #[test]
@@ -110,12 +115,12 @@
     #[case] status: &'static str, #[case] head: &'static str, #[case] wait_ms: u64,
 ) {
     let endpoint =
-        Server::start(move |_, n| if n == 0 { say(status, head, "") } else { say("200 OK", "", "") });
+        Server::start(move |_, n| if n == 0 { respond(status, head, "") } else { respond("200 OK", "", "") });
     let (disco, known) = one(&endpoint);
     let daemon = setup(&disco, known).start();
     let start = std::time::Instant::now();
     assert_eq!(daemon.submit("payout", "w1"), 202);
-    endpoint.wait("a second call", |all| all.len() == 2);
+    endpoint.wait_until("a second call", |all| all.len() == 2);
     assert!(start.elapsed() >= Duration::from_millis(wait_ms));
     daemon.wait_log("message=w1 outcome=Ok attempt=1");
     assert!(!disco.received().iter().any(|h| h.text().contains("w1")), "delivered: no notice");
@@ -125,8 +130,8 @@
 #[test]
 fn the_upstream_group_follows_split_chunks_and_watches_that_break() {
     let (old, new) = (Server::always("200 OK"), Server::always("200 OK"));
-    let known = list(1, &[(7, old.addr)]);
-    let change = list(5, &[(7, old.addr), (7, new.addr)]).replacen("Ready", "Terminating", 1) + "\n";
+    let known = endpoint_list(1, &[(7, old.addr)]);
+    let change = endpoint_list(5, &[(7, old.addr), (7, new.addr)]).replacen("Ready", "Terminating", 1) + "\n";
     let disco = Server::start(move |_, n| {
         let (a, b) = change.split_at(70);
         let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
@@ -142,8 +147,10 @@
         new.wait_request(id);
     }
     assert!(old.received().is_empty(), "it drains");
-    let asked = disco.wait("a watch after one that ended, and one after a silent one", |all| all.len() >= 3);
-    let firsts: Vec<&str> = asked.iter().map(|h| h.first.split(' ').nth(1).unwrap_or_default()).collect();
+    let asked =
+        disco.wait_until("a watch after one that ended, and one after a silent one", |all| all.len() >= 3);
+    let firsts: Vec<&str> =
+        asked.iter().map(|h| h.start_line.split(' ').nth(1).unwrap_or_default()).collect();
     assert_eq!(
         firsts[..3],
         ["/v1/endpoints?watch=1&after=1", "/v1/endpoints?watch=1&after=5", "/v1/endpoints?watch=1&after=5"]
@@ -155,13 +162,14 @@
 fn an_endpoint_that_is_gone_is_retired_with_its_connections() {
     let endpoint = Server::always("200 OK");
     let many: Vec<_> = (1..=20).map(|dest| (dest, endpoint.addr)).collect();
-    let known = list(1, &many);
+    let known = endpoint_list(1, &many);
     let (tell, told) = std::sync::mpsc::channel();
-    let (told, after) = (std::sync::Mutex::new(told), list(2, &[(7, endpoint.addr)]).replace("s-0", "s-new"));
+    let (told, after) =
+        (std::sync::Mutex::new(told), endpoint_list(2, &[(7, endpoint.addr)]).replace("s-0", "s-new"));
     let disco = Server::start(move |heard, _| {
         let line: String =
             told.lock().expect("lock").recv().map(|()| after.clone() + "\n").unwrap_or_default();
-        assert!(heard.first.starts_with("GET"), "{}", heard.first);
+        assert!(heard.start_line.starts_with("GET"), "{}", heard.start_line);
         Reply::RespondAndHold(format!(
             "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n{:x}\r\n{line}\r\n",
             line.len()
@@ -170,9 +178,10 @@
     let daemon = setup(&disco, known).start();
     let before = daemon.open_descriptors();
     for (dest, _) in &many {
-        let text = String::from_utf8(message("stats", &format!("r{dest}"), "20000m", "")).expect("text");
+        let text =
+            String::from_utf8(message_request("stats", &format!("r{dest}"), "20000m", "")).expect("text");
         let text = text.replace("dest=7", &format!("dest={dest}"));
-        assert_eq!(daemon.ask(text.as_bytes()).map(|h| h.status()), Some(202));
+        assert_eq!(daemon.send_request(text.as_bytes()).map(|h| h.status()), Some(202));
         daemon.wait_log(&format!("message=r{dest} outcome=Ok attempt=0"));
     }
     assert!(daemon.open_descriptors() >= before + many.len());
@@ -199,7 +208,7 @@
     // Each goes out on a connection of its own: the later one may be heard first.
     endpoint.wait_request("t1");
     endpoint.wait_request("t2");
-    assert_eq!(endpoint.received().iter().filter(|h| h.id() == "t1").count(), 1);
+    assert_eq!(endpoint.received().iter().filter(|h| h.request_id() == "t1").count(), 1);
 }
 
 #[test]
@@ -207,7 +216,9 @@
     let endpoint = Server::start(|_, _| Reply::RespondAndHold(String::new()));
     let (disco, known) = one(&endpoint);
     let daemon = Setup { max_pending: 4, ..setup(&disco, known) }.start();
-    let submit = |n| daemon.ask(&message("payout", &format!("o{n}"), "20000m", "")).expect("an answer");
+    let submit = |n| {
+        daemon.send_request(&message_request("payout", &format!("o{n}"), "20000m", "")).expect("an answer")
+    };
     let answers: Vec<HttpMessage> = (0..6).map(submit).collect();
     let statuses: Vec<u16> = answers.iter().map(HttpMessage::status).collect();
     assert_eq!(statuses, [202, 202, 202, 503, 503, 503]);
@@ -222,16 +233,16 @@
 fn what_was_out_at_a_kill_may_have_run(#[case] class: &str, #[case] again: bool) {
     let endpoint =
         Server::start(
-            |_, n| if n == 0 { Reply::RespondAndHold(String::new()) } else { say("200 OK", "", "") },
+            |_, n| if n == 0 { Reply::RespondAndHold(String::new()) } else { respond("200 OK", "", "") },
         );
     let (disco, known) = one(&endpoint);
     let mut daemon = setup(&disco, known).start();
     assert_eq!(daemon.submit(class, "k1"), 202);
     endpoint.wait_request("k1");
     daemon.kill();
-    daemon.start_again();
+    daemon.restart();
     if again {
-        endpoint.wait("a second call", |all| all.len() == 2);
+        endpoint.wait_until("a second call", |all| all.len() == 2);
     } else {
         disco.wait_text(r#"{"id":"k1","status":"undeliverable"}"#);
         assert_eq!(endpoint.received().len(), 1);
@@ -242,12 +253,15 @@
 fn a_key_keeps_its_order_across_a_kill_and_a_torn_journal_is_read_up_to_the_tear() {
     let endpoint =
         Server::start(
-            |_, n| if n == 0 { Reply::RespondAndHold(String::new()) } else { say("200 OK", "", "") },
+            |_, n| if n == 0 { Reply::RespondAndHold(String::new()) } else { respond("200 OK", "", "") },
         );
     let (disco, known) = one(&endpoint);
     let mut daemon = setup(&disco, known).start();
     for id in ["q1", "q2", "q3"] {
-        assert_eq!(daemon.ask(&message("sync", id, "20000m", "X-Key: 5\r\n")).map(|h| h.status()), Some(202));
+        assert_eq!(
+            daemon.send_request(&message_request("sync", id, "20000m", "X-Key: 5\r\n")).map(|h| h.status()),
+            Some(202)
+        );
     }
     endpoint.wait_request("q1");
     daemon.kill();
@@ -255,29 +269,40 @@
     let mut held = std::fs::read(&journal).expect("the journal");
     held.extend([9, 0, 0, 0, 1, 2, 3]);
     std::fs::write(&journal, held).expect("torn");
-    daemon.start_again();
+    daemon.restart();
     assert!(daemon.log().contains("torn tail of 7 bytes"));
-    let all = endpoint.wait("all three", |all| all.iter().any(|h| h.id() == "q3"));
-    let ids: Vec<&str> = all.iter().map(HttpMessage::id).collect();
+    let all = endpoint.wait_until("all three", |all| all.iter().any(|h| h.request_id() == "q3"));
+    let ids: Vec<&str> = all.iter().map(HttpMessage::request_id).collect();
     assert_eq!(ids, ["q1", "q1", "q2", "q3"]);
 }
 
 #[test]
 fn a_notice_is_sent_until_it_is_answered_and_its_key_waits_for_that() {
-    let endpoint =
-        Server::start(|h, _| if h.id() == "n1" { say("500 Oops", "", "") } else { say("200 OK", "", "") });
-    let known = list(1, &[(7, endpoint.addr)]);
-    let disco = Server::start(|h, n| match h.first.starts_with("POST") {
+    let endpoint = Server::start(|h, _| {
+        if h.request_id() == "n1" {
+            respond("500 Oops", "", "")
+        } else {
+            respond("200 OK", "", "")
+        }
+    });
+    let known = endpoint_list(1, &[(7, endpoint.addr)]);
+    let disco = Server::start(|h, n| match h.start_line.starts_with("POST") {
         true if n < 3 => Reply::Close,
-        true => say("204 No Content", "", ""),
+        true => respond("204 No Content", "", ""),
         false => {
             Reply::RespondAndHold("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n1\r\n\n\r\n".into())
         }
     });
     let daemon = setup(&disco, known).start();
     // Six attempts all fail, so it is given up; the next of its key follows the answer to that notice.
-    assert_eq!(daemon.ask(&message("sync", "n1", "6000m", "X-Key: 5\r\n")).map(|h| h.status()), Some(202));
-    assert_eq!(daemon.ask(&message("sync", "n2", "20000m", "X-Key: 5\r\n")).map(|h| h.status()), Some(202));
+    assert_eq!(
+        daemon.send_request(&message_request("sync", "n1", "6000m", "X-Key: 5\r\n")).map(|h| h.status()),
+        Some(202)
+    );
+    assert_eq!(
+        daemon.send_request(&message_request("sync", "n2", "20000m", "X-Key: 5\r\n")).map(|h| h.status()),
+        Some(202)
+    );
     endpoint.wait_request("n2");
     assert!(disco.received().iter().filter(|h| h.text().contains("n1")).count() >= 2);
 }
@@ -286,10 +311,10 @@
 #[test]
 fn a_notice_goes_again_soon_where_no_answer_comes() {
     let endpoint = Server::always("500 Oops");
-    let known = list(1, &[(7, endpoint.addr)]);
-    let disco = Server::start(|heard, _| match heard.first.starts_with("POST") {
+    let known = endpoint_list(1, &[(7, endpoint.addr)]);
+    let disco = Server::start(|heard, _| match heard.start_line.starts_with("POST") {
         true if heard.text().contains("s1") => Reply::RespondAndHold(String::new()),
-        true => say("204 No Content", "", ""),
+        true => respond("204 No Content", "", ""),
         false => {
             Reply::RespondAndHold("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n1\r\n\n\r\n".into())
         }
@@ -298,7 +323,7 @@
     assert_eq!(daemon.submit("payout", "s1"), 202);
     let sent = |n: usize| {
         let posts = |all: &[HttpMessage]| all.iter().filter(|h| h.text().contains("s1")).count();
-        disco.wait("a notice", |all| posts(all) >= n);
+        disco.wait_until("a notice", |all| posts(all) >= n);
         std::time::Instant::now()
     };
     let first = sent(1);
@@ -309,10 +334,10 @@
 #[test]
 fn a_notice_without_an_answer_holds_up_no_other() {
     let endpoint = Server::always("500 Oops");
-    let known = list(1, &[(7, endpoint.addr)]);
-    let disco = Server::start(|heard, _| match heard.first.starts_with("POST") {
+    let known = endpoint_list(1, &[(7, endpoint.addr)]);
+    let disco = Server::start(|heard, _| match heard.start_line.starts_with("POST") {
         true if heard.text().contains("h1") => Reply::RespondAndHold(String::new()),
-        true => say("204 No Content", "", ""),
+        true => respond("204 No Content", "", ""),
         false => {
             Reply::RespondAndHold("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n1\r\n\n\r\n".into())
         }
@@ -329,10 +354,12 @@
 #[test]
 fn a_notice_that_meets_a_silent_connection_goes_out_on_a_new_one() {
     let endpoint = Server::always("500 Oops");
-    let known = list(1, &[(7, endpoint.addr)]);
+    let known = endpoint_list(1, &[(7, endpoint.addr)]);
     let served = std::sync::Mutex::new(std::collections::BTreeSet::new());
-    let disco = Server::start(move |heard, _| match heard.first.starts_with("POST") {
-        true if served.lock().expect("lock").insert(heard.from) => say("204 No Content", "", ""),
+    let disco = Server::start(move |heard, _| match heard.start_line.starts_with("POST") {
+        true if served.lock().expect("lock").insert(heard.client_address) => {
+            respond("204 No Content", "", "")
+        }
         true => Reply::RespondAndHold(String::new()),
         false => {
             Reply::RespondAndHold("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n1\r\n\n\r\n".into())
@@ -345,7 +372,7 @@
     }
     let posts: Vec<_> = disco.received().into_iter().filter(|h| h.text().contains("o2")).collect();
     assert_eq!(posts.len(), 2, "once on the silent one, once on a new one");
-    assert_ne!(posts[0].from, posts[1].from);
+    assert_ne!(posts[0].client_address, posts[1].client_address);
 }
 
 #[test]
@@ -357,10 +384,10 @@
     daemon.wait_log("message=d1 outcome=Ok attempt=0");
     assert_eq!(daemon.submit("sync", "d1"), 200);
     daemon.kill();
-    daemon.start_again();
-    let renamed = String::from_utf8(message("sync", "d1", "20000m", "")).expect("text");
+    daemon.restart();
+    let renamed = String::from_utf8(message_request("sync", "d1", "20000m", "")).expect("text");
     let renamed = renamed.replace("X-Request-Id: d1", "X-Request-Id: d2");
-    assert_eq!(daemon.ask(renamed.as_bytes()).map(|h| h.status()), Some(200));
+    assert_eq!(daemon.send_request(renamed.as_bytes()).map(|h| h.status()), Some(200));
     assert_eq!(endpoint.received().len(), 1);
 }
 
@@ -370,13 +397,14 @@
     let (disco, known) = one(&endpoint);
     let daemon = Setup { disk_mb: 0.2, ..setup(&disco, known) }.start();
     let big = |id: &str| {
-        let text = String::from_utf8(message("payout", id, "20000m", "")).expect("text");
+        let text = String::from_utf8(message_request("payout", id, "20000m", "")).expect("text");
         let (head, _) = text.split_once("Content-Length").expect("a head");
         let body = "x".repeat(30_000);
         format!("{head}Content-Length: 30000\r\n\r\n{body}")
     };
-    let answers: Vec<u16> =
-        (0..6).map(|n| daemon.ask(big(&format!("f{n}")).as_bytes()).map_or(0, |h| h.status())).collect();
+    let answers: Vec<u16> = (0..6)
+        .map(|n| daemon.send_request(big(&format!("f{n}")).as_bytes()).map_or(0, |h| h.status()))
+        .collect();
     assert_eq!(answers[..2], [202, 202]);
     assert_eq!(answers[2..], [503; 4]);
     let size = std::fs::metadata(daemon.folder.join("state").join("journal")).expect("it is there").len();
@@ -392,7 +420,7 @@
     daemon.terminate();
     daemon.wait_log("told to end");
     assert_eq!(daemon.submit("stats", "e1"), 202);
-    kept.write_all(&message("stats", "e2", "20000m", "")).expect("written");
+    kept.write_all(&message_request("stats", "e2", "20000m", "")).expect("written");
     assert_eq!(read_http(&mut BufReader::new(kept)).map(|h| h.status()), Some(202));
     endpoint.wait_request("e2");
     assert!(daemon.wait_exit(Duration::from_millis(3700)).success());
@@ -418,7 +446,7 @@
     let together = std::sync::Barrier::new(4);
     let endpoint = Server::start(move |_, _| {
         together.wait();
-        say("200 OK", "", "")
+        respond("200 OK", "", "")
     });
     let (disco, known) = one(&endpoint);
     let daemon = setup(&disco, known).start();
@@ -440,17 +468,17 @@
     let held = std::sync::Arc::new(std::sync::Mutex::new(std::collections::BTreeSet::new()));
     let table = held.clone();
     let endpoint = Server::start(move |heard, _| {
-        let place = heard.from;
+        let place = heard.client_address;
         let full = {
             let mut held = table.lock().expect("lock");
             !held.contains(&place) && (held.len() >= 2 || !held.insert(place))
         };
         if full {
-            return say("503 Full", "Connection: close\r\n", "");
+            return respond("503 Full", "Connection: close\r\n", "");
         }
         std::thread::sleep(Duration::from_millis(20));
         table.lock().expect("lock").remove(&place);
-        say("200 OK", "Connection: close\r\n", "")
+        respond("200 OK", "Connection: close\r\n", "")
     });
     let (disco, known) = one(&endpoint);
     let daemon = setup(&disco, known).start();
@@ -467,5 +495,5 @@
     );
     let crowded = log.matches("outcome=ConnectionLimit").count();
     assert!((1..40).contains(&crowded), "{crowded} turned away for 60 messages");
-    assert!(!disco.received().iter().any(|h| h.first.starts_with("POST")), "each is delivered");
+    assert!(!disco.received().iter().any(|h| h.start_line.starts_with("POST")), "each is delivered");
 }
--- a/tests/journal_compatibility.rs
+++ b/tests/journal_compatibility.rs
@@ -253,12 +253,12 @@
 #[test]
 fn a_daemon_that_starts_on_an_old_folder_goes_on_where_the_old_one_stopped() {
     let endpoint = Server::always("200 OK");
-    let known = list(1, &[(7, endpoint.addr)]);
-    let disco = discovery(known.clone());
+    let known = endpoint_list(1, &[(7, endpoint.addr)]);
+    let disco = start_discovery(known.clone());
     let mut daemon = setup(&disco, known).start();
     daemon.kill();
     copy_files("state", &daemon.folder.join("state"));
-    daemon.start_again();
+    daemon.restart();
     for id in ["pending-empty", "pending-long", "retried", "late-never-ran"] {
         endpoint.wait_request(id);
     }
@@ -271,9 +271,9 @@
     for id in
         ["late-delivered", "late-may-have-run", "late-final", "delivered", "withdrawn", "past-delivered"]
     {
-        assert!(endpoint.received().iter().all(|h| h.id() != id), "{id} was sent again");
+        assert!(endpoint.received().iter().all(|h| h.request_id() != id), "{id} was sent again");
     }
-    assert_eq!(disco.count_distinct(r#""id":"undeliverable-heard""#), 0);
+    assert_eq!(disco.count_distinct_bodies(r#""id":"undeliverable-heard""#), 0);
     let long = endpoint.wait_request("pending-long");
     assert_eq!(long.body, long_body());
 }
--- a/tests/late.rs
+++ b/tests/late.rs
@@ -13,9 +13,9 @@
 #[test]
 fn a_retry_after_that_comes_during_a_connect_is_respected() {
     let mut endpoint = FullBacklogEndpoint::start();
-    let known = list(1, &[(7, endpoint.addr)]);
-    let disco = discovery(known.clone());
-    let daemon = Setup { swaps: vec![LONG_CONNECT_TIMEOUT], ..setup(&disco, known) }.start();
+    let known = endpoint_list(1, &[(7, endpoint.addr)]);
+    let disco = start_discovery(known.clone());
+    let daemon = Setup { settings_replacements: vec![LONG_CONNECT_TIMEOUT], ..setup(&disco, known) }.start();
     let first = start_hanging_connect(&daemon, &mut endpoint);
     let sent_at = Instant::now();
     let second = retry_after_during_connect(&daemon, first, &mut endpoint);
@@ -23,7 +23,12 @@
     let (calls, received) = channel();
     serve(second, calls.clone());
     let assert_late = |(call, at): (HttpMessage, Instant)| {
-        assert!(at >= sent_at + WAIT, "{} came {:?} after the Retry-After", call.id(), at - sent_at);
+        assert!(
+            at >= sent_at + RETRY_AFTER,
+            "{} came {:?} after the Retry-After",
+            call.request_id(),
+            at - sent_at
+        );
     };
     assert_late(received.recv_timeout(EVENT_TIMEOUT).expect("a call on the open connection"));
     let until = Instant::now() + EVENT_TIMEOUT;
@@ -31,7 +36,7 @@
         if let Ok(call) = received.try_recv() {
             break assert_late(call);
         }
-        endpoint.waiting().into_iter().for_each(|(socket, _)| serve(socket, calls.clone()));
+        endpoint.try_accept().into_iter().for_each(|(socket, _)| serve(socket, calls.clone()));
         assert!(Instant::now() < until, "the other message came");
         std::thread::yield_now();
     }
@@ -44,7 +49,7 @@
     std::thread::spawn(move || {
         while let Some(call) = read_http(&mut BufReader::new(&socket)) {
             let _ = calls.send((call, Instant::now()));
-            answer(&socket, "200 OK", "");
+            write_response(&socket, "200 OK", "");
         }
     });
 }
@@ -52,11 +57,11 @@
 /// Discovery that sends nothing until it is signalled to, then this change.
 fn delayed_discovery(change: String, signal: Receiver<()>) -> Server {
     let signal = Mutex::new(signal);
-    Server::start(move |heard, n| match (heard.first.starts_with("POST"), n) {
-        (true, _) => say("204 No Content", "", ""),
+    Server::start(move |heard, n| match (heard.start_line.starts_with("POST"), n) {
+        (true, _) => respond("204 No Content", "", ""),
         (_, 0) => {
             let _ = signal.lock().expect("lock").recv();
-            watch(&change)
+            watch_response(&change)
         }
         _ => Reply::RespondAndHold("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n".into()),
     })
@@ -68,19 +73,19 @@
 #[case::removed("Gone")]
 fn a_drain_that_is_listed_during_a_connect_is_respected(#[case] state: &str) {
     let (mut endpoint, other) = (FullBacklogEndpoint::start(), Server::always("200 OK"));
-    let known = list(1, &[(7, endpoint.addr)]);
-    let change = list(5, &[(7, endpoint.addr), (7, other.addr)]).replacen("Ready", state, 1);
+    let known = endpoint_list(1, &[(7, endpoint.addr)]);
+    let change = endpoint_list(5, &[(7, endpoint.addr), (7, other.addr)]).replacen("Ready", state, 1);
     let (signal, signal_received) = channel();
     let disco = delayed_discovery(change.replacen("true", "false", 1), signal_received);
-    let daemon = Setup { swaps: vec![LONG_CONNECT_TIMEOUT], ..setup(&disco, known) }.start();
+    let daemon = Setup { settings_replacements: vec![LONG_CONNECT_TIMEOUT], ..setup(&disco, known) }.start();
     let first = start_hanging_connect(&daemon, &mut endpoint);
     signal.send(()).expect("discovery waits");
     daemon.wait_log("upstream group: version 5 lines=2");
-    endpoint.open();
+    endpoint.drain_backlog();
     let second = endpoint.accept();
     other.wait_request("b");
     assert!(is_idle(&second), "nothing was sent to the endpoint that drains");
-    answer(&first, "200 OK", "");
+    write_response(&first, "200 OK", "");
     daemon.wait_log("attempt ended message=a outcome=Ok");
     daemon.wait_log("first byte message=b attempt=0");
 }
@@ -89,23 +94,24 @@
 #[test]
 fn a_payout_that_hung_in_its_connect_at_a_kill_never_ran() {
     let mut endpoint = FullBacklogEndpoint::start();
-    let known = list(1, &[(7, endpoint.addr)]);
-    let disco = discovery(known.clone());
-    let mut daemon = Setup { swaps: vec![LONG_CONNECT_TIMEOUT], ..setup(&disco, known) }.start();
+    let known = endpoint_list(1, &[(7, endpoint.addr)]);
+    let disco = start_discovery(known.clone());
+    let mut daemon =
+        Setup { settings_replacements: vec![LONG_CONNECT_TIMEOUT], ..setup(&disco, known) }.start();
     let first = start_hanging_connect(&daemon, &mut endpoint);
     daemon.kill();
     drop(first);
-    endpoint.open();
-    daemon.start_again();
+    endpoint.drain_backlog();
+    daemon.restart();
     let call_b = loop {
         let socket = endpoint.accept();
         // A connect of the process that was killed may still stand in the queue.
         if let Some(heard) = read_http(&mut BufReader::new(&socket)) {
-            answer(&socket, "200 OK", "");
+            write_response(&socket, "200 OK", "");
             break heard;
         }
     };
-    assert_eq!(call_b.id(), "b");
+    assert_eq!(call_b.request_id(), "b");
     disco.wait_text(r#"{"id":"a","status":"undeliverable"}"#);
     daemon.wait_log("attempt ended message=b outcome=Ok");
 }
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -20,7 +20,7 @@
     for n in from..to {
         let class = if n % 2 == 0 { "stats" } else { "sync" };
         let key = format!("X-Key: {client:08x}{n:08x}\r\n");
-        let text = message(class, &format!("m-{client}-{n}"), "400m", &key);
+        let text = message_request(class, &format!("m-{client}-{n}"), "400m", &key);
         socket.write_all(&text).expect("the daemon reads");
         let response = read_http(&mut reader).expect("a response");
         assert!([200, 202, 503].contains(&response.status()), "{}", response.text());
@@ -30,11 +30,11 @@
 #[test]
 fn memory_does_not_grow_with_completed_messages() {
     let endpoint = Server::always("200 OK");
-    let known = list(1, &[(7, endpoint.addr)]);
-    let discovery_server = discovery(known.clone());
+    let known = endpoint_list(1, &[(7, endpoint.addr)]);
+    let discovery_server = start_discovery(known.clone());
     // The default deduplication window is longer than this test, so entries would not expire within it.
-    let swaps = vec![("\"windowNs\":25000000000", "\"windowNs\":500000000")];
-    let daemon = Setup { swaps, ..setup(&discovery_server, known) }.start();
+    let settings_replacements = vec![("\"windowNs\":25000000000", "\"windowNs\":500000000")];
+    let daemon = Setup { settings_replacements, ..setup(&discovery_server, known) }.start();
     let load = |from: usize, to: usize| {
         thread::scope(|scope| {
             for client in 0..CLIENTS {
@@ -42,7 +42,7 @@
                 scope.spawn(move || submit_messages(daemon, client, from, to));
             }
         });
-        daemon.memory()
+        daemon.anonymous_memory()
     };
     let before = load(0, WARM_UP_MESSAGES);
     let after = load(WARM_UP_MESSAGES, WARM_UP_MESSAGES + MEASURED_MESSAGES);
--- a/tests/mgmt.rs
+++ b/tests/mgmt.rs
@@ -17,7 +17,7 @@
 /// Sends a request to the management address and returns the response.
 fn request(mgmt: SocketAddr, method: &str, path: &str) -> HttpMessage {
     let text = format!("{method} {path} HTTP/1.1\r\nHost: ops\r\nContent-Length: 0\r\n\r\n");
-    ask(mgmt, text.as_bytes()).expect("a response")
+    send_request(mgmt, text.as_bytes()).expect("a response")
 }
 
 fn metrics(mgmt: SocketAddr) -> Value {
@@ -39,18 +39,22 @@
 #[test]
 fn metrics_match_what_clients_and_endpoints_saw() {
     let endpoint = Server::always("200 OK");
-    let known = list(1, &[(7, endpoint.addr)]);
-    let discovery_server = discovery(known.clone());
+    let known = endpoint_list(1, &[(7, endpoint.addr)]);
+    let discovery_server = start_discovery(known.clone());
     let (daemon, mgmt) = start_with_management(setup(&discovery_server, known));
     assert_eq!(request(mgmt, "GET", "/v1/readyz").status(), 200);
     for n in 0..5 {
         assert_eq!(daemon.submit("stats", &format!("s{n}")), 202);
     }
     assert_eq!(daemon.submit("payout", "p"), 202);
-    endpoint.wait("all messages", |requests| requests.len() == 6);
-    let unknown_destination =
-        String::from_utf8(message("payout", "n", "20000m", "")).expect("text").replace("dest=7", "dest=9");
-    assert_eq!(daemon.ask(unknown_destination.as_bytes()).map(|response| response.status()), Some(404));
+    endpoint.wait_until("all messages", |requests| requests.len() == 6);
+    let unknown_destination = String::from_utf8(message_request("payout", "n", "20000m", ""))
+        .expect("text")
+        .replace("dest=7", "dest=9");
+    assert_eq!(
+        daemon.send_request(unknown_destination.as_bytes()).map(|response| response.status()),
+        Some(404)
+    );
     let metrics = wait_metrics(mgmt, |metrics| {
         metrics["open_requests"] == 0 && metrics["operations"]["payout"]["fulfilled"] == 1
     });
@@ -71,8 +75,8 @@
 #[test]
 fn a_suspended_endpoint_receives_no_new_messages_until_it_is_resumed() {
     let (first, second) = (Server::always("200 OK"), Server::always("200 OK"));
-    let known = list(1, &[(7, first.addr), (7, second.addr)]);
-    let discovery_server = discovery(known.clone());
+    let known = endpoint_list(1, &[(7, first.addr), (7, second.addr)]);
+    let discovery_server = start_discovery(known.clone());
     let (mut daemon, mgmt) = start_with_management(setup(&discovery_server, known));
     assert_eq!(request(mgmt, "POST", "/v1/endpoints/s-0/suspend").status(), 204);
     assert_eq!(
@@ -83,13 +87,13 @@
     assert_eq!(request(mgmt, "POST", "/v1/endpoints/nobody/suspend").status(), 404);
     wait_metrics(mgmt, |metrics| metrics["out_of_rotation"] == 1);
     (0..10).for_each(|n| assert_eq!(daemon.submit("stats", &format!("a{n}")), 202));
-    second.wait("all messages", |requests| requests.len() == 10);
+    second.wait_until("all messages", |requests| requests.len() == 10);
     // The suspension also survives a kill and the endpoint list that discovery sends after the restart.
     daemon.kill();
-    daemon.start_again();
+    daemon.restart();
     daemon.wait_log("upstream group: version 1");
     (0..10).for_each(|n| assert_eq!(daemon.submit("stats", &format!("b{n}")), 202));
-    second.wait("all messages", |requests| requests.len() == 20);
+    second.wait_until("all messages", |requests| requests.len() == 20);
     assert!(first.received().is_empty(), "a suspended endpoint receives no messages");
     assert_eq!(request(mgmt, "POST", "/v1/endpoints/s-1/suspend").status(), 204);
     assert_eq!(request(mgmt, "POST", "/v1/endpoints/s-0/resume").status(), 204);
@@ -100,11 +104,11 @@
 #[test]
 fn a_suspension_that_cannot_be_persisted_does_not_take_effect() {
     let endpoint = Server::always("200 OK");
-    let known = list(1, &[(7, endpoint.addr)]);
-    let discovery_server = discovery(known.clone());
+    let known = endpoint_list(1, &[(7, endpoint.addr)]);
+    let discovery_server = start_discovery(known.clone());
     let mgmt = free_address();
     let fault_file =
-        std::env::temp_dir().join(format!("micaladder-mgmt-{}-{}", std::process::id(), unique()));
+        std::env::temp_dir().join(format!("micaladder-mgmt-{}-{}", std::process::id(), unique_number()));
     let env =
         [("RELAY_MGMT", mgmt.to_string()), ("MICALADDER_DISK_FAULTS", fault_file.display().to_string())];
     let env = env.into_iter().map(|(name, value)| (name.to_string(), value)).collect();
@@ -127,8 +131,8 @@
     #[case] method: &str, #[case] path: &str, #[case] status: u16,
 ) {
     let endpoint = Server::always("200 OK");
-    let known = list(1, &[(7, endpoint.addr)]);
-    let discovery_server = discovery(known.clone());
+    let known = endpoint_list(1, &[(7, endpoint.addr)]);
+    let discovery_server = start_discovery(known.clone());
     let (_daemon, mgmt) = start_with_management(setup(&discovery_server, known));
     assert_eq!(request(mgmt, method, path).status(), status);
 }
@@ -136,8 +140,8 @@
 #[test]
 fn incomplete_requests_delay_neither_operators_nor_messages() {
     let endpoint = Server::always("200 OK");
-    let known = list(1, &[(7, endpoint.addr)]);
-    let discovery_server = discovery(known.clone());
+    let known = endpoint_list(1, &[(7, endpoint.addr)]);
+    let discovery_server = start_discovery(known.clone());
     let (daemon, mgmt) = start_with_management(setup(&discovery_server, known));
     let descriptors_before = daemon.open_descriptors();
     let sockets: Vec<TcpStream> = (0..300)
@@ -158,8 +162,8 @@
 #[test]
 fn without_a_configured_address_there_is_no_management_listener() {
     let endpoint = Server::always("200 OK");
-    let known = list(1, &[(7, endpoint.addr)]);
-    let discovery_server = discovery(known.clone());
+    let known = endpoint_list(1, &[(7, endpoint.addr)]);
+    let discovery_server = start_discovery(known.clone());
     let daemon = setup(&discovery_server, known).start();
     let threads =
         std::fs::read_dir(format!("/proc/{}/task", daemon.pid())).expect("the process runs").count();
--- a/tests/net/mod.rs
+++ b/tests/net/mod.rs
@@ -77,7 +77,7 @@
             earlier_logs: Vec::new(),
             actions: Vec::new(),
             authority: Authority::new(),
-            disco: discovery(list(1, &[])),
+            disco: start_discovery(endpoint_list(1, &[])),
             _runtime: runtime,
         };
         let seeds: Vec<SocketAddr> = seeds.iter().map(|index| fleet.fronts[*index]).collect();
@@ -98,7 +98,7 @@
         // Without a limit on log lines: the view is read from the log.
         flags.push("--log-burst=0".into());
         let listen = Some((ip, CLIENT_PORT).into());
-        Setup { flags, listen, ..setup(&self.disco, list(1, &[])) }.launch()
+        Setup { flags, listen, ..setup(&self.disco, endpoint_list(1, &[])) }.start_without_waiting()
     }
 
     /// Records an action of the test, and gives its time.
@@ -184,7 +184,7 @@
     }
 
     /// Starts a member that has ended, with its state folder emptied if `empty`.
-    pub fn start_again(&mut self, member: usize, empty: bool) -> f64 {
+    pub fn restart(&mut self, member: usize, empty: bool) -> f64 {
         self.keep_log(member);
         let state = self.members[member].folder.join("state");
         if empty {
@@ -192,7 +192,7 @@
             std::fs::create_dir_all(&state).expect("its folder");
         }
         let at = self.record(member, if empty { "starts with an empty folder" } else { "starts" });
-        self.members[member].launch_again();
+        self.members[member].restart_without_waiting();
         at
     }
 
--- a/tests/net_rig.rs
+++ b/tests/net_rig.rs
@@ -95,7 +95,7 @@
         fleet.kill(*member);
     }
     let survivors = &all[2..];
-    let event = survivors.iter().map(|n| fleet.start_again(*n, false)).fold(0.0, f64::max);
+    let event = survivors.iter().map(|n| fleet.restart(*n, false)).fold(0.0, f64::max);
     seconds.push(elapsed(event, fleet.wait_for_agreement(survivors, SOON)));
     Run { seconds, idle }
 }
@@ -105,12 +105,12 @@
     let others = &all[..last];
     let event = fleet.kill(last);
     seconds.push(elapsed(event, fleet.wait_for_agreement(others, SOON)));
-    let event = fleet.start_again(last, false);
+    let event = fleet.restart(last, false);
     seconds.push(elapsed(event, fleet.wait_for_agreement(all, SOON)));
     let event = fleet.terminate(last);
     seconds.push(elapsed(event, fleet.wait_for_agreement(others, SOON)));
     fleet.members[last].wait_exit(SOON);
-    let event = fleet.start_again(last, false);
+    let event = fleet.restart(last, false);
     seconds.push(elapsed(event, fleet.wait_for_agreement(all, SOON)));
 }
 
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -16,14 +16,14 @@
     let is_failing = fails.clone();
     let reply = move |_: &HttpMessage, _: usize| match is_failing.load(Ordering::SeqCst) {
         true => Reply::Close,
-        false => say("200 OK", "", ""),
+        false => respond("200 OK", "", ""),
     };
     (Server::start(reply), fails)
 }
 
 /// Returns the number of calls that carry a message whose ID starts with `prefix`.
 fn count_calls(server: &Server, prefix: &str) -> usize {
-    server.received().iter().filter(|call| call.id().starts_with(prefix)).count()
+    server.received().iter().filter(|call| call.request_id().starts_with(prefix)).count()
 }
 
 /// Starts forwarder `a`, which observes the outage of its partner with its own calls.
@@ -58,8 +58,8 @@
 fn a_restarted_forwarder_receives_an_outage_from_its_peer() {
     let authority = Authority::new();
     let (endpoint, fails) = failing_partner();
-    let endpoint_list = list(1, &[(7, endpoint.addr)]);
-    let discovery_server = discovery(endpoint_list.clone());
+    let endpoint_list = endpoint_list(1, &[(7, endpoint.addr)]);
+    let discovery_server = start_discovery(endpoint_list.clone());
     let (address_a, address_b) = (free_address(), free_address());
     let _a = start_forwarder_with_outage(&authority, address_a, &discovery_server, &endpoint_list);
     authority.write("b", false);
@@ -72,7 +72,7 @@
     // After a restart the forwarder receives the outage from its peer again, without making a call.
     b.kill();
     let calls_before_restart = count_calls(&endpoint, "b");
-    b.start_again();
+    b.restart();
     b.wait_log("finding=Outage");
     wait_for_attempts_in_flight(&b);
     fails.store(false, Ordering::SeqCst);
@@ -89,11 +89,11 @@
     let was_called = Arc::new(AtomicBool::new(false));
     let called = was_called.clone();
     let endpoint = Server::start(move |_, _| match called.swap(true, Ordering::SeqCst) {
-        false => say("429 Too Many Requests", "Retry-After: 2.0\r\n", ""),
-        true => say("200 OK", "", ""),
+        false => respond("429 Too Many Requests", "Retry-After: 2.0\r\n", ""),
+        true => respond("200 OK", "", ""),
     });
-    let endpoint_list = list(1, &[(7, endpoint.addr)]);
-    let discovery_server = discovery(endpoint_list.clone());
+    let endpoint_list = endpoint_list(1, &[(7, endpoint.addr)]);
+    let discovery_server = start_discovery(endpoint_list.clone());
     let (address_a, address_b) = (free_address(), free_address());
     authority.write("a", false);
     authority.write("b", false);
@@ -122,8 +122,8 @@
 fn a_peer_without_a_valid_certificate_neither_receives_nor_publishes() {
     let (authority, untrusted_authority) = (Authority::new(), Authority::new());
     let (endpoint, _) = failing_partner();
-    let endpoint_list = list(1, &[(7, endpoint.addr)]);
-    let discovery_server = discovery(endpoint_list.clone());
+    let endpoint_list = endpoint_list(1, &[(7, endpoint.addr)]);
+    let discovery_server = start_discovery(endpoint_list.clone());
     let address_a = free_address();
     let a = start_forwarder_with_outage(&authority, address_a, &discovery_server, &endpoint_list);
     untrusted_authority.write("b", false);
@@ -144,8 +144,8 @@
 fn certificates_are_renewed_without_a_restart() {
     let authority = Authority::new();
     let (endpoint, _) = failing_partner();
-    let endpoint_list = list(1, &[(7, endpoint.addr)]);
-    let discovery_server = discovery(endpoint_list.clone());
+    let endpoint_list = endpoint_list(1, &[(7, endpoint.addr)]);
+    let discovery_server = start_discovery(endpoint_list.clone());
     let address_a = free_address();
     let _a = start_forwarder_with_outage(&authority, address_a, &discovery_server, &endpoint_list);
     authority.write("b", true);
@@ -167,8 +167,8 @@
 fn an_absent_or_silent_peer_does_not_delay_the_start() {
     let authority = Authority::new();
     let endpoint = Server::always("200 OK");
-    let endpoint_list = list(1, &[(7, endpoint.addr)]);
-    let discovery_server = discovery(endpoint_list.clone());
+    let endpoint_list = endpoint_list(1, &[(7, endpoint.addr)]);
+    let discovery_server = start_discovery(endpoint_list.clone());
     let silent = TcpListener::bind("127.0.0.1:0").expect("a port");
     let seeds = [silent.local_addr().expect("a local address"), free_address()];
     authority.write("a", false);
@@ -189,8 +189,8 @@
 fn a_forwarder_with_an_invalid_credential_file_serves_without_peers() {
     let authority = Authority::new();
     let endpoint = Server::always("200 OK");
-    let endpoint_list = list(1, &[(7, endpoint.addr)]);
-    let discovery_server = discovery(endpoint_list.clone());
+    let endpoint_list = endpoint_list(1, &[(7, endpoint.addr)]);
+    let discovery_server = start_discovery(endpoint_list.clone());
     authority.write("a", false);
     std::fs::write(authority.path("a.pem"), "no certificate").expect("written");
     let a =
@@ -206,21 +206,21 @@
 fn a_replacement_endpoint_has_no_observations_of_the_replaced_one() {
     let authority = Authority::new();
     let ((first, _), (second, _)) = (failing_partner(), failing_partner());
-    let endpoint_list = list(1, &[(7, first.addr), (8, second.addr)]);
-    let discovery_server = discovery(endpoint_list.clone());
+    let endpoint_list = endpoint_list(1, &[(7, first.addr), (8, second.addr)]);
+    let discovery_server = start_discovery(endpoint_list.clone());
     let address_a = free_address();
     let a = start_forwarder_with_outage(&authority, address_a, &discovery_server, &endpoint_list);
     for n in 0..4 {
-        let text = String::from_utf8(message("stats", &format!("o{n}"), "20000m", "")).expect("text");
+        let text = String::from_utf8(message_request("stats", &format!("o{n}"), "20000m", "")).expect("text");
         assert_eq!(
-            a.ask(text.replace("dest=7", "dest=8").as_bytes()).map(|response| response.status()),
+            a.send_request(text.replace("dest=7", "dest=8").as_bytes()).map(|response| response.status()),
             Some(202)
         );
     }
     a.wait_log("breaker opened host=s-1");
     authority.write("b", false);
     let replacement_list = endpoint_list.replace("s-0", "s-9");
-    let replacement_discovery = discovery(replacement_list.clone());
+    let replacement_discovery = start_discovery(replacement_list.clone());
     let b = Setup {
         flags: authority.flags("b", free_address(), &[address_a]),
         ..setup(&replacement_discovery, replacement_list)
@@ -237,8 +237,8 @@
 fn forwarders_that_all_restart_at_once_serve_without_observations() {
     let authority = Authority::new();
     let endpoint = Server::always("200 OK");
-    let endpoint_list = list(1, &[(7, endpoint.addr)]);
-    let discovery_server = discovery(endpoint_list.clone());
+    let endpoint_list = endpoint_list(1, &[(7, endpoint.addr)]);
+    let discovery_server = start_discovery(endpoint_list.clone());
     let addresses = [free_address(), free_address(), free_address()];
     let mut forwarders: Vec<Daemon> = ["a", "b", "c"]
         .iter()
@@ -254,7 +254,7 @@
         .collect();
     forwarders.iter().for_each(|forwarder| drop(forwarder.wait_log("receiving observations from a peer")));
     forwarders.iter_mut().for_each(Daemon::kill);
-    forwarders.iter_mut().for_each(Daemon::start_again);
+    forwarders.iter_mut().for_each(Daemon::restart);
     for (n, forwarder) in forwarders.iter().enumerate() {
         assert_eq!(forwarder.submit("payout", &format!("all-{n}")), 202);
         endpoint.wait_request(&format!("all-{n}"));
--- a/tests/peers_benefit.rs
+++ b/tests/peers_benefit.rs
@@ -101,10 +101,10 @@
     let received = calls.clone();
     let server = Server::start(move |call, _| {
         let at = start.elapsed().as_secs_f64();
-        received.lock().expect("lock").push(Call { at, message: call.id().to_string() });
+        received.lock().expect("lock").push(Call { at, message: call.request_id().to_string() });
         match index < FAILING_PARTNERS && outage.load(Ordering::SeqCst) {
             true => Reply::Close,
-            false => say("200 OK", "", ""),
+            false => respond("200 OK", "", ""),
         }
     });
     (server, calls)
@@ -137,7 +137,7 @@
                 return;
             }
             thread::sleep(submit_at.saturating_duration_since(Instant::now()));
-            let text = message("stats", &format!("{name}-{number}"), "16000m", "");
+            let text = message_request("stats", &format!("{name}-{number}"), "16000m", "");
             let text = String::from_utf8(text).expect("text");
             let text = text.replace("dest=7", &format!("dest={}", number % PARTNERS));
             let Ok(mut socket) = TcpStream::connect(address) else { continue };
@@ -158,8 +158,8 @@
     let partners: Vec<(Server, Calls)> =
         (0..PARTNERS).map(|index| start_partner(index, start, outage.clone())).collect();
     let endpoints: Vec<_> = partners.iter().enumerate().map(|(n, p)| (n as u64, p.0.addr)).collect();
-    let endpoint_list = list(1, &endpoints);
-    let discovery_server = discovery(endpoint_list.clone());
+    let endpoint_list = endpoint_list(1, &endpoints);
+    let discovery_server = start_discovery(endpoint_list.clone());
     let mut daemons = start_forwarders(&authority, exchange, &discovery_server, &endpoint_list);
     let clock = Clock { start, run_start: start.elapsed().as_secs_f64() };
     let clients: Vec<_> =
@@ -169,7 +169,7 @@
     clock.sleep_until(kill_at);
     daemons[RESTARTED].kill();
     clock.sleep_until(restart_at);
-    daemons[RESTARTED].start_again();
+    daemons[RESTARTED].restart();
     let ready_at = clock.now();
     clock.sleep_until(RECOVERY_AT);
     outage.store(false, Ordering::SeqCst);
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -20,7 +20,7 @@
 /// Hands one message in on this connection; nothing where it ends without an answer.
 fn submit(socket: &TcpStream, class: &str, id: &str) -> Option<u16> {
     let mut writer = socket;
-    writer.write_all(&message(class, id, "20000m", "")).ok()?;
+    writer.write_all(&message_request(class, id, "20000m", "")).ok()?;
     read_http(&mut BufReader::new(socket.try_clone().expect("a handle"))).map(|h| h.status())
 }
 
@@ -40,8 +40,8 @@
 #[test]
 fn at_a_planned_restart_each_request_is_answered_and_what_is_taken_on_has_one_end() {
     let endpoint = Server::always("200 OK");
-    let known = list(1, &[(7, endpoint.addr)]);
-    let disco = discovery(known.clone());
+    let known = endpoint_list(1, &[(7, endpoint.addr)]);
+    let disco = start_discovery(known.clone());
     let mut daemon = setup(&disco, known).start();
     let (tell, heard) = channel();
     let threads: Vec<_> = (0..6)
@@ -76,25 +76,27 @@
     let cut: Vec<&String> = sent.iter().filter(|(id, s)| s.is_none() && begun(id)).map(|s| s.0).collect();
     assert!(cut.is_empty(), "read, taken on and never answered: {cut:?}");
     // What was taken on and not delivered yet is carried over.
-    daemon.start_again();
+    daemon.restart();
     let taken: Vec<String> = sent.into_iter().filter(|(_, s)| *s == Some(202)).map(|(id, _)| id).collect();
     assert!(taken.len() > 12, "they went on: {taken:?}");
-    let ended = |all: &[HttpMessage], id: &str| all.iter().any(|h| h.id() == id);
-    let all = endpoint.wait("all that was taken on", |all| {
-        taken.iter().all(|id| ended(all, id) || disco.count_distinct(&format!(r#""id":"{id}""#)) > 0)
+    let ended = |all: &[HttpMessage], id: &str| all.iter().any(|h| h.request_id() == id);
+    let all = endpoint.wait_until("all that was taken on", |all| {
+        taken.iter().all(|id| ended(all, id) || disco.count_distinct_bodies(&format!(r#""id":"{id}""#)) > 0)
     });
     for id in taken.iter().filter(|id| ["c1", "c3", "c5"].iter().any(|c| id.starts_with(c))) {
-        assert!(all.iter().filter(|h| h.id() == id).count() <= 1, "a payout came twice: {id}");
+        assert!(all.iter().filter(|h| h.request_id() == id).count() <= 1, "a payout came twice: {id}");
     }
 }
 
 /// Discovery that says nothing, or refuses, until the list may come.
 fn late_discovery(known: String, silent: bool, comes: Arc<AtomicBool>) -> Server {
-    Server::start(move |heard, _| match (heard.first.starts_with("POST"), comes.load(Ordering::Relaxed)) {
-        (true, _) => say("204 No Content", "", ""),
-        (false, true) => watch(&known),
-        (false, false) if silent => Reply::RespondAndHold(String::new()),
-        (false, false) => Reply::Close,
+    Server::start(move |heard, _| {
+        match (heard.start_line.starts_with("POST"), comes.load(Ordering::Relaxed)) {
+            (true, _) => respond("204 No Content", "", ""),
+            (false, true) => watch_response(&known),
+            (false, false) if silent => Reply::RespondAndHold(String::new()),
+            (false, false) => Reply::Close,
+        }
     })
 }
 
@@ -122,8 +124,8 @@
 fn with_a_full_journal_it_is_ready_in_time_and_tries_all_that_it_found(#[case] silent: bool) {
     let endpoint = Server::always("200 OK");
     let comes = Arc::new(AtomicBool::new(false));
-    let disco = late_discovery(list(2, &[(7, endpoint.addr)]), silent, comes.clone());
-    let mut daemon = Setup { max_pending: 100_000, ..setup(&disco, list(1, &[])) }.start();
+    let disco = late_discovery(endpoint_list(2, &[(7, endpoint.addr)]), silent, comes.clone());
+    let mut daemon = Setup { max_pending: 100_000, ..setup(&disco, endpoint_list(1, &[])) }.start();
     daemon.kill();
     let state = daemon.folder.join("state");
     let (mut journal, found) = Journal::open(&state, 3_000_000).expect("a journal");
@@ -133,11 +135,11 @@
     assert!(full > 1000, "{full} messages fill it");
     drop(journal);
     let begun = Instant::now();
-    daemon.start_again();
+    daemon.restart();
     assert!(begun.elapsed() < Duration::from_secs(5), "{:?}", begun.elapsed());
     comes.store(true, Ordering::Relaxed);
-    let all = endpoint.wait("all that was found", |all| all.len() as u64 >= full - 1);
-    let ids: BTreeSet<&str> = all.iter().map(HttpMessage::id).collect();
+    let all = endpoint.wait_until("all that was found", |all| all.len() as u64 >= full - 1);
+    let ids: BTreeSet<&str> = all.iter().map(HttpMessage::request_id).collect();
     assert_eq!((ids.len() as u64, all.len() as u64), (full - 1, full - 1), "each once");
 }
 
@@ -148,8 +150,8 @@
 #[case::reload_between(&["-TERM", "-HUP", "-TERM", "-TERM"])]
 fn signals_that_come_while_it_ends_change_nothing(#[case] signals: &[&str]) {
     let endpoint = Server::always("200 OK");
-    let known = list(1, &[(7, endpoint.addr)]);
-    let disco = discovery(known.clone());
+    let known = endpoint_list(1, &[(7, endpoint.addr)]);
+    let disco = start_discovery(known.clone());
     let mut daemon = setup(&disco, known).start();
     let client = daemon.connect();
     assert_eq!(submit(&client, "payout", "before"), Some(202));
@@ -160,8 +162,8 @@
     assert!(daemon.wait_exit(KILL_AFTER - told.elapsed()).success());
     let taken = || sent.iter().filter(|s| s.1 == Some(202)).map(|s| s.0.as_str()).chain(["before"]);
     assert!(taken().count() > 2, "it serves on while it ends: {sent:?}");
-    daemon.start_again();
-    let is_over = |all: &[HttpMessage], id: &str| all.iter().any(|h| h.id() == id);
-    let all = endpoint.wait("all that was taken on", |all| taken().all(|id| is_over(all, id)));
-    assert!(taken().all(|id| all.iter().filter(|h| h.id() == id).count() == 1), "each once");
+    daemon.restart();
+    let is_over = |all: &[HttpMessage], id: &str| all.iter().any(|h| h.request_id() == id);
+    let all = endpoint.wait_until("all that was taken on", |all| taken().all(|id| is_over(all, id)));
+    assert!(taken().all(|id| all.iter().filter(|h| h.request_id() == id).count() == 1), "each once");
 }
--- a/tests/sites.rs
+++ b/tests/sites.rs
@@ -52,18 +52,18 @@
     let open = Arc::new(AtomicBool::new(true));
     let is_open = open.clone();
     let endpoint = Server::start(move |_, _| match is_open.load(Ordering::Relaxed) {
-        true => say("200 OK", "", ""),
+        true => respond("200 OK", "", ""),
         // Rejected, so it had no effect and stays pending.
-        false => say("503 Later", "", ""),
+        false => respond("503 Later", "", ""),
     });
-    let known = list(1, &[(7, endpoint.addr)]);
-    let disco = discovery(known.clone());
+    let known = endpoint_list(1, &[(7, endpoint.addr)]);
+    let disco = start_discovery(known.clone());
     let settings = Some(site.settings.clone());
     let mut daemon = Setup { settings, ..setup(&disco, known) }.start();
     let submit = |daemon: &Daemon, which: &str| -> Vec<String> {
         let one = |(class, deadline): &(String, u64)| {
             let id = format!("{class}-{which}");
-            let answer = daemon.ask(&request(&site, class, *deadline, &id)).expect("an answer");
+            let answer = daemon.send_request(&request(&site, class, *deadline, &id)).expect("an answer");
             assert_eq!(answer.status(), 202, "{id}: {}", answer.text());
             id
         };
@@ -77,12 +77,12 @@
     daemon.kill();
     let before = endpoint.received().len();
     open.store(true, Ordering::Relaxed);
-    daemon.start_again();
+    daemon.restart();
     for id in &held {
-        let is_over = |all: &[HttpMessage]| all[before..].iter().any(|h| h.id() == id);
-        endpoint.wait(id, is_over);
+        let is_over = |all: &[HttpMessage]| all[before..].iter().any(|h| h.request_id() == id);
+        endpoint.wait_until(id, is_over);
     }
-    let wrong = daemon.ask(&request(&site, "no-such-class", 1000, "wrong")).expect("an answer");
+    let wrong = daemon.send_request(&request(&site, "no-such-class", 1000, "wrong")).expect("an answer");
     assert_eq!(wrong.status(), 404);
 }
 
@@ -104,7 +104,7 @@
     let came: Arrivals = Arc::default();
     let mine = came.clone();
     let endpoint = Server::start(move |heard, _| {
-        mine.lock().expect("lock").push((heard.id().to_string(), Instant::now()));
+        mine.lock().expect("lock").push((heard.request_id().to_string(), Instant::now()));
         Reply::Close
     });
     (endpoint, came)
@@ -115,11 +115,11 @@
 fn an_attempt_that_may_have_run_is_retried_inside_the_window_only() {
     let site = site("quayside-alerts");
     let (endpoint, came) = resetting();
-    let known = list(1, &[(7, endpoint.addr)]);
-    let disco = discovery(known.clone());
+    let known = endpoint_list(1, &[(7, endpoint.addr)]);
+    let disco = start_discovery(known.clone());
     let daemon = Setup { settings: Some(site.settings.clone()), ..setup(&disco, known) }.start();
     let (class, deadline) = &site.classes[0];
-    assert_eq!(daemon.ask(&request(&site, class, *deadline, "m1")).map(|h| h.status()), Some(202));
+    assert_eq!(daemon.send_request(&request(&site, class, *deadline, "m1")).map(|h| h.status()), Some(202));
     disco.wait_text(r#""id":"m1""#);
     let calls = calls(&came, "m1");
     assert!(calls.len() > 1, "it is repeated: {calls:?}");
@@ -143,19 +143,19 @@
     let is_first = first.clone();
     let endpoint = Server::start(move |_, _| match is_first.swap(false, Ordering::Relaxed) {
         true => Reply::RespondAndHold(String::new()),
-        false => say("200 OK", "", ""),
+        false => respond("200 OK", "", ""),
     });
-    let known = list(1, &[(7, endpoint.addr)]);
-    let disco = discovery(known.clone());
+    let known = endpoint_list(1, &[(7, endpoint.addr)]);
+    let disco = start_discovery(known.clone());
     let mut daemon = Setup { settings: Some(site.settings.clone()), ..setup(&disco, known) }.start();
     let (class, deadline) = &site.classes[0];
-    assert_eq!(daemon.ask(&request(&site, class, *deadline, "m1")).map(|h| h.status()), Some(202));
+    assert_eq!(daemon.send_request(&request(&site, class, *deadline, "m1")).map(|h| h.status()), Some(202));
     endpoint.wait_request("m1");
     daemon.kill();
     std::thread::sleep(down_for);
-    daemon.start_again();
+    daemon.restart();
     if again {
-        endpoint.wait("a repeat inside the window", |all| all.len() == 2);
+        endpoint.wait_until("a repeat inside the window", |all| all.len() == 2);
         return;
     }
     disco.wait_text(r#""id":"m1""#);
--- a/tests/soak/checks.rs
+++ b/tests/soak/checks.rs
@@ -78,7 +78,7 @@
 fn runs(heard: &[HttpMessage]) -> BTreeMap<String, usize> {
     let mut runs = BTreeMap::new();
     for message in heard {
-        *runs.entry(message.id().to_string()).or_default() += 1;
+        *runs.entry(message.request_id().to_string()).or_default() += 1;
     }
     runs
 }
@@ -112,8 +112,10 @@
     for caller in ["c4-", "c5-"] {
         let mut latest = 0;
         let mut known = BTreeSet::new();
-        for id in
-            heard.iter().map(HttpMessage::id).filter(|id| id.starts_with(caller) && accepted.contains(id))
+        for id in heard
+            .iter()
+            .map(HttpMessage::request_id)
+            .filter(|id| id.starts_with(caller) && accepted.contains(id))
         {
             let number: usize = id[caller.len()..].parse().expect("a number");
             if known.insert(number) && number < latest {
--- a/tests/soak/crowd.rs
+++ b/tests/soak/crowd.rs
@@ -1,5 +1,5 @@
 //! Clients that bring no whole request, beside the callers.
-use crate::stand::message;
+use crate::stand::message_request;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -70,7 +70,7 @@
 /// Its answers are not looked at: while the processes change, its request may cross any close.
 fn send_in_pieces(addr: SocketAddr, number: usize) {
     let Ok(mut socket) = TcpStream::connect(addr) else { return };
-    let request = message("stats", &format!("pieces-{number}"), "20000m", "");
+    let request = message_request("stats", &format!("pieces-{number}"), "20000m", "");
     for piece in request.chunks(request.len() / 3) {
         if socket.write_all(piece).is_err() {
             return;
--- a/tests/soak/world.rs
+++ b/tests/soak/world.rs
@@ -37,11 +37,12 @@
 /// An endpoint that answers at once or late; by the message's id, the same in each play.
 fn endpoint() -> Server {
     Server::start(|heard, _| {
-        let number: usize = heard.id().rsplit('-').next().and_then(|number| number.parse().ok()).unwrap_or(0);
+        let number: usize =
+            heard.request_id().rsplit('-').next().and_then(|number| number.parse().ok()).unwrap_or(0);
         if number % 50 == 17 {
             sleep(Duration::from_millis(400));
         }
-        say("200 OK", "", "")
+        respond("200 OK", "", "")
     })
 }
 
@@ -99,7 +100,7 @@
 /// Hands a message in, and gives the status of its answer; 0 where there is none.
 fn submit(process: &Daemon, class: &str, id: &str) -> u16 {
     let Ok(mut socket) = TcpStream::connect(process.addr) else { return 0 };
-    let request = message(class, id, "20000m", "");
+    let request = message_request(class, id, "20000m", "");
     if socket.write_all(&request).is_err() || socket.set_read_timeout(Some(EVENT_TIMEOUT)).is_err() {
         return 0;
     }
@@ -114,8 +115,8 @@
 impl World {
     fn start(seed: u64) -> World {
         let endpoint = endpoint();
-        let known = list(1, &[(7, endpoint.addr)]);
-        let discovery = discovery(known.clone());
+        let known = endpoint_list(1, &[(7, endpoint.addr)]);
+        let discovery = start_discovery(known.clone());
         let env = vec![("RELAY_MGMT".to_string(), free_address().to_string())];
         let base = setup(&discovery, known);
         let setup = Setup { env, max_pending: 1000, sockets: SOCKETS, ..base };
@@ -190,7 +191,7 @@
         let told = Instant::now();
         sleep(CONNECTS_AFTER_TERM);
         meanwhile(self);
-        while self.processes[process].runs() {
+        while self.processes[process].is_running() {
             if told.elapsed() > KILL_AFTER_TERM {
                 self.problem("it has not ended 3.7 s after SIGTERM");
                 self.processes[process].kill();
@@ -234,10 +235,10 @@
         if !self.current().log().contains("ready:") {
             self.problem("the second process does not serve within 6 s");
         }
-        while self.processes[first].runs() && told.elapsed() < KILL_AFTER_TERM {
+        while self.processes[first].is_running() && told.elapsed() < KILL_AFTER_TERM {
             sleep(Duration::from_millis(5));
         }
-        if self.processes[first].runs() {
+        if self.processes[first].is_running() {
             self.problem("it has not ended 3.7 s after SIGTERM");
             self.processes[first].kill();
         }
--- a/tests/stand/mod.rs
+++ b/tests/stand/mod.rs
@@ -1,4 +1,5 @@
-//! The one helper of the tests that start the real program: its stand-in servers, its client, its process.
+//! Shared helper of the integration tests that start the micaladder binary: stand-in servers, a client and the daemon
+//! process.
 #![allow(dead_code)]
 use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -10,107 +11,111 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long any awaited event may take before the test fails.
+/// How long a test waits for any one event before it fails.
 pub const EVENT_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// One HTTP request or answer, as read from a socket.
+/// An HTTP request or response, as read from a socket.
 #[derive(Clone, Debug, Default)]
 pub struct HttpMessage {
-    pub first: String,
-    pub head: String,
+    /// The request line or the status line.
+    pub start_line: String,
+    /// The header lines.
+    pub headers: String,
     pub body: Vec<u8>,
-    /// The connection on which a stand-in server heard it.
-    pub from: Option<SocketAddr>,
+    /// The address of the client, on a request that a stand-in server read.
+    pub client_address: Option<SocketAddr>,
 }
 
 impl HttpMessage {
     pub fn header(&self, name: &str) -> Option<&str> {
-        let lines = self.head.lines().filter_map(|l| l.split_once(':'));
+        let lines = self.headers.lines().filter_map(|l| l.split_once(':'));
         lines.filter(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.trim()).next()
     }
-    pub fn id(&self) -> &str {
+    /// Returns the `X-Request-Id` header, or an empty string where there is none.
+    pub fn request_id(&self) -> &str {
         self.header("x-request-id").unwrap_or_default()
     }
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+        self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 }
 
-/// Reads one message; none if the connection ended before it.
+/// Reads one HTTP message; `None` if the connection ends before the message is complete.
 pub fn read_http(reader: &mut impl BufRead) -> Option<HttpMessage> {
-    let mut heard = HttpMessage::default();
-    reader.read_line(&mut heard.first).ok().filter(|n| *n > 0)?;
+    let mut message = HttpMessage::default();
+    reader.read_line(&mut message.start_line).ok().filter(|n| *n > 0)?;
     loop {
         let mut line = String::new();
         reader.read_line(&mut line).ok().filter(|n| *n > 0)?;
         if line.trim().is_empty() {
             break;
         }
-        heard.head.push_str(&line);
+        message.headers.push_str(&line);
     }
-    let size = heard.header("content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
-    heard.body.resize(size, 0);
-    reader.read_exact(&mut heard.body).ok()?;
-    Some(heard)
+    let size = message.header("content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
+    message.body.resize(size, 0);
+    reader.read_exact(&mut message.body).ok()?;
+    Some(message)
 }
 
 /// What a stand-in server does with a request.
 pub enum Reply {
-    /// Writes this and keeps the connection.
+    /// Writes this text and reads the next request from the connection.
     Respond(String),
-    /// Writes this and holds the connection open.
+    /// Writes this text and leaves the connection open without another response.
     RespondAndHold(String),
-    /// Closes the connection without a word.
+    /// Closes the connection without a response.
     Close,
 }
 
-pub fn say(status: &str, headers: &str, body: &str) -> Reply {
+/// Returns the reply that sends a complete response with this status, header lines and body.
+pub fn respond(status: &str, headers: &str, body: &str) -> Reply {
     Reply::Respond(format!("HTTP/1.1 {status}\r\n{headers}content-length: {}\r\n\r\n{body}", body.len()))
 }
 
-/// A stand-in server: answers as it is told, and remembers what it heard.
+/// A stand-in HTTP server that answers each request by a function of the test and records all requests.
 #[derive(Clone)]
 pub struct Server {
     pub addr: SocketAddr,
-    heard: Arc<(Mutex<Vec<HttpMessage>>, Condvar)>,
+    requests: Arc<(Mutex<Vec<HttpMessage>>, Condvar)>,
 }
 
 impl Server {
-    /// `reply` gets each request and its number, from 0.
+    /// Starts a server that calls `reply` with each request and its number, counted from 0.
     pub fn start(reply: impl Fn(&HttpMessage, usize) -> Reply + Send + Sync + 'static) -> Server {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let addr = listener.local_addr().expect("its address");
-        let server = Server { addr, heard: Default::default() };
-        let (mine, reply) = (server.clone(), Arc::new(reply));
+        let server = Server { addr, requests: Default::default() };
+        let (accepting, reply) = (server.clone(), Arc::new(reply));
         thread::spawn(move || {
             for socket in listener.incoming().flatten() {
-                let (server, reply) = (mine.clone(), reply.clone());
-                thread::spawn(move || server.converse(socket, &*reply));
+                let (server, reply) = (accepting.clone(), reply.clone());
+                thread::spawn(move || server.serve_connection(socket, &*reply));
             }
         });
         server
     }
 
-    /// An endpoint that gives every call this answer.
+    /// Starts a server that answers every request with this status.
     pub fn always(status: &'static str) -> Server {
-        Server::start(move |_, _| say(status, "", ""))
+        Server::start(move |_, _| respond(status, "", ""))
     }
 
-    fn converse(&self, mut socket: TcpStream, reply: &dyn Fn(&HttpMessage, usize) -> Reply) {
+    fn serve_connection(&self, mut socket: TcpStream, reply: &dyn Fn(&HttpMessage, usize) -> Reply) {
         let mut reader = BufReader::new(socket.try_clone().expect("a handle"));
-        let from = socket.peer_addr().ok();
-        while let Some(heard) = read_http(&mut reader) {
-            let heard = HttpMessage { from, ..heard };
+        let client_address = socket.peer_addr().ok();
+        while let Some(request) = read_http(&mut reader) {
+            let request = HttpMessage { client_address, ..request };
             let number = {
-                let mut all = self.heard.0.lock().expect("lock");
-                all.push(heard.clone());
+                let mut all = self.requests.0.lock().expect("lock");
+                all.push(request.clone());
                 all.len() - 1
             };
-            self.heard.1.notify_all();
-            match reply(&heard, number) {
+            self.requests.1.notify_all();
+            match reply(&request, number) {
                 Reply::Respond(text) => drop(socket.write_all(text.as_bytes())),
                 Reply::RespondAndHold(text) => {
                     let _ = socket.write_all(text.as_bytes());
@@ -124,67 +129,69 @@
         }
     }
 
+    /// Returns all requests so far, in the order in which they were read.
     pub fn received(&self) -> Vec<HttpMessage> {
-        self.heard.0.lock().expect("lock").clone()
+        self.requests.0.lock().expect("lock").clone()
     }
 
-    /// Waits until what was heard fits.
-    pub fn wait(&self, what: &str, fits: impl Fn(&[HttpMessage]) -> bool) -> Vec<HttpMessage> {
-        let all = self.heard.0.lock().expect("lock");
-        let (all, late) =
-            self.heard.1.wait_timeout_while(all, EVENT_TIMEOUT, |all| !fits(all)).expect("lock");
-        let (now, late) = (all.clone(), late.timed_out());
+    /// Waits until the received requests meet the condition, and returns them; `what` names the event in the failure message.
+    pub fn wait_until(&self, what: &str, condition: impl Fn(&[HttpMessage]) -> bool) -> Vec<HttpMessage> {
+        let all = self.requests.0.lock().expect("lock");
+        let (all, timeout) =
+            self.requests.1.wait_timeout_while(all, EVENT_TIMEOUT, |all| !condition(all)).expect("lock");
+        let (received, timed_out) = (all.clone(), timeout.timed_out());
         drop(all);
-        let all = now;
-        assert!(!late, "waited in vain for {what}; heard {all:#?}");
-        all
+        assert!(!timed_out, "timed out waiting for {what}; received {received:#?}");
+        received
     }
 
-    /// How many different texts with this in them came. A notice whose answer is slow goes out once more as it was: that
-    /// is no second end.
-    pub fn count_distinct(&self, text: &str) -> usize {
-        let texts = self
+    /// Counts the different request bodies that contain this text. A completion callback whose response is slow is sent again
+    /// unchanged, which is no second completion, so equal bodies count once.
+    pub fn count_distinct_bodies(&self, text: &str) -> usize {
+        let bodies = self
             .received()
             .iter()
             .map(HttpMessage::text)
             .filter(|t| t.contains(text))
             .collect::<BTreeSet<_>>();
-        texts.len()
+        bodies.len()
     }
 
+    /// Waits for a request with this id.
     pub fn wait_request(&self, id: &str) -> HttpMessage {
-        let all = self.wait(id, |all| all.iter().any(|h| h.id() == id));
-        all.into_iter().find(|h| h.id() == id).expect("it was heard")
+        let all = self.wait_until(id, |all| all.iter().any(|h| h.request_id() == id));
+        all.into_iter().find(|h| h.request_id() == id).expect("a received request")
     }
 
-    /// Waits for a notice or answer that carries this text.
+    /// Waits for a request whose body contains this text.
     pub fn wait_text(&self, text: &str) -> HttpMessage {
-        let all = self.wait(text, |all| all.iter().any(|h| h.text().contains(text)));
-        all.into_iter().find(|h| h.text().contains(text)).expect("it was heard")
+        let all = self.wait_until(text, |all| all.iter().any(|h| h.text().contains(text)));
+        all.into_iter().find(|h| h.text().contains(text)).expect("a received request")
     }
 }
 
-/// Discovery with this list, which answers notices with 204.
-pub fn discovery(list: String) -> Server {
-    Server::start(move |heard, _| match heard.first.split(' ').next() {
-        Some("POST") => say("204 No Content", "", ""),
-        _ => watch(&list),
+/// Starts a discovery server that sends this endpoint list to every watch and answers completion callbacks with 204.
+pub fn start_discovery(list: String) -> Server {
+    Server::start(move |request, _| match request.start_line.split(' ').next() {
+        Some("POST") => respond("204 No Content", "", ""),
+        _ => watch_response(&list),
     })
 }
 
-/// The answer to a watch: this list, and then nothing more.
-pub fn watch(list: &str) -> Reply {
-    Reply::RespondAndHold(chunked([format!("{list}\n").as_bytes()]))
+/// Returns the reply to a watch that sends this endpoint list, then nothing more, and stays open.
+pub fn watch_response(list: &str) -> Reply {
+    Reply::RespondAndHold(chunked_response([format!("{list}\n").as_bytes()]))
 }
 
-/// The head of an answer in chunks that goes on, and these chunks.
-pub fn chunked<'a>(chunks: impl IntoIterator<Item = &'a [u8]>) -> String {
+/// Returns the start of a chunked response: its header and these chunks, without the chunk that ends it.
+pub fn chunked_response<'a>(chunks: impl IntoIterator<Item = &'a [u8]>) -> String {
     let chunk = |c: &[u8]| format!("{:x}\r\n{}\r\n", c.len(), String::from_utf8_lossy(c));
     let chunks: String = chunks.into_iter().map(chunk).collect();
     format!("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n{chunks}")
 }
 
-pub fn list(rev: u64, endpoints: &[(u64, SocketAddr)]) -> String {
+/// Returns a complete endpoint list with this revision; endpoint `n` is named `s-n` and given as destination and address.
+pub fn endpoint_list(rev: u64, endpoints: &[(u64, SocketAddr)]) -> String {
     let target = |(i, (dest, addr)): (usize, &(u64, SocketAddr))| {
         format!(
             r#"{{"uid":"s-{i}","endpoint":"{addr}","az":"z","model":"k","pod_group":{dest},"state":"Ready","capacity_hint":50.0,"boot_ms":0}}"#
@@ -194,7 +201,8 @@
     format!(r#"{{"rev":{rev},"all":true,"targets":[{}]}}"#, targets.join(","))
 }
 
-/// Classes of the test site: `sync` is keyed and in order, `stats` repeatable, `payout` once.
+/// Settings of the test deployment. Its classes: `sync` is idempotent by key and FIFO by key, `stats` is idempotent, and `payout`
+/// is attempted at most once.
 const SETTINGS: &str = r#"{"classes":[
  {"aimNs":1000000000,"deadlineNs":24000000000,"effect":"by_key","fifoByKey":true,"group":"all","lateShare":0.5,"name":"sync","points":1.0,"windowNs":25000000000},
  {"aimNs":1000000000,"deadlineNs":16000000000,"effect":"repeatable","group":"all","lateShare":0.5,"name":"stats","points":2.0,"windowNs":5000000000},
@@ -206,36 +214,39 @@
  "rules":{"coldFrom":0.2,"fallMultiple":2.0,"mustAskInNs":10000000000,"orderPauseNs":0,"rampTimeNs":9000000000,"tipAfterNs":1500000000},
  "tenants":[{"name":"t","quotaRps":15.0,"share":1.0}],"weightKind":"nominal"}"#;
 
-/// The real program, its configuration and its lasting folder.
+/// A running daemon process, its configuration and its state folder.
 pub struct Daemon {
     pub addr: SocketAddr,
     pub folder: PathBuf,
     discovery: SocketAddr,
     child: Child,
     log: Arc<(Mutex<String>, Condvar)>,
-    extra: Vec<(String, String)>,
+    env: Vec<(String, String)>,
     flags: Vec<String>,
 }
 
+/// What a test may set before it starts a daemon.
 pub struct Setup<'a> {
     pub discovery: &'a Server,
+    /// The endpoint list in the configuration, used until discovery sends one.
     pub known: String,
     pub max_pending: u32,
     pub disk_mb: f64,
     pub sockets: u32,
-    /// The settings in place of the stand's own.
+    /// The deployment settings; `None` uses those of this module.
     pub settings: Option<String>,
-    /// Texts of the settings, and what stands in their place.
-    pub swaps: Vec<(&'static str, &'static str)>,
+    /// Texts of the settings and their replacements.
+    pub settings_replacements: Vec<(&'static str, &'static str)>,
     pub env: Vec<(String, String)>,
-    /// Words of the command line.
+    /// Command-line arguments.
     pub flags: Vec<String>,
-    /// Where it listens; else at an address of its own.
+    /// The client listener's address; `None` uses a new unique address.
     pub listen: Option<SocketAddr>,
 }
 
+/// Returns the default setup with this discovery server and endpoint list.
 pub fn setup(discovery: &Server, known: String) -> Setup<'_> {
-    let (swaps, env, flags, listen) = (Vec::new(), Vec::new(), Vec::new(), None);
+    let (settings_replacements, env, flags, listen) = (Vec::new(), Vec::new(), Vec::new(), None);
     let settings = None;
     Setup {
         discovery,
@@ -244,7 +255,7 @@
         disk_mb: 3.0,
         sockets: 1024,
         settings,
-        swaps,
+        settings_replacements,
         env,
         flags,
         listen,
@@ -252,64 +263,66 @@
 }
 
 impl Setup<'_> {
+    /// Starts the daemon and waits until it logs that it is ready.
     pub fn start(self) -> Daemon {
-        let daemon = self.launch();
+        let daemon = self.start_without_waiting();
         daemon.wait_log("ready:");
         daemon
     }
 
-    /// Without the word that it is ready, for a log that does not hold it: waits until a client is served.
+    /// Starts the daemon and waits until it accepts connections, for log settings that suppress the ready line.
     pub fn start_without_ready_log(self) -> Daemon {
-        let daemon = self.launch();
+        let daemon = self.start_without_waiting();
         let until = Instant::now() + EVENT_TIMEOUT;
         while TcpStream::connect(daemon.addr).is_err() {
-            assert!(Instant::now() < until, "it does not listen");
+            assert!(Instant::now() < until, "the daemon does not listen");
             thread::yield_now();
         }
         daemon
     }
 
-    pub fn launch(self) -> Daemon {
-        let name = format!("micaladder-{}-{}", std::process::id(), unique());
+    /// Writes the configuration and starts the process.
+    pub fn start_without_waiting(self) -> Daemon {
+        let name = format!("micaladder-{}-{}", std::process::id(), unique_number());
         let folder = std::env::temp_dir().join(name);
         std::fs::create_dir_all(folder.join("state")).expect("a folder");
         let addr = self.listen.unwrap_or_else(free_address);
-        let own = || SETTINGS.replace("OPENCAP", &self.max_pending.to_string());
-        let mut settings = self.settings.clone().unwrap_or_else(own);
-        for (from, to) in &self.swaps {
-            assert!(settings.contains(from), "the settings say {from}");
+        let default_settings = || SETTINGS.replace("OPENCAP", &self.max_pending.to_string());
+        let mut settings = self.settings.clone().unwrap_or_else(default_settings);
+        for (from, to) in &self.settings_replacements {
+            assert!(settings.contains(from), "the settings do not contain {from}");
             settings = settings.replace(from, to);
         }
         let config = format!(
             r#"{{"name":"n0","listen":"{addr}","discovery":"{}","seed":"8c1f30d27a5be964","limits":{{"cores":1.0,"memory_mb":192,"sockets":{},"disk_mb":{}}},"known":{},"settings":{}}}"#,
             self.discovery.addr, self.sockets, self.disk_mb, self.known, settings
         );
-        std::fs::write(folder.join("config.json"), config).expect("its configuration");
+        std::fs::write(folder.join("config.json"), config).expect("the configuration file");
         let (child, log) = spawn_process(&folder, &self.env, &self.flags);
-        let (discovery, extra, flags) = (self.discovery.addr, self.env, self.flags);
-        Daemon { addr, folder, discovery, child, log, extra, flags }
+        let (discovery, env, flags) = (self.discovery.addr, self.env, self.flags);
+        Daemon { addr, folder, discovery, child, log, env, flags }
     }
 }
 
-/// A number that nobody else has in this process of tests.
-pub fn unique() -> u32 {
+/// Returns a number that is unique in this test process.
+pub fn unique_number() -> u32 {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     NEXT.fetch_add(1, Ordering::Relaxed)
 }
 
-/// A loopback address that nobody else has, in this process of tests or in another. Ports there are free until the
-/// program takes them: one that was found free on a shared address could be taken by another test before that.
+/// Returns a loopback address that no other test uses, in this test process or another. All ports of the address stay free until
+/// the daemon binds them; a port found free on a shared address could be bound by another test first.
 pub fn unique_address() -> IpAddr {
-    // 127.64.0.0/10, far from where benches and the system are; so many for each process number.
-    const EACH: u32 = 1024;
+    // The addresses come from 127.64.0.0/10, which neither the benchmarks nor the system use. Each process id gets a block.
+    const ADDRESSES_PER_PROCESS: u32 = 1024;
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let n = NEXT.fetch_add(1, Ordering::Relaxed);
-    assert!(n < EACH, "so many addresses in one process of tests");
-    let place = (std::process::id() % (0x40_0000 / EACH)) * EACH + n;
-    IpAddr::from((0x7f40_0000 + place).to_be_bytes())
+    assert!(n < ADDRESSES_PER_PROCESS, "more than {ADDRESSES_PER_PROCESS} addresses in one test process");
+    let offset = (std::process::id() % (0x40_0000 / ADDRESSES_PER_PROCESS)) * ADDRESSES_PER_PROCESS + n;
+    IpAddr::from((0x7f40_0000 + offset).to_be_bytes())
 }
 
-/// A place to listen at, on an address of its own.
+/// Returns a socket address to listen at, on a new unique loopback address.
 pub fn free_address() -> SocketAddr {
     (unique_address(), 7002).into()
 }
@@ -328,98 +341,101 @@
         .spawn()
         .expect("the program starts");
     let log: Log = Default::default();
-    let (mine, lines) = (log.clone(), BufReader::new(child.stderr.take().expect("piped")));
+    let (writer, lines) = (log.clone(), BufReader::new(child.stderr.take().expect("piped")));
     thread::spawn(move || {
         for line in lines.lines().map_while(Result::ok) {
-            mine.0.lock().expect("lock").push_str(&(line + "\n"));
-            mine.1.notify_all();
+            writer.0.lock().expect("lock").push_str(&(line + "\n"));
+            writer.1.notify_all();
         }
     });
     (child, log)
 }
 
 impl Daemon {
+    /// Waits for a text in the log, and returns the whole log.
     pub fn wait_log(&self, text: &str) -> String {
         self.wait_log_from(0, text)
     }
 
-    /// Waits for a text behind this place of the log.
-    pub fn wait_log_from(&self, at: usize, text: &str) -> String {
-        let missing = |l: &mut String| !l.get(at..).is_some_and(|l| l.contains(text));
+    /// Waits for a text in the log after this byte offset, and returns the whole log.
+    pub fn wait_log_from(&self, offset: usize, text: &str) -> String {
+        let missing = |l: &mut String| !l.get(offset..).is_some_and(|l| l.contains(text));
         let log = self.log.0.lock().expect("lock");
-        let (log, late) = self.log.1.wait_timeout_while(log, EVENT_TIMEOUT, missing).expect("lock");
-        let (text_now, late) = (log.clone(), late.timed_out());
+        let (log, timeout) = self.log.1.wait_timeout_while(log, EVENT_TIMEOUT, missing).expect("lock");
+        let (current, timed_out) = (log.clone(), timeout.timed_out());
         drop(log);
-        let log = text_now;
-        assert!(!late, "waited in vain for {text:?} in the log:\n{log}");
-        log
+        assert!(!timed_out, "timed out waiting for {text:?} in the log:\n{current}");
+        current
     }
 
     pub fn log(&self) -> String {
         self.log.0.lock().expect("lock").clone()
     }
 
-    /// SIGKILL, with nothing said before.
+    /// Sends SIGKILL and waits for the process to end.
     pub fn kill(&mut self) {
-        self.child.kill().expect("it ran");
-        self.child.wait().expect("it ended");
+        self.child.kill().expect("a running process");
+        self.child.wait().expect("an ended process");
     }
 
-    /// Whether the process still runs: a crash is none that a test may pass over.
-    pub fn runs(&mut self) -> bool {
+    /// Returns whether the process still runs, so that a test notices a crash.
+    pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    pub fn start_again(&mut self) {
-        self.launch_again();
+    /// Starts the process again on the same configuration and state folder, and waits until it logs that it is ready.
+    pub fn restart(&mut self) {
+        self.restart_without_waiting();
         self.wait_log("ready:");
     }
 
-    /// The same without waiting for it.
-    pub fn launch_again(&mut self) {
-        (self.child, self.log) = spawn_process(&self.folder, &self.extra, &self.flags);
+    /// Starts the process again without waiting until it is ready.
+    pub fn restart_without_waiting(&mut self) {
+        (self.child, self.log) = spawn_process(&self.folder, &self.env, &self.flags);
     }
 
-    /// A second process beside this one: the same configuration, folder and clients' address, and a variable more.
-    pub fn start_beside(&self, name: &str, value: &str) -> Daemon {
-        let mut extra: Vec<_> = self.extra.iter().filter(|(k, _)| k != name).cloned().collect();
-        extra.push((name.to_string(), value.to_string()));
-        let (child, log) = spawn_process(&self.folder, &extra, &self.flags);
+    /// Starts a second process while this one runs, with the same configuration, state folder and client address, and with one
+    /// more environment variable.
+    pub fn start_second_process(&self, name: &str, value: &str) -> Daemon {
+        let mut env: Vec<_> = self.env.iter().filter(|(k, _)| k != name).cloned().collect();
+        env.push((name.to_string(), value.to_string()));
+        let (child, log) = spawn_process(&self.folder, &env, &self.flags);
         let (addr, folder, discovery) = (self.addr, self.folder.clone(), self.discovery);
-        Daemon { addr, folder, discovery, child, log, extra, flags: self.flags.clone() }
+        Daemon { addr, folder, discovery, child, log, env, flags: self.flags.clone() }
     }
 
-    /// SIGTERM.
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Replaces a text in the configuration, and sends SIGHUP.
+    /// Replaces a text in the configuration file and sends SIGHUP.
     pub fn reload(&self, from: &str, to: &str) {
         let path = self.folder.join("config.json");
-        let text = std::fs::read_to_string(&path).expect("its configuration");
+        let text = std::fs::read_to_string(&path).expect("the configuration file");
         assert!(text.contains(from), "{from} is not in {text}");
         std::fs::write(&path, text.replace(from, to)).expect("written");
         self.signal("-HUP");
     }
 
-    /// Its process, for what the operating system tells of it.
+    /// Returns the process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    pub fn signal(&self, which: &str) {
-        self.order("kill", &[which]);
+    /// Sends a signal, given as an option of `kill` such as `-TERM`.
+    pub fn signal(&self, option: &str) {
+        self.run_on_process("kill", &[option]);
     }
 
-    /// How many descriptors the process holds.
+    /// Counts the open file descriptors of the process.
     pub fn open_descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("it runs").count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("a running process").count()
     }
 
-    /// What the descriptors of the process are.
+    /// Returns the targets of the file descriptors of the process, sorted.
     pub fn descriptors(&self) -> Vec<String> {
-        let all = std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("it runs");
+        let all = std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("a running process");
         let mut all: Vec<String> = all
             .filter_map(|entry| std::fs::read_link(entry.ok()?.path()).ok())
             .map(|target| target.display().to_string())
@@ -428,72 +444,79 @@
         all
     }
 
-    /// Connections at its clients' address that the process holds: established, or closed by the client alone.
+    /// Counts the connections at the client address that the process holds: those established, and those closed by the client only.
     pub fn client_connections(&self) -> usize {
+        // ESTABLISHED and CLOSE_WAIT, as /proc/net/tcp writes them.
         const STATES: [&str; 2] = ["01", "08"];
-        let IpAddr::V4(ip) = self.addr.ip() else { panic!("the stand's addresses are IPv4") };
+        let IpAddr::V4(ip) = self.addr.ip() else { panic!("the test addresses are IPv4") };
         let local = format!("{:08X}:{:04X}", u32::from_le_bytes(ip.octets()), self.addr.port());
-        let own = self.descriptors();
+        let descriptors = self.descriptors();
         let sockets = std::fs::read_to_string("/proc/net/tcp").expect("the sockets");
         let fields = sockets.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
         fields
             .filter(|fields| fields.get(1) == Some(&local.as_str()) && STATES.contains(&fields[3]))
-            .filter(|fields| own.contains(&format!("socket:[{}]", fields[9])))
+            .filter(|fields| descriptors.contains(&format!("socket:[{}]", fields[9])))
             .count()
     }
 
-    /// Bytes of memory that the process holds itself: not its program text, nor files.
-    pub fn memory(&self) -> usize {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
-        let line = status.lines().find_map(|l| l.strip_prefix("RssAnon:")).expect("a line on its memory");
+    /// Returns the resident anonymous memory of the process in bytes, without program text and mapped files.
+    pub fn anonymous_memory(&self) -> usize {
+        let status =
+            std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("a running process");
+        let line = status.lines().find_map(|l| l.strip_prefix("RssAnon:")).expect("an RssAnon line");
         line.trim().trim_end_matches(" kB").parse::<usize>().expect("a number") * 1024
     }
 
-    /// Lets the process have so many descriptors from now on.
-    pub fn limit_descriptors(&self, most: u32) {
-        self.order("prlimit", &[&format!("--nofile={most}:1024"), "--pid"]);
+    /// Sets the soft limit of file descriptors of the process.
+    pub fn limit_descriptors(&self, soft_limit: u32) {
+        self.run_on_process("prlimit", &[&format!("--nofile={soft_limit}:1024"), "--pid"]);
     }
 
-    fn order(&self, program: &str, args: &[&str]) {
+    /// Runs a program with these arguments and the process id as the last one.
+    fn run_on_process(&self, program: &str, args: &[&str]) {
         let pid = self.child.id().to_string();
         assert!(Command::new(program).args(args).arg(&pid).status().expect(program).success());
     }
 
+    /// Waits until the process ends, and returns its exit status.
     pub fn wait_exit(&mut self, within: Duration) -> std::process::ExitStatus {
         let until = Instant::now() + within;
         loop {
-            match self.child.try_wait().expect("its state") {
+            match self.child.try_wait().expect("the process state") {
                 Some(status) => return status,
-                None => assert!(Instant::now() < until, "it has not ended in {within:?}"),
+                None => assert!(Instant::now() < until, "the process has not ended within {within:?}"),
             }
             thread::yield_now();
         }
     }
 
+    /// Opens a client connection.
     pub fn connect(&self) -> TcpStream {
         connect(self.addr)
     }
 
-    pub fn ask(&self, text: &[u8]) -> Option<HttpMessage> {
-        ask(self.addr, text)
+    /// Sends this request on a new connection and reads the response.
+    pub fn send_request(&self, request: &[u8]) -> Option<HttpMessage> {
+        send_request(self.addr, request)
     }
 
-    /// Hands in a message for dest 7 and gives the status of the answer.
+    /// Submits a message for destination 7 and returns the status of the response, or 0 where none came.
     pub fn submit(&self, class: &str, id: &str) -> u16 {
-        self.ask(&message(class, id, "20000m", "")).map_or(0, |h| h.status())
+        self.send_request(&message_request(class, id, "20000m", "")).map_or(0, |h| h.status())
     }
 }
 
 fn connect(addr: SocketAddr) -> TcpStream {
-    let socket = TcpStream::connect(addr).expect("it listens");
-    socket.set_read_timeout(Some(EVENT_TIMEOUT)).expect("a time-out");
+    let socket = TcpStream::connect(addr).expect("a listening server");
+    socket.set_read_timeout(Some(EVENT_TIMEOUT)).expect("a read timeout");
     socket
 }
 
-/// Sends this text on a connection of its own and reads the answer.
-pub fn ask(addr: SocketAddr, text: &[u8]) -> Option<HttpMessage> {
+/// Sends this request on a new connection and reads the response. The server may answer and close before it has read the whole
+/// request, so a broken or reset connection is no failure.
+pub fn send_request(addr: SocketAddr, request: &[u8]) -> Option<HttpMessage> {
     let mut socket = connect(addr);
-    match socket.write_all(text) {
+    match socket.write_all(request) {
         Err(e) if e.kind() != ErrorKind::BrokenPipe && e.kind() != ErrorKind::ConnectionReset => {
             panic!("{e}")
         }
@@ -501,12 +524,12 @@
     }
 }
 
-/// A message for dest 7; `more` holds further header lines.
-pub fn message(class: &str, id: &str, deadline: &str, more: &str) -> Vec<u8> {
+/// Returns the request that submits a message for destination 7; `more_headers` holds further header lines.
+pub fn message_request(class: &str, id: &str, deadline: &str, more_headers: &str) -> Vec<u8> {
     let body = format!("body of {id}");
     format!(
         "POST /{class} HTTP/1.1\r\nHost: service.internal\r\nX-Request-Id: {id}\r\nX-Class: {class}\r\nX-Tenant: t\r\n\
-         X-Deadline: {deadline}\r\nIdempotency-Key: key-{id}\r\nX-Envelope: dest=7\r\n{more}Content-Length: {}\r\n\r\n{body}",
+         X-Deadline: {deadline}\r\nIdempotency-Key: key-{id}\r\nX-Envelope: dest=7\r\n{more_headers}Content-Length: {}\r\n\r\n{body}",
         body.len()
     )
     .into_bytes()
@@ -517,22 +540,22 @@
         let _ = self.child.kill();
         let _ = self.child.wait();
         if thread::panicking() {
-            eprintln!("log of the program, discovery at {}:\n{}", self.discovery, self.log());
+            eprintln!("log of the daemon with discovery at {}:\n{}", self.discovery, self.log());
         }
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// A connect may hang for longer than its first packet needs to go out again.
+/// Replaces the connect timeout by one that is longer than the retransmission of the first SYN, which takes a second.
 pub const LONG_CONNECT_TIMEOUT: (&str, &str) =
     (r#""connectTimeoutNs":1000000000"#, r#""connectTimeoutNs":9000000000"#);
 
-/// An endpoint that takes connections only when it is told to. While its queue is full, the first packet of a connect is
-/// dropped and goes out again a second later: the connect hangs, and stands once there is room.
+/// An endpoint that accepts connections only when the test says so. While its accept backlog is full, the kernel drops the SYN of a
+/// connect, which the client sends again a second later: the connect hangs, and succeeds once the backlog has room.
 pub struct FullBacklogEndpoint {
     pub addr: SocketAddr,
     listener: TcpListener,
-    plugs: Vec<TcpStream>,
+    fillers: Vec<TcpStream>,
 }
 
 impl FullBacklogEndpoint {
@@ -541,95 +564,100 @@
         let listener = runtime.block_on(async {
             let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
             socket.bind(([127, 0, 0, 1], 0).into()).expect("a port");
-            socket.listen(0).and_then(|l| l.into_std()).expect("a queue of one")
+            socket.listen(0).and_then(|l| l.into_std()).expect("a backlog of one")
         });
         let addr = listener.local_addr().expect("its address");
-        FullBacklogEndpoint { addr, listener, plugs: Vec::new() }
+        FullBacklogEndpoint { addr, listener, fillers: Vec::new() }
     }
 
-    /// Fills the queue, until a connect is seen to hang.
-    pub fn shut(&mut self) {
-        while let Ok(plug) = TcpStream::connect_timeout(&self.addr, Duration::from_millis(100)) {
-            assert!(self.plugs.len() < 16, "its queue never fills");
-            self.plugs.push(plug);
+    /// Fills the backlog until a connect hangs.
+    pub fn fill_backlog(&mut self) {
+        while let Ok(filler) = TcpStream::connect_timeout(&self.addr, Duration::from_millis(100)) {
+            assert!(self.fillers.len() < 16, "the backlog never fills");
+            self.fillers.push(filler);
         }
     }
 
-    /// Empties it: what hangs comes through.
-    pub fn open(&mut self) {
-        for plug in std::mem::take(&mut self.plugs) {
-            let (_, from) = self.take();
-            assert_eq!(Some(from), plug.local_addr().ok(), "nobody came through while it was shut");
+    /// Accepts the connections that fill the backlog, so that hanging connects succeed.
+    pub fn drain_backlog(&mut self) {
+        for filler in std::mem::take(&mut self.fillers) {
+            let (_, from) = self.accept_with_address();
+            assert_eq!(
+                Some(from),
+                filler.local_addr().ok(),
+                "no other connect succeeded while the backlog was full"
+            );
         }
     }
 
-    /// The next connection.
+    /// Waits for the next connection.
     pub fn accept(&self) -> TcpStream {
-        self.take().0
+        self.accept_with_address().0
     }
 
-    fn take(&self) -> (TcpStream, SocketAddr) {
+    fn accept_with_address(&self) -> (TcpStream, SocketAddr) {
         let until = Instant::now() + EVENT_TIMEOUT;
         loop {
-            if let Some(come) = self.waiting() {
-                return come;
+            if let Some(accepted) = self.try_accept() {
+                return accepted;
             }
-            assert!(Instant::now() < until, "waited in vain for a connection");
+            assert!(Instant::now() < until, "timed out waiting for a connection");
             thread::yield_now();
         }
     }
 
-    /// One that stands in the queue, if any does.
-    pub fn waiting(&self) -> Option<(TcpStream, SocketAddr)> {
-        let come = self.listener.accept().ok()?;
-        come.0.set_nonblocking(false).expect("a socket");
-        come.0.set_read_timeout(Some(EVENT_TIMEOUT)).expect("a time-out");
-        Some(come)
+    /// Accepts a connection from the backlog, if there is one.
+    pub fn try_accept(&self) -> Option<(TcpStream, SocketAddr)> {
+        let accepted = self.listener.accept().ok()?;
+        accepted.0.set_nonblocking(false).expect("a socket");
+        accepted.0.set_read_timeout(Some(EVENT_TIMEOUT)).expect("a read timeout");
+        Some(accepted)
     }
 }
 
 /// Reads one call from this connection.
-pub fn call(socket: &TcpStream) -> HttpMessage {
+pub fn read_call(socket: &TcpStream) -> HttpMessage {
     read_http(&mut BufReader::new(socket.try_clone().expect("a handle"))).expect("a call")
 }
 
-pub fn answer(mut socket: &TcpStream, status: &str, head: &str) {
-    let text = format!("HTTP/1.1 {status}\r\n{head}content-length: 0\r\n\r\n");
-    socket.write_all(text.as_bytes()).expect("it listens");
+/// Writes a response without a body to this connection.
+pub fn write_response(mut socket: &TcpStream, status: &str, headers: &str) {
+    let text = format!("HTTP/1.1 {status}\r\n{headers}content-length: 0\r\n\r\n");
+    socket.write_all(text.as_bytes()).expect("an open connection");
 }
 
-/// Whether nothing has come on this connection, and it stands.
+/// Returns whether this connection is open and holds no unread bytes.
 pub fn is_idle(mut socket: &TcpStream) -> bool {
     socket.set_nonblocking(true).expect("a socket");
-    let came = socket.read(&mut [0]);
+    let read = socket.read(&mut [0]);
     socket.set_nonblocking(false).expect("a socket");
-    came.is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
+    read.is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
 }
 
-/// Two payouts: `a` is out on the one connection that stands, and `b` hangs in its connect.
+/// Submits two messages that may run at most once: `a` is in flight on the only open connection, and the connect for `b` hangs.
 pub fn start_hanging_connect(daemon: &Daemon, endpoint: &mut FullBacklogEndpoint) -> TcpStream {
     assert_eq!(daemon.submit("payout", "a"), 202);
     let first = endpoint.accept();
-    call(&first);
-    endpoint.shut();
+    read_call(&first);
+    endpoint.fill_backlog();
     assert_eq!(daemon.submit("payout", "b"), 202);
     daemon.wait_log("attempt starts message=b");
     first
 }
 
-/// The wait that `retry_after_during_connect` tells; shorter than what counts as an outage.
-pub const WAIT: Duration = Duration::from_millis(2400);
+/// The Retry-After that `retry_after_during_connect` sends; shorter than an outage.
+pub const RETRY_AFTER: Duration = Duration::from_millis(2400);
 
-/// `a` is told to wait, and only then the connect of `b` comes through: its connection, on which nothing was written.
+/// Answers `a` with a Retry-After, then lets the connect for `b` succeed. Returns the new connection, on which nothing is written.
 pub fn retry_after_during_connect(
     daemon: &Daemon, first: TcpStream, endpoint: &mut FullBacklogEndpoint,
 ) -> TcpStream {
-    let wait = WAIT.as_secs_f64();
-    answer(&first, "429 Later", &format!("Retry-After: {wait}\r\nConnection: close\r\n"));
+    let retry_after = RETRY_AFTER.as_secs_f64();
+    write_response(&first, "429 Later", &format!("Retry-After: {retry_after}\r\nConnection: close\r\n"));
     daemon.wait_log("attempt ended message=a outcome=Rejected(Some");
-    endpoint.open();
+    endpoint.drain_backlog();
     let second = endpoint.accept();
     daemon.wait_log("the decision no longer holds message=b");
-    assert!(is_idle(&second), "kept, and not written to");
+    assert!(is_idle(&second), "the new connection is open and unused");
     second
 }
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -37,14 +37,14 @@
     let gate = Gate::default();
     let mine = gate.clone();
     let endpoint = Server::start(move |heard, _| {
-        mine.pass(heard.id());
-        match heard.id().starts_with("slow") {
-            true => say(slow, headers, ""),
-            false => say("200 OK", "", ""),
+        mine.pass(heard.request_id());
+        match heard.request_id().starts_with("slow") {
+            true => respond(slow, headers, ""),
+            false => respond("200 OK", "", ""),
         }
     });
-    let known = list(1, &[(7, endpoint.addr)]);
-    let disco = discovery(known.clone());
+    let known = endpoint_list(1, &[(7, endpoint.addr)]);
+    let disco = start_discovery(known.clone());
     let env = vec![("RELAY_MGMT".to_string(), free_address().to_string())];
     let old = Setup { env, ..setup(&disco, known) }.start();
     Scene { gate, endpoint, disco, old }
@@ -61,7 +61,7 @@
 impl Scene {
     fn second(&self) -> (Daemon, SocketAddr) {
         let mgmt = free_address();
-        (self.old.start_beside("RELAY_MGMT", &mgmt.to_string()), mgmt)
+        (self.old.start_second_process("RELAY_MGMT", &mgmt.to_string()), mgmt)
     }
 
     /// A second process, once it serves and the first has released the journal.
@@ -69,16 +69,19 @@
         let (new, mgmt) = self.second();
         new.wait_log("ready:");
         self.old.wait_log("handed over");
-        assert_eq!(ask(mgmt, b"GET /v1/readyz HTTP/1.1\r\nHost: o\r\n\r\n").map(|h| h.status()), Some(200));
+        assert_eq!(
+            send_request(mgmt, b"GET /v1/readyz HTTP/1.1\r\nHost: o\r\n\r\n").map(|h| h.status()),
+            Some(200)
+        );
         new
     }
 
     fn calls(&self, id: &str) -> usize {
-        self.endpoint.received().iter().filter(|h| h.id() == id).count()
+        self.endpoint.received().iter().filter(|h| h.request_id() == id).count()
     }
 
     fn callbacks(&self, id: &str) -> usize {
-        self.disco.count_distinct(&format!(r#""id":"{id}""#))
+        self.disco.count_distinct_bodies(&format!(r#""id":"{id}""#))
     }
 }
 
@@ -97,7 +100,8 @@
                 let mut all = Vec::new();
                 while !done.load(Ordering::Relaxed) || all.len() < 10 {
                     let (id, begun) = (format!("c{c}-{}", all.len()), Instant::now());
-                    let status = ask(addr, &message("payout", &id, "20000m", "")).map(|h| h.status());
+                    let status =
+                        send_request(addr, &message_request("payout", &id, "20000m", "")).map(|h| h.status());
                     assert!(begun.elapsed() < Duration::from_secs(2), "{id} waited {:?}", begun.elapsed());
                     all.push((id, status));
                     thread::sleep(Duration::from_millis(2));
@@ -116,36 +120,38 @@
     assert!(all.len() > 20 && rejected.len() <= 2, "{} of {}: {rejected:?}", rejected.len(), all.len());
     let taken = all.iter().filter(|(_, s)| *s == Some(202)).map(|(id, _)| id.clone());
     let taken: Vec<String> = taken.chain((0..3).map(|n| format!("slow-{n}"))).collect();
-    s.endpoint.wait("each of them", |all| taken.iter().all(|id| all.iter().any(|h| h.id() == id)));
+    s.endpoint
+        .wait_until("each of them", |all| taken.iter().all(|id| all.iter().any(|h| h.request_id() == id)));
     s.old.terminate();
     let mut old = s.old;
     assert!(old.wait_exit(EVENT_TIMEOUT).success());
     for id in &taken {
         assert_eq!(
-            s.endpoint.received().iter().filter(|h| h.id() == id).count(),
+            s.endpoint.received().iter().filter(|h| h.request_id() == id).count(),
             1,
             "a payout came twice: {id}"
         );
-        assert_eq!(s.disco.count_distinct(&format!(r#""id":"{id}""#)), 0, "{id} was delivered");
+        assert_eq!(s.disco.count_distinct_bodies(&format!(r#""id":"{id}""#)), 0, "{id} was delivered");
     }
 }
 
 #[test]
 fn an_ordering_key_waits_for_the_call_of_the_predecessor() {
     let s = scene("200 OK", "");
-    let keyed = |id: &str| message("sync", id, "20000m", "X-Key: 00aa\r\n");
-    assert_eq!(s.old.ask(&keyed("slow-1")).map(|h| h.status()), Some(202));
-    assert_eq!(s.old.ask(&keyed("held")).map(|h| h.status()), Some(202));
+    let keyed = |id: &str| message_request("sync", id, "20000m", "X-Key: 00aa\r\n");
+    assert_eq!(s.old.send_request(&keyed("slow-1")).map(|h| h.status()), Some(202));
+    assert_eq!(s.old.send_request(&keyed("held")).map(|h| h.status()), Some(202));
     s.endpoint.wait_request("slow-1");
     let new = s.take_over();
-    assert_eq!(new.ask(&keyed("second")).map(|h| h.status()), Some(202));
+    assert_eq!(new.send_request(&keyed("second")).map(|h| h.status()), Some(202));
     assert_eq!(new.submit("stats", "free"), 202);
     s.endpoint.wait_request("free");
     assert_eq!((s.calls("held"), s.calls("second")), (0, 0), "the first of their key is still in flight");
     s.gate.open();
-    let all =
-        s.endpoint.wait("both", |all| ["held", "second"].iter().all(|id| all.iter().any(|h| h.id() == *id)));
-    let order: Vec<&str> = all.iter().map(HttpMessage::id).filter(|id| *id != "free").collect();
+    let all = s.endpoint.wait_until("both", |all| {
+        ["held", "second"].iter().all(|id| all.iter().any(|h| h.request_id() == *id))
+    });
+    let order: Vec<&str> = all.iter().map(HttpMessage::request_id).filter(|id| *id != "free").collect();
     assert_eq!(order, ["slow-1", "held", "second"]);
 }
 
@@ -163,7 +169,9 @@
     let s = scene_with_payout_in_flight("503 Full", "");
     let _new = s.take_over();
     s.gate.open();
-    s.endpoint.wait("the second attempt", |all| all.iter().filter(|h| h.id() == "slow-p").count() >= 2);
+    s.endpoint.wait_until("the second attempt", |all| {
+        all.iter().filter(|h| h.request_id() == "slow-p").count() >= 2
+    });
 }
 
 #[test]
@@ -227,10 +235,10 @@
 #[test]
 fn without_a_management_address_a_second_process_waits_until_the_first_has_ended() {
     let endpoint = Server::always("200 OK");
-    let known = list(1, &[(7, endpoint.addr)]);
-    let disco = discovery(known.clone());
+    let known = endpoint_list(1, &[(7, endpoint.addr)]);
+    let disco = start_discovery(known.clone());
     let mut first = setup(&disco, known).start();
-    let second = first.start_beside("MICALADDER_LOG_BURST", "0");
+    let second = first.start_second_process("MICALADDER_LOG_BURST", "0");
     second.wait_log("another process owns the folder");
     assert_eq!(first.submit("stats", "a"), 202);
     first.kill();
--- a/tests/takeover_order.rs
+++ b/tests/takeover_order.rs
@@ -54,7 +54,7 @@
 #[test]
 fn a_drain_that_is_undone_cuts_nobody_off() {
     let first = start_first();
-    let request = message("stats", "in-pieces", "20000m", "");
+    let request = message_request("stats", "in-pieces", "20000m", "");
     let (begin, rest) = request.split_at(40);
     let mut client = first.connect();
     client.write_all(begin).expect("it reads");
@@ -77,12 +77,12 @@
     let first = start_first();
     let request = hold(&first, "next");
     first.wait_log("handed over");
-    let answer = first.ask(&message("stats", "a", "20000m", "")).expect("an answer");
+    let answer = first.send_request(&message_request("stats", "a", "20000m", "")).expect("an answer");
     assert_eq!((answer.status(), answer.header("retry-after").is_some()), (503, true));
     let owner = hold(&first, "owner");
     drop(request);
     first.wait_log("waiting for it");
-    let answer = first.ask(&message("stats", "b", "20000m", "")).expect("an answer");
+    let answer = first.send_request(&message_request("stats", "b", "20000m", "")).expect("an answer");
     assert_eq!((answer.status(), answer.header("retry-after").is_some()), (503, true));
     let at = first.log().len();
     drop(owner);
@@ -94,7 +94,7 @@
 #[test]
 fn a_request_that_arrives_over_a_release_is_turned_away() {
     let first = start_first();
-    let request = message("stats", "in-pieces", "20000m", "");
+    let request = message_request("stats", "in-pieces", "20000m", "");
     let (begin, rest) = request.split_at(40);
     let mut client = first.connect();
     client.write_all(begin).expect("it reads");
@@ -215,10 +215,10 @@
             sleep(Duration::from_millis(delay));
             first.terminate();
             let asked = Instant::now();
-            while first.runs() && asked.elapsed() < KILLED_AFTER {
+            while first.is_running() && asked.elapsed() < KILLED_AFTER {
                 sleep(Duration::from_millis(10));
             }
-            (delay, first.runs())
+            (delay, first.is_running())
         })
     });
     let ends: Vec<_> = ends.collect::<Vec<_>>().into_iter().map(|end| end.join().expect("a round")).collect();
@@ -236,10 +236,10 @@
     /// What a second process has on the page of upgrades.
     const SERVES_WITHIN: Duration = Duration::from_secs(6);
     let endpoint = Server::start(|heard, _| {
-        if heard.id() == "slow" {
+        if heard.request_id() == "slow" {
             sleep(CALL);
         }
-        say("200 OK", "", "")
+        respond("200 OK", "", "")
     });
     let first = start_first_with(&endpoint);
     assert_eq!(first.submit("payout", "slow"), 202);
--- a/tests/waits.rs
+++ b/tests/waits.rs
@@ -11,19 +11,20 @@
 
 fn started() -> (FullBacklogEndpoint, Server, Daemon) {
     let endpoint = FullBacklogEndpoint::start();
-    let known = list(1, &[(7, endpoint.addr)]);
-    let disco = discovery(known.clone());
-    let swaps = vec![LONG_CONNECT_TIMEOUT, (r#""resolutionNs":5000000"#, r#""resolutionNs":1000000"#)];
-    let daemon = Setup { swaps, ..setup(&disco, known) }.start();
+    let known = endpoint_list(1, &[(7, endpoint.addr)]);
+    let disco = start_discovery(known.clone());
+    let settings_replacements =
+        vec![LONG_CONNECT_TIMEOUT, (r#""resolutionNs":5000000"#, r#""resolutionNs":1000000"#)];
+    let daemon = Setup { settings_replacements, ..setup(&disco, known) }.start();
     (endpoint, disco, daemon)
 }
 
 /// The call of a message with this deadline, of the class that uses all of its time.
 fn call_in_flight(endpoint: &FullBacklogEndpoint, daemon: &Daemon, deadline: &str) -> TcpStream {
-    let text = message("payout", "a", deadline, "");
-    assert_eq!(daemon.ask(&text).map(|h| h.status()), Some(202));
+    let text = message_request("payout", "a", deadline, "");
+    assert_eq!(daemon.send_request(&text).map(|h| h.status()), Some(202));
     let socket = endpoint.accept();
-    assert_eq!(call(&socket).id(), "a");
+    assert_eq!(read_call(&socket).request_id(), "a");
     socket
 }
 
@@ -31,9 +32,9 @@
 fn assert_respected(endpoint: &FullBacklogEndpoint, daemon: &Daemon, sent_at: Instant) {
     assert_eq!(daemon.submit("stats", "b"), 202);
     let next = endpoint.accept();
-    assert_eq!(call(&next).id(), "b");
+    assert_eq!(read_call(&next).request_id(), "b");
     let after = sent_at.elapsed();
-    answer(&next, "200 OK", "");
+    write_response(&next, "200 OK", "");
     // The time counts from when it is written; the 100 ms in which a call may still be sent are not used here.
     assert!(after >= Duration::from_millis(2390), "b came {after:?} after the Retry-After");
     daemon.wait_log("attempt ended message=b outcome=Ok");
@@ -93,8 +94,8 @@
     disco.wait_text(r#"{"id":"a","status":"undeliverable"}"#);
     assert_eq!(daemon.submit("stats", "b"), 202);
     let next = endpoint.accept();
-    assert_eq!(call(&next).id(), "b");
-    answer(&next, "200 OK", "");
+    assert_eq!(read_call(&next).request_id(), "b");
+    write_response(&next, "200 OK", "");
     daemon.wait_log("attempt ended message=b outcome=Ok");
     // It was closed some time after the cancellation: what is written there is read by nobody.
     let until = Instant::now() + EVENT_TIMEOUT;
