--- a/tests/callers/mod.rs
+++ b/tests/callers/mod.rs
@@ -1,4 +1,4 @@
-//! Callers of a forwarder while its processes change: each call and how it ended, as seen from outside.
+//! Callers of a forwarder while its processes change: each request and its outcome, as a client sees them.
 #![allow(dead_code)]
 pub mod processes;
 
@@ -11,89 +11,91 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// How long a caller waits for each step of a call. A platform's client waits 400 ms; longer here, so that a late answer
-/// is told from none.
-const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Pause of a caller between two calls.
+/// How long a caller waits for each step of a request. A platform's client waits 400 ms; this is longer, so that a late
+/// response can be distinguished from a missing one.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
+/// Pause of a caller between two requests.
 const PAUSE: Duration = Duration::from_millis(2);
 
-/// How a call ended.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// A whole answer.
+pub enum RequestOutcome {
+    /// A complete response.
     Answered { status: u16, retry_after: bool },
-    /// The connect was refused.
+    /// The connection attempt was refused.
     Refused,
     /// The connection was reset.
     Reset,
-    /// The connection ended with no whole answer.
+    /// The connection was closed before a complete response arrived.
     Closed,
-    /// Nothing came in time.
-    Silent,
+    /// A step took longer than [`REQUEST_TIMEOUT`].
+    TimedOut,
 }
 
-/// One call.
+/// One request of a caller.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct ClientRequest {
     pub id: String,
-    /// On a connection that had carried a call before.
+    /// Whether the connection had carried a request before.
     pub reused: bool,
-    /// When its connection stood, and when the call had ended; Unix time.
+    /// When the connection was established, or found open, in Unix time.
     pub connected_at: Duration,
+    /// When the outcome was known, in Unix time.
     pub ended_at: Duration,
-    pub end: End,
+    pub outcome: RequestOutcome,
 }
 
-impl Call {
-    /// Whether the caller knows what became of it: taken on, or turned away with a time to come again.
+impl ClientRequest {
+    /// Returns whether the caller knows the result: the message was accepted, or rejected with Retry-After.
     pub fn is_settled(&self) -> bool {
-        match self.end {
-            End::Answered { status: 200 | 202, .. } => true,
-            End::Answered { status: 503 | 429, retry_after } => retry_after,
+        match self.outcome {
+            RequestOutcome::Answered { status: 200 | 202, .. } => true,
+            RequestOutcome::Answered { status: 503 | 429, retry_after } => retry_after,
             _ => false,
         }
     }
 
-    /// The connection was closed between two calls while this one was on its way (protocol, "Clients to forwarders": the
-    /// client sends it once more on a new connection).
-    pub fn crossed_a_close(&self) -> bool {
-        self.reused && self.end == End::Closed
+    /// Returns whether the forwarder closed the idle connection while this request was on its way to it (protocol, "Clients
+    /// to forwarders": the client sends the request once more on a new connection).
+    pub fn raced_with_close(&self) -> bool {
+        self.reused && self.outcome == RequestOutcome::Closed
     }
 }
 
-impl fmt::Display for Call {
+impl fmt::Display for ClientRequest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (from, to) = (self.connected_at.as_secs_f64(), self.ended_at.as_secs_f64());
         let connection = if self.reused { "reused" } else { "new" };
-        write!(f, "{from:.4} to {to:.4}  {:<12} {connection:<6} {:?}", self.id, self.end)
+        write!(f, "{from:.4} to {to:.4}  {:<12} {connection:<6} {:?}", self.id, self.outcome)
     }
 }
 
 /// How a caller uses its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Connections {
-    /// A new one for each call.
+    /// A new connection for each request.
     New,
-    /// One for all calls, for as long as it stands.
-    Kept,
+    /// One connection for all requests, until it is closed.
+    KeepAlive,
 }
 
-/// Callers that go on until they are stopped.
+/// Callers that send requests, one after the other, until they are stopped.
 pub struct Callers {
     stop: Arc<AtomicBool>,
-    threads: Vec<JoinHandle<Vec<Call>>>,
+    threads: Vec<JoinHandle<Vec<ClientRequest>>>,
 }
 
-/// What a caller calls, and how.
+/// The requests of a caller and its use of connections.
 #[derive(Clone, Copy, Debug)]
 pub struct CallerKind {
     pub class: &'static str,
     pub connections: Connections,
-    /// All its messages have this ordering key.
+    /// The ordering key of all messages of the caller.
     pub key: Option<&'static str>,
 }
 
-/// Whether callers may open connections. Those that may not wait, and go on using the ones they have.
+/// Prevents callers from opening connections while it is closed. Callers still use connections that are open, and wait if
+/// they have none. The flag is `true` while the gate is closed.
 #[derive(Clone, Default)]
 pub struct ConnectGate(Arc<AtomicBool>);
 
@@ -112,31 +114,32 @@
 }
 
 impl Callers {
-    /// One caller of this class for each of these. Calls of caller 2 have the ids `c2-0`, `c2-1` and so on.
+    /// Starts one caller for each element of `connections`; all send messages of `class`. The requests of caller 2 have the
+    /// ids `c2-0`, `c2-1` and so on.
     pub fn start(addr: SocketAddr, class: &'static str, connections: &[Connections]) -> Callers {
         let kind = |connections: &Connections| CallerKind { class, connections: *connections, key: None };
         let kinds: Vec<CallerKind> = connections.iter().map(kind).collect();
         Callers::start_kinds(addr, &kinds, &ConnectGate::default())
     }
 
-    /// One caller for each of these.
+    /// Starts one caller for each element of `kinds`.
     pub fn start_kinds(addr: SocketAddr, kinds: &[CallerKind], gate: &ConnectGate) -> Callers {
         let stop = Arc::new(AtomicBool::new(false));
         let threads = kinds.iter().enumerate().map(|(number, kind)| {
-            let caller = Caller { addr, kind: *kind, number, gate: gate.clone(), kept: None };
+            let caller = Caller { addr, kind: *kind, number, gate: gate.clone(), idle: None };
             let stop = stop.clone();
             thread::spawn(move || caller.run(&stop))
         });
         Callers { threads: threads.collect(), stop }
     }
 
-    /// Stops them and gives all calls, in the order of their ends.
-    pub fn stop(self) -> Vec<Call> {
+    /// Stops the callers and returns all requests in the order of `ended_at`.
+    pub fn stop(self) -> Vec<ClientRequest> {
         self.stop.store(true, Ordering::Relaxed);
-        let mut calls: Vec<Call> =
-            self.threads.into_iter().flat_map(|caller| caller.join().expect("a caller")).collect();
-        calls.sort_by_key(|call| call.ended_at);
-        calls
+        let mut requests: Vec<ClientRequest> =
+            self.threads.into_iter().flat_map(|caller| caller.join().expect("a caller panicked")).collect();
+        requests.sort_by_key(|request| request.ended_at);
+        requests
     }
 }
 
@@ -145,95 +148,96 @@
     kind: CallerKind,
     number: usize,
     gate: ConnectGate,
-    kept: Option<TcpStream>,
+    /// The open connection that the next request reuses.
+    idle: Option<TcpStream>,
 }
 
 impl Caller {
-    fn run(mut self, stop: &AtomicBool) -> Vec<Call> {
-        let mut calls = Vec::new();
+    fn run(mut self, stop: &AtomicBool) -> Vec<ClientRequest> {
+        let mut requests = Vec::new();
         while !stop.load(Ordering::Relaxed) {
-            self.kept = self.kept.take().filter(is_open);
-            if self.kept.is_some() || self.gate.is_open() {
-                let id = format!("c{}-{}", self.number, calls.len());
-                calls.push(self.call(id));
+            self.idle = self.idle.take().filter(is_open);
+            if self.idle.is_some() || self.gate.is_open() {
+                let id = format!("c{}-{}", self.number, requests.len());
+                requests.push(self.send(id));
             }
             thread::sleep(PAUSE);
         }
-        calls
+        requests
     }
 
-    fn call(&mut self, id: String) -> Call {
-        let kept = self.kept.take();
-        let reused = kept.is_some();
-        let socket = match kept {
+    fn send(&mut self, id: String) -> ClientRequest {
+        let idle = self.idle.take();
+        let reused = idle.is_some();
+        let socket = match idle {
             Some(socket) => Ok(socket),
-            None => TcpStream::connect_timeout(&self.addr, CALL_TIMEOUT),
+            None => TcpStream::connect_timeout(&self.addr, REQUEST_TIMEOUT),
         };
         let connected_at = unix_time();
         let key = self.kind.key.map(|key| format!("X-Key: {key}\r\n")).unwrap_or_default();
         let request = message_request(self.kind.class, &id, "20000m", &key);
-        let (end, socket) = match socket {
+        let (result, socket) = match socket {
             Ok(mut socket) => (exchange(&mut socket, &request), Some(socket)),
-            Err(error) => (end_of(&error), None),
+            Err(error) => (failed_exchange(&error), None),
         };
-        if self.kind.connections == Connections::Kept {
-            self.kept = socket.filter(|_| matches!(end, Exchanged { keep: true, .. }));
+        if self.kind.connections == Connections::KeepAlive {
+            self.idle = socket.filter(|_| result.keep_alive);
         }
-        Call { id, reused, connected_at, ended_at: unix_time(), end: end.end }
+        ClientRequest { id, reused, connected_at, ended_at: unix_time(), outcome: result.outcome }
     }
 }
 
-/// The time as the program's log has it.
+/// Returns the time since 1970, as in the timestamps of the daemon's log.
 pub fn unix_time() -> Duration {
-    SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock after 1970")
+    SystemTime::now().duration_since(UNIX_EPOCH).expect("the clock is set before 1970")
 }
 
-/// Whether a connection between two calls has not been closed by the other side.
+/// Returns whether the forwarder has not closed an idle connection.
 fn is_open(socket: &TcpStream) -> bool {
-    socket.set_nonblocking(true).expect("a socket");
+    socket.set_nonblocking(true).expect("cannot set the socket non-blocking");
     let peeked = socket.peek(&mut [0]);
-    socket.set_nonblocking(false).expect("a socket");
+    socket.set_nonblocking(false).expect("cannot set the socket blocking");
     peeked.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
 }
 
-/// What came of a request on a connection.
-struct Exchanged {
-    end: End,
-    /// The connection may carry a further request.
-    keep: bool,
+/// The result of a request on a connection.
+struct ExchangeResult {
+    outcome: RequestOutcome,
+    /// Whether the connection may carry a further request.
+    keep_alive: bool,
 }
 
-fn end_of(error: &std::io::Error) -> Exchanged {
-    let end = match error.kind() {
-        ErrorKind::ConnectionRefused => End::Refused,
-        ErrorKind::ConnectionReset | ErrorKind::BrokenPipe => End::Reset,
-        ErrorKind::WouldBlock | ErrorKind::TimedOut => End::Silent,
+fn failed_exchange(error: &std::io::Error) -> ExchangeResult {
+    let outcome = match error.kind() {
+        ErrorKind::ConnectionRefused => RequestOutcome::Refused,
+        ErrorKind::ConnectionReset | ErrorKind::BrokenPipe => RequestOutcome::Reset,
+        ErrorKind::WouldBlock | ErrorKind::TimedOut => RequestOutcome::TimedOut,
         kind => panic!("{kind:?}: {error}"),
     };
-    Exchanged { end, keep: false }
+    ExchangeResult { outcome, keep_alive: false }
 }
 
-/// Sends a request and reads its answer.
-fn exchange(socket: &mut TcpStream, request: &[u8]) -> Exchanged {
-    socket.set_read_timeout(Some(CALL_TIMEOUT)).expect("a time-out");
-    // An error here may hide an answer that came before the reset.
+/// Sends a request and reads its response.
+fn exchange(socket: &mut TcpStream, request: &[u8]) -> ExchangeResult {
+    socket.set_read_timeout(Some(REQUEST_TIMEOUT)).expect("cannot set the read timeout");
+    // Reads even if the write fails: a response may have arrived before the reset.
     let written = socket.write_all(request);
-    let mut answer = Vec::new();
+    let mut response = Vec::new();
     loop {
-        if let Some(exchanged) = whole_answer(&answer) {
-            return exchanged;
+        if let Some(result) = parse_response(&response) {
+            return result;
         }
         let mut bytes = [0; 4096];
         match socket.read(&mut bytes) {
-            Ok(0) => return Exchanged { end: End::Closed, keep: false },
-            Ok(size) => answer.extend_from_slice(&bytes[..size]),
-            Err(error) => return end_of(written.as_ref().err().unwrap_or(&error)),
+            Ok(0) => return ExchangeResult { outcome: RequestOutcome::Closed, keep_alive: false },
+            Ok(size) => response.extend_from_slice(&bytes[..size]),
+            Err(error) => return failed_exchange(written.as_ref().err().unwrap_or(&error)),
         }
     }
 }
 
-/// The answer, once all of it is there.
-fn whole_answer(bytes: &[u8]) -> Option<Exchanged> {
+/// Parses a response; returns `None` until it is complete.
+fn parse_response(bytes: &[u8]) -> Option<ExchangeResult> {
     let text = String::from_utf8_lossy(bytes);
     let (head, body) = text.split_once("\r\n\r\n")?;
     let head = head.to_ascii_lowercase();
@@ -242,12 +246,13 @@
     if body.len() < length {
         return None;
     }
-    let status = head.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status");
-    let end = End::Answered { status, retry_after: header("retry-after:").is_some() };
-    Some(Exchanged { end, keep: header("connection:") != Some("close") })
+    let status =
+        head.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a response without a status");
+    let outcome = RequestOutcome::Answered { status, retry_after: header("retry-after:").is_some() };
+    Some(ExchangeResult { outcome, keep_alive: header("connection:") != Some("close") })
 }
 
-/// The calls that fit, a line each.
-pub fn timeline<'a>(calls: impl IntoIterator<Item = &'a Call>) -> String {
-    calls.into_iter().map(|call| format!("{call}\n")).collect()
+/// Formats requests, one per line.
+pub fn timeline<'a>(requests: impl IntoIterator<Item = &'a ClientRequest>) -> String {
+    requests.into_iter().map(|request| format!("{request}\n")).collect()
 }
--- a/tests/soak/checks.rs
+++ b/tests/soak/checks.rs
@@ -1,125 +1,144 @@
-//! What holds of a run, seen from outside.
+//! The checks of a run, from what clients, the endpoint and discovery observed.
 use crate::callers::processes::KilledOwner;
-use crate::callers::{timeline, Call, End};
+use crate::callers::{timeline, ClientRequest, RequestOutcome};
 use crate::stalls::Stall;
 use crate::stand::{HttpMessage, Server};
 use std::collections::{BTreeMap, BTreeSet};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// A client of the platform waits so long for its answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
-/// A message has ended half a second after its time at the latest; callers give theirs 20 s.
-const DELIVERED_WITHIN: Duration = Duration::from_millis(20_500);
+/// How long a client of the platform waits for a response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
+/// Time limit for a message to complete: half a second after its deadline, which the callers set to 20 s.
+const COMPLETED_WITHIN: Duration = Duration::from_millis(20_500);
 
-/// All that was seen of a run.
-pub struct Seen<'a> {
-    pub calls: &'a [Call],
+/// Everything that was observed of a run.
+pub struct Observations<'a> {
+    pub requests: &'a [ClientRequest],
     pub killed_owners: &'a [KilledOwner],
     pub stalls: &'a [Stall],
     pub endpoint: &'a Server,
     pub discovery: &'a Server,
 }
 
-impl Seen<'_> {
-    /// The time of a call, without that in which the machine stood still.
-    fn time_of(&self, call: &Call) -> Duration {
-        let stalled: Duration = self.stalls.iter().map(|stall| stall.share_of(call)).sum();
-        (call.ended_at - call.connected_at).saturating_sub(stalled)
+impl Observations<'_> {
+    /// Returns how long a request took, without the time in which the machine was stalled.
+    fn response_time(&self, request: &ClientRequest) -> Duration {
+        let stalled: Duration = self.stalls.iter().map(|stall| stall.overlap(request)).sum();
+        (request.ended_at - request.connected_at).saturating_sub(stalled)
     }
 
-    fn died_with_a_process(&self, call: &Call) -> bool {
-        self.killed_owners.iter().any(|owner| owner.took_along(call))
+    fn is_interrupted_by_kill(&self, request: &ClientRequest) -> bool {
+        self.killed_owners.iter().any(|owner| owner.interrupted(request))
     }
 
     pub fn summary(&self) -> String {
-        let count = |fits: &dyn Fn(&Call) -> bool| self.calls.iter().filter(|call| fits(call)).count();
+        let count = |matches: &dyn Fn(&ClientRequest) -> bool| {
+            self.requests.iter().filter(|request| matches(request)).count()
+        };
         format!(
-            "{} calls, {} turned away, {} died with a killed process, {} crossed a close",
-            self.calls.len(),
-            count(&|call| matches!(call.end, End::Answered { status: 503, .. })),
-            count(&|call| self.died_with_a_process(call)),
-            count(&|call| call.crossed_a_close() && !self.died_with_a_process(call)),
+            "{} requests, {} rejected, {} interrupted by a kill, {} raced with a close",
+            self.requests.len(),
+            count(&is_rejected),
+            count(&|request| self.is_interrupted_by_kill(request)),
+            count(&|request| request.raced_with_close() && !self.is_interrupted_by_kill(request)),
         )
     }
 }
 
-/// What is wrong, a text each.
-pub fn check(seen: &Seen) -> Vec<String> {
+/// Returns a description of each problem.
+pub fn check(observations: &Observations) -> Vec<String> {
+    let requests = observations.requests;
+    let received = || observations.endpoint.received();
     let mut problems = Vec::new();
-    let mut add = |what: &str, calls: Vec<&Call>| {
-        if !calls.is_empty() {
-            problems.push(format!("{what}:\n{}", timeline(calls)));
+    let mut add = |problem: &str, requests: Vec<&ClientRequest>| {
+        if !requests.is_empty() {
+            problems.push(format!("{problem}:\n{}", timeline(requests)));
         }
     };
-    let excused = |call: &Call| seen.died_with_a_process(call) || call.crossed_a_close();
-    let unanswered = seen.calls.iter().filter(|call| !call.is_settled() && !excused(call));
-    add("without an answer", unanswered.collect());
-    let late = |call: &&Call| call.is_settled() && seen.time_of(call) > ANSWER_TIMEOUT;
-    add("answered after the client's 400 ms", seen.calls.iter().filter(late).collect());
-    let accepted: Vec<&Call> = seen.calls.iter().filter(|call| is_accepted(call)).collect();
-    add("taken on, and never ended", never_ended(seen, &accepted));
-    let runs = runs(&seen.endpoint.received());
-    let ran = |call: &&Call| runs.contains_key(&call.id);
-    let rejected = seen.calls.iter().filter(|call| matches!(call.end, End::Answered { status: 503, .. }));
-    add("turned away, and run", rejected.filter(ran).collect());
-    let crossed = seen.calls.iter().filter(|call| call.crossed_a_close() && !seen.died_with_a_process(call));
-    add("closed on as not read, and run", crossed.filter(ran).collect());
-    problems.extend(ran_twice(&seen.endpoint.received()));
-    problems.extend(out_of_order(&seen.endpoint.received(), &accepted));
+    let is_excused =
+        |request: &ClientRequest| observations.is_interrupted_by_kill(request) || request.raced_with_close();
+    let unanswered = requests.iter().filter(|request| !request.is_settled() && !is_excused(request));
+    add("requests without an answer", unanswered.collect());
+    let is_late = |request: &&ClientRequest| {
+        request.is_settled() && observations.response_time(request) > RESPONSE_TIMEOUT
+    };
+    add("requests answered after the client's 400 ms", requests.iter().filter(is_late).collect());
+    let accepted: Vec<&ClientRequest> = requests.iter().filter(|request| is_accepted(request)).collect();
+    add("messages accepted and never completed", find_incomplete(observations, &accepted));
+    let deliveries = count_deliveries(&received());
+    let is_delivered = |request: &&ClientRequest| deliveries.contains_key(&request.id);
+    let rejected = requests.iter().filter(|request| is_rejected(request));
+    add("messages rejected and yet delivered", rejected.filter(is_delivered).collect());
+    let raced = requests
+        .iter()
+        .filter(|request| request.raced_with_close() && !observations.is_interrupted_by_kill(request));
+    add("requests closed as not read and yet delivered", raced.filter(is_delivered).collect());
+    problems.extend(find_duplicate_payouts(&received()));
+    problems.extend(find_reordered(&received(), &accepted));
     problems
 }
 
-fn is_accepted(call: &Call) -> bool {
-    matches!(call.end, End::Answered { status: 200 | 202, .. })
+fn is_accepted(request: &ClientRequest) -> bool {
+    matches!(request.outcome, RequestOutcome::Answered { status: 200 | 202, .. })
+}
+
+fn is_rejected(request: &ClientRequest) -> bool {
+    matches!(request.outcome, RequestOutcome::Answered { status: 503, .. })
 }
 
-/// How often each message was heard.
-fn runs(heard: &[HttpMessage]) -> BTreeMap<String, usize> {
-    let mut runs = BTreeMap::new();
-    for message in heard {
-        *runs.entry(message.request_id().to_string()).or_default() += 1;
+/// Counts how often the endpoint received each message.
+fn count_deliveries(received: &[HttpMessage]) -> BTreeMap<String, usize> {
+    let mut deliveries = BTreeMap::new();
+    for message in received {
+        *deliveries.entry(message.request_id().to_string()).or_default() += 1;
     }
-    runs
+    deliveries
 }
 
-/// Of these, the ones that neither ran nor had a callback with another end.
-fn never_ended<'a>(seen: &Seen, accepted: &[&'a Call]) -> Vec<&'a Call> {
-    let begun = Instant::now();
+/// Returns the accepted messages that are neither delivered nor reported by a completion callback in time.
+fn find_incomplete<'a>(
+    observations: &Observations, accepted: &[&'a ClientRequest],
+) -> Vec<&'a ClientRequest> {
+    let started = Instant::now();
     loop {
-        let runs = runs(&seen.endpoint.received());
-        let callbacks: String = seen.discovery.received().iter().map(HttpMessage::text).collect();
-        let has_ended = |id: &str| runs.contains_key(id) || callbacks.contains(&format!(r#""id":"{id}""#));
-        let open: Vec<&Call> = accepted.iter().copied().filter(|call| !has_ended(&call.id)).collect();
-        if open.is_empty() || begun.elapsed() > DELIVERED_WITHIN {
-            return open;
+        let deliveries = count_deliveries(&observations.endpoint.received());
+        let callbacks: String = observations.discovery.received().iter().map(HttpMessage::text).collect();
+        let is_complete =
+            |id: &str| deliveries.contains_key(id) || callbacks.contains(&format!(r#""id":"{id}""#));
+        let incomplete: Vec<&ClientRequest> =
+            accepted.iter().copied().filter(|request| !is_complete(&request.id)).collect();
+        if incomplete.is_empty() || started.elapsed() > COMPLETED_WITHIN {
+            return incomplete;
         }
         sleep(Duration::from_millis(100));
     }
 }
 
-/// Payouts are heard once at most: the endpoint has answered each of them with a delivery.
-fn ran_twice(heard: &[HttpMessage]) -> Vec<String> {
+/// Returns a problem for each payout that was delivered more than once. The endpoint answers every call with 200, so no
+/// payout may be sent again.
+fn find_duplicate_payouts(received: &[HttpMessage]) -> Vec<String> {
     let is_payout = |id: &str| ["c0-", "c1-", "before-kill-"].iter().any(|prefix| id.starts_with(prefix));
-    let twice = runs(heard).into_iter().filter(|(id, count)| is_payout(id) && *count > 1);
-    twice.map(|(id, count)| format!("payout {id} ran {count} times")).collect()
+    let duplicates = count_deliveries(received).into_iter().filter(|(id, count)| is_payout(id) && *count > 1);
+    duplicates.map(|(id, count)| format!("payout {id} was delivered {count} times")).collect()
 }
 
-/// Messages of one key are first heard in the order in which they were taken on.
-fn out_of_order(heard: &[HttpMessage], accepted: &[&Call]) -> Vec<String> {
-    let accepted: BTreeSet<&str> = accepted.iter().map(|call| call.id.as_str()).collect();
+/// Returns a problem for each message whose first delivery is not in the order in which the messages with its key were
+/// accepted.
+fn find_reordered(received: &[HttpMessage], accepted: &[&ClientRequest]) -> Vec<String> {
+    let accepted: BTreeSet<&str> = accepted.iter().map(|request| request.id.as_str()).collect();
     let mut problems = Vec::new();
     for caller in ["c4-", "c5-"] {
         let mut latest = 0;
-        let mut known = BTreeSet::new();
-        for id in heard
+        let mut delivered = BTreeSet::new();
+        for id in received
             .iter()
             .map(HttpMessage::request_id)
             .filter(|id| id.starts_with(caller) && accepted.contains(id))
         {
-            let number: usize = id[caller.len()..].parse().expect("a number");
-            if known.insert(number) && number < latest {
-                problems.push(format!("{id} was first heard after {caller}{latest}"));
+            let number: usize = id[caller.len()..].parse().expect("a request id without a number");
+            if delivered.insert(number) && number < latest {
+                problems.push(format!("{id} was first delivered after {caller}{latest}"));
             }
             latest = latest.max(number);
         }
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,16 +1,17 @@
-//! A soak with real processes: seeded operations on the processes of one forwarder, while clients keep using their
-//! connections until a process is gone. Everything is checked from outside: every request has one whole answer in time, no
-//! message that was taken on is lost, none that was turned away runs, no payout runs twice, the order by key is kept, a process
-//! serves and ends within its bounds, and no connection or file is left behind.
+//! A soak test with real processes: applies seeded operations to the processes of one forwarder while clients use their
+//! connections until a process is gone. All checks are made from outside: every request has one complete response in time, no
+//! accepted message is lost, no rejected message is delivered, no payout is delivered twice, messages keep the order of their
+//! key, a process serves and exits within its time limits, and no connection or file is leaked.
 //!
-//! What may have no answer: a request on a connection of a process that was killed while it owned the folder (by the times of
-//! its listener, of the kill and of the connect), and one on a reused connection whose close crossed it (the protocol has
-//! the client send it again); the latter must not have run.
+//! Two kinds of request may have no response: one on a connection of a process that was killed while it owned the folder
+//! (judged by the times of the listener, the kill and the connection), and one on a reused connection that was closed while
+//! the request was on its way (the protocol has the client send it again). The latter must not have been delivered.
 //!
-//! Found with it: a third process that was let in only after the lease of a second (docs/incidents, takeover livelock).
+//! This test found that a third process was admitted only after the lease of the second had expired (docs/incidents,
+//! takeover livelock).
 //!
-//! `SOAK_FROM` and `SOAK_SEEDS` say which seeds are played. A seed that fails prints the command that plays it again, what was
-//! done when, and the calls that are at fault.
+//! `SOAK_FROM` is the first seed and `SOAK_SEEDS` the number of seeds. A seed that fails prints the command that repeats it,
+//! the operations with their times, and the requests at fault.
 #[path = "../callers/mod.rs"]
 mod callers;
 mod checks;
@@ -25,13 +26,13 @@
 use std::sync::Arc;
 use std::thread;
 
-/// Seeds that are played where the environment names none.
+/// Number of seeds if `SOAK_SEEDS` is not set.
 const DEFAULT_SEEDS: u64 = 8;
-/// Seeds at once.
-const PARALLEL: usize = 4;
+/// Number of seeds that run at the same time.
+const PARALLEL_SEEDS: usize = 4;
 
 fn from_environment(name: &str, default: u64) -> u64 {
-    std::env::var(name).map_or(default, |text| text.parse().expect("a number"))
+    std::env::var(name).map_or(default, |text| text.parse().expect("not a number"))
 }
 
 #[test]
@@ -39,7 +40,7 @@
     let from = from_environment("SOAK_FROM", 1);
     let to = from + from_environment("SOAK_SEEDS", DEFAULT_SEEDS);
     let next = Arc::new(AtomicU64::new(from));
-    let players: Vec<_> = (0..PARALLEL).map(|_| thread::spawn({
+    let workers: Vec<_> = (0..PARALLEL_SEEDS).map(|_| thread::spawn({
         let next = next.clone();
         move || {
             let mut failed = Vec::new();
@@ -48,15 +49,15 @@
                 if seed >= to {
                     return failed;
                 }
-                if let Err(why) = world::play(seed) {
-                    println!("seed {seed} FAILED: SOAK_FROM={seed} SOAK_SEEDS=1 cargo test --test soak\n{why}");
+                if let Err(problems) = world::run(seed) {
+                    println!("seed {seed} FAILED: SOAK_FROM={seed} SOAK_SEEDS=1 cargo test --test soak\n{problems}");
                     failed.push(seed);
                 }
             }
         }
     })).collect();
     let mut failed: Vec<u64> =
-        players.into_iter().flat_map(|player| player.join().expect("a player")).collect();
+        workers.into_iter().flat_map(|worker| worker.join().expect("a worker panicked")).collect();
     failed.sort();
     assert!(failed.is_empty(), "seeds {failed:?} failed");
 }
--- a/tests/soak/operations.rs
+++ b/tests/soak/operations.rs
@@ -1,44 +1,44 @@
-//! What is done to the processes in a run, drawn from its seed.
+//! The operations on the processes in a run, drawn from its seed.
 use rand::rngs::StdRng;
 use rand::Rng;
 use std::time::Duration;
 
-/// One operation.
+/// An operation on the processes of the forwarder.
 #[derive(Clone, Copy, Debug)]
 pub enum Operation {
-    /// SIGHUP.
+    /// Sends SIGHUP.
     Reload,
-    /// A second process takes over, and the first is told to end.
+    /// A second process takes over, then the first one receives SIGTERM.
     TakeOver,
-    /// A second process is killed so long after its start.
+    /// A second process is killed this time after its start.
     KillSuccessor(Duration),
-    /// A second process is told to end so long after its start.
+    /// A second process receives SIGTERM this time after its start.
     TerminateSuccessor(Duration),
-    /// The first process is told to end so long after a second one has been started.
+    /// The first process receives SIGTERM this time after a second one was started.
     TerminateDuringTakeover(Duration),
-    /// A second process takes over, and a third one from it, before the first is told to end.
+    /// A second process takes over and a third one takes over from it before the first two receive SIGTERM.
     TakeOverTwice,
-    /// SIGHUP, SIGTERM and SIGTERM; the next process is started when it has ended.
+    /// The process receives SIGHUP, SIGTERM and SIGTERM; the next one is started when it has exited.
     Restart,
-    /// SIGKILL right behind an answer that takes a message on; the next process is started at once.
+    /// The process is killed right after a response that accepts a message; the next one is started at once.
     Kill,
 }
 
-/// Operations of one run.
-const OPERATIONS: usize = 5;
+/// Number of operations in a run.
+const OPERATIONS_PER_RUN: usize = 5;
 
 pub fn draw(random: &mut StdRng) -> Vec<Operation> {
-    (0..OPERATIONS).map(|_| draw_one(random)).collect()
+    (0..OPERATIONS_PER_RUN).map(|_| draw_one(random)).collect()
 }
 
 fn draw_one(random: &mut StdRng) -> Operation {
-    let moment = Duration::from_millis(random.random_range(0..250));
+    let delay = Duration::from_millis(random.random_range(0..250));
     match random.random_range(0..10) {
         0 => Operation::Reload,
         1 | 2 => Operation::TakeOver,
-        3 | 4 => Operation::KillSuccessor(moment),
-        5 => Operation::TerminateSuccessor(moment),
-        6 => Operation::TerminateDuringTakeover(moment),
+        3 | 4 => Operation::KillSuccessor(delay),
+        5 => Operation::TerminateSuccessor(delay),
+        6 => Operation::TerminateDuringTakeover(delay),
         7 => Operation::TakeOverTwice,
         8 => Operation::Restart,
         _ => Operation::Kill,
--- a/tests/soak/stalls.rs
+++ b/tests/soak/stalls.rs
@@ -1,15 +1,15 @@
-//! Times in which the machine itself stood still: a thread that sleeps for some milliseconds wakes much later.
-use crate::callers::{unix_time, Call};
+//! Detects stalls of the machine: a thread that sleeps for some milliseconds wakes up much later.
+use crate::callers::{unix_time, ClientRequest};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::thread::{self, sleep, JoinHandle};
 use std::time::Duration;
 
-const SLEEP: Duration = Duration::from_millis(5);
-/// A sleep that is so much too long is a stall.
-const STALL: Duration = Duration::from_millis(50);
+const SLEEP_TIME: Duration = Duration::from_millis(5);
+/// How much longer than `SLEEP_TIME` a sleep takes during a stall.
+const MIN_STALL: Duration = Duration::from_millis(50);
 
-/// When it stood still.
+/// A period in which the machine was stalled, in Unix time.
 #[derive(Clone, Copy, Debug)]
 pub struct Stall {
     from: Duration,
@@ -17,38 +17,39 @@
 }
 
 impl Stall {
-    /// How much of a call's time it took.
-    pub fn share_of(&self, call: &Call) -> Duration {
-        self.to.min(call.ended_at).saturating_sub(self.from.max(call.connected_at))
+    /// Returns how much of the stall falls within a request.
+    pub fn overlap(&self, request: &ClientRequest) -> Duration {
+        self.to.min(request.ended_at).saturating_sub(self.from.max(request.connected_at))
     }
 }
 
-pub struct StallWatch {
+/// A thread that records the stalls of the machine.
+pub struct StallDetector {
     stop: Arc<AtomicBool>,
     thread: JoinHandle<Vec<Stall>>,
 }
 
-impl StallWatch {
-    pub fn start() -> StallWatch {
+impl StallDetector {
+    pub fn start() -> StallDetector {
         let stop = Arc::new(AtomicBool::new(false));
-        let stopped = stop.clone();
+        let stop_requested = stop.clone();
         let thread = thread::spawn(move || {
             let mut stalls = Vec::new();
-            while !stopped.load(Ordering::Relaxed) {
+            while !stop_requested.load(Ordering::Relaxed) {
                 let from = unix_time();
-                sleep(SLEEP);
+                sleep(SLEEP_TIME);
                 let to = unix_time();
-                if to - from > SLEEP + STALL {
+                if to - from > SLEEP_TIME + MIN_STALL {
                     stalls.push(Stall { from, to });
                 }
             }
             stalls
         });
-        StallWatch { stop, thread }
+        StallDetector { stop, thread }
     }
 
     pub fn stop(self) -> Vec<Stall> {
         self.stop.store(true, Ordering::Relaxed);
-        self.thread.join().expect("the watch")
+        self.thread.join().expect("the stall detector panicked")
     }
 }
--- a/tests/soak/world.rs
+++ b/tests/soak/world.rs
@@ -1,10 +1,10 @@
-//! One run: a forwarder whose processes come and go, its callers, its endpoint and its platform.
+//! One run: a forwarder whose processes are replaced, its callers, its endpoint and its platform.
 use crate::callers::processes::{kill, start_second, KilledOwner};
 use crate::callers::{unix_time, CallerKind, Callers, ConnectGate, Connections};
-use crate::checks::{self, Seen};
+use crate::checks::{self, Observations};
 use crate::crowd::{Crowd, CrowdKind};
 use crate::operations::{self, Operation};
-use crate::stalls::StallWatch;
+use crate::stalls::StallDetector;
 use crate::stand::*;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -14,31 +14,31 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// A second process has so long to serve, by the page on upgrades.
+/// The documented limit for a second process to serve during an upgrade.
 const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(6);
-/// New connections still come for so long after SIGTERM.
+/// How long clients may still open connections after SIGTERM.
 const CONNECTS_AFTER_TERM: Duration = Duration::from_millis(400);
-/// SIGKILL comes so long after SIGTERM.
+/// Time from SIGTERM to the SIGKILL of the platform.
 const KILL_AFTER_TERM: Duration = Duration::from_millis(3700);
-/// Between two operations.
+/// Pause between two operations.
 const PAUSE: Duration = Duration::from_millis(300);
-/// Descriptors of a process, of which a third is for clients.
+/// Number of descriptors of a process, a third of which is for clients.
 const SOCKETS: u32 = 384;
 
 const CALLERS: [CallerKind; 6] = [
     CallerKind { class: "payout", connections: Connections::New, key: None },
-    CallerKind { class: "payout", connections: Connections::Kept, key: None },
+    CallerKind { class: "payout", connections: Connections::KeepAlive, key: None },
     CallerKind { class: "stats", connections: Connections::New, key: None },
-    CallerKind { class: "stats", connections: Connections::Kept, key: None },
+    CallerKind { class: "stats", connections: Connections::KeepAlive, key: None },
     CallerKind { class: "sync", connections: Connections::New, key: Some("00aa") },
-    CallerKind { class: "sync", connections: Connections::Kept, key: Some("00bb") },
+    CallerKind { class: "sync", connections: Connections::KeepAlive, key: Some("00bb") },
 ];
 
-/// An endpoint that answers at once or late; by the message's id, the same in each play.
-fn endpoint() -> Server {
-    Server::start(|heard, _| {
+/// Starts an endpoint that answers some calls late. The message's id selects them, so they are the same in each run.
+fn start_endpoint() -> Server {
+    Server::start(|request, _| {
         let number: usize =
-            heard.request_id().rsplit('-').next().and_then(|number| number.parse().ok()).unwrap_or(0);
+            request.request_id().rsplit('-').next().and_then(|number| number.parse().ok()).unwrap_or(0);
         if number % 50 == 17 {
             sleep(Duration::from_millis(400));
         }
@@ -46,75 +46,80 @@
     })
 }
 
-/// The processes of the forwarder, and what was done to them.
+/// The processes of a forwarder, its endpoint and its platform, and a record of the operations.
 pub struct World {
     seed: u64,
     endpoint: Server,
     discovery: Server,
-    /// Each process so far; the last one serves, or is about to.
+    /// All processes so far; the last one serves or is about to serve.
     processes: Vec<Daemon>,
     gate: ConnectGate,
     killed_owners: Vec<KilledOwner>,
-    diary: String,
+    /// The operations and their effects with times, one per line.
+    event_log: String,
     problems: Vec<String>,
 }
 
-/// Plays a seed.
-pub fn play(seed: u64) -> Result<(), String> {
+/// Runs the operations of a seed.
+///
+/// # Errors
+///
+/// The problems that were found, and the operations with their times.
+pub fn run(seed: u64) -> Result<(), String> {
     let mut random = StdRng::seed_from_u64(seed);
-    let kinds = [CrowdKind::None, CrowdKind::Idle, CrowdKind::Leaving, CrowdKind::InPieces];
-    let crowd = kinds[random.random_range(0..kinds.len())];
+    let crowd_kinds = [CrowdKind::None, CrowdKind::Idle, CrowdKind::Disconnecting, CrowdKind::InPieces];
+    let crowd_kind = crowd_kinds[random.random_range(0..crowd_kinds.len())];
     let operations = operations::draw(&mut random);
     let mut world = World::start(seed);
-    let files = count_files(world.current());
-    let machine = StallWatch::start();
+    let files_at_start = count_files(world.current());
+    let stall_detector = StallDetector::start();
     let callers = Callers::start_kinds(world.current().addr, &CALLERS, &world.gate);
-    let crowd_at_work = Crowd::start(crowd, world.current().addr);
+    let crowd = Crowd::start(crowd_kind, world.current().addr);
     sleep(PAUSE);
     for operation in operations {
-        world.note(&format!("{operation:?}"));
-        world.carry_out(operation);
+        world.record(&format!("{operation:?}"));
+        world.execute(operation);
         sleep(PAUSE);
     }
-    let calls = callers.stop();
-    let stalls = machine.stop();
-    crowd_at_work.stop();
-    world.check_descriptors(files);
-    let seen = Seen {
-        calls: &calls,
+    let requests = callers.stop();
+    let stalls = stall_detector.stop();
+    crowd.stop();
+    world.check_descriptors(files_at_start);
+    let observations = Observations {
+        requests: &requests,
         killed_owners: &world.killed_owners,
         stalls: &stalls,
         endpoint: &world.endpoint,
         discovery: &world.discovery,
     };
     let mut problems = std::mem::take(&mut world.problems);
-    problems.extend(checks::check(&seen));
-    println!("seed {seed}, crowd {crowd:?}: {}", seen.summary());
+    problems.extend(checks::check(&observations));
+    println!("seed {seed}, crowd {crowd_kind:?}: {}", observations.summary());
     if problems.is_empty() {
         return Ok(());
     }
     world.save_logs();
-    Err(format!("{}\n{}", problems.join("\n"), world.diary))
+    Err(format!("{}\n{}", problems.join("\n"), world.event_log))
 }
 
-/// Hands a message in, and gives the status of its answer; 0 where there is none.
+/// Sends a message and returns the status of the response, or 0 without a response.
 fn submit(process: &Daemon, class: &str, id: &str) -> u16 {
     let Ok(mut socket) = TcpStream::connect(process.addr) else { return 0 };
     let request = message_request(class, id, "20000m", "");
     if socket.write_all(&request).is_err() || socket.set_read_timeout(Some(EVENT_TIMEOUT)).is_err() {
         return 0;
     }
-    read_http(&mut BufReader::new(socket)).map_or(0, |answer| answer.status())
+    read_http(&mut BufReader::new(socket)).map_or(0, |response| response.status())
 }
 
-/// Descriptors that are no sockets.
+/// Counts the descriptors of a process that are not sockets.
 fn count_files(process: &Daemon) -> usize {
     process.descriptors().iter().filter(|target| !target.starts_with("socket:")).count()
 }
 
 impl World {
     fn start(seed: u64) -> World {
-        let endpoint = endpoint();
+        let endpoint = start_endpoint();
         let known = endpoint_list(1, &[(7, endpoint.addr)]);
         let discovery = start_discovery(known.clone());
         let env = vec![("RELAY_MGMT".to_string(), free_address().to_string())];
@@ -122,28 +127,29 @@
         let setup = Setup { env, max_pending: 1000, sockets: SOCKETS, ..base };
         let first = setup.start();
         let (gate, killed_owners) = (ConnectGate::default(), Vec::new());
-        let (diary, problems) = (String::new(), Vec::new());
-        World { seed, endpoint, discovery, processes: vec![first], gate, killed_owners, diary, problems }
+        let (event_log, problems) = (String::new(), Vec::new());
+        World { seed, endpoint, discovery, processes: vec![first], gate, killed_owners, event_log, problems }
     }
 
     fn current(&mut self) -> &mut Daemon {
-        self.processes.last_mut().expect("one was started")
+        self.processes.last_mut().expect("no process was started")
     }
 
-    fn note(&mut self, what: &str) {
-        let _ = writeln!(self.diary, "{:.4}  {what}", unix_time().as_secs_f64());
+    /// Adds an event with its time to the event log.
+    fn record(&mut self, event: &str) {
+        let _ = writeln!(self.event_log, "{:.4}  {event}", unix_time().as_secs_f64());
     }
 
-    fn problem(&mut self, what: &str) {
-        self.note(what);
-        self.problems.push(what.to_string());
+    fn report_problem(&mut self, problem: &str) {
+        self.record(problem);
+        self.problems.push(problem.to_string());
     }
 
     fn start_second(&mut self) -> Daemon {
         start_second(self.current())
     }
 
-    fn carry_out(&mut self, operation: Operation) {
+    fn execute(&mut self, operation: Operation) {
         match operation {
             Operation::Reload => self.current().signal("-HUP"),
             Operation::TakeOver => self.take_over(1),
@@ -156,176 +162,181 @@
         }
     }
 
-    /// So many processes take over from each other; the earlier ones are told to end afterwards.
+    /// Starts processes that take over one after the other, then terminates the earlier ones.
     fn take_over(&mut self, times: usize) {
         let earlier = self.processes.len() - 1;
         for _ in 0..times {
             let second = self.start_second();
-            self.await_ready(&second);
+            self.wait_ready(&second);
             self.processes.push(second);
         }
         let last = self.processes.len() - 1;
         for process in earlier..last {
-            self.end(process, |_| {});
+            self.terminate(process, |_| {});
         }
     }
 
-    fn await_ready(&mut self, process: &Daemon) {
+    fn wait_ready(&mut self, process: &Daemon) {
         let started = Instant::now();
         while !process.log().contains("ready:") {
             if started.elapsed() > TAKEOVER_TIMEOUT {
-                return self.problem("the second process does not serve within 6 s");
+                return self.report_problem("the second process does not serve within 6 s");
             }
             sleep(Duration::from_millis(5));
         }
-        self.note(&format!("it serves after {:?}", started.elapsed()));
+        self.record(&format!("the second process serves after {:?}", started.elapsed()));
     }
 
-    /// SIGTERM to this process, which has to be gone before the SIGKILL of the platform. `meanwhile` runs 0.4 s later.
-    fn end(&mut self, process: usize, meanwhile: impl FnOnce(&mut World)) {
+    /// Sends SIGTERM to a process and waits until it has exited.
+    fn terminate(&mut self, process: usize, after_last_connects: impl FnOnce(&mut World)) {
         self.processes[process].terminate();
-        self.await_end(process, meanwhile);
+        self.wait_exit(process, after_last_connects);
     }
 
-    fn await_end(&mut self, process: usize, meanwhile: impl FnOnce(&mut World)) {
-        let told = Instant::now();
+    /// Waits until a process that has received SIGTERM exits; it must exit before the SIGKILL of the platform. Calls
+    /// `after_last_connects` once clients open no more connections to it.
+    fn wait_exit(&mut self, process: usize, after_last_connects: impl FnOnce(&mut World)) {
+        let terminated_at = Instant::now();
         sleep(CONNECTS_AFTER_TERM);
-        meanwhile(self);
+        after_last_connects(self);
         while self.processes[process].is_running() {
-            if told.elapsed() > KILL_AFTER_TERM {
-                self.problem("it has not ended 3.7 s after SIGTERM");
+            if terminated_at.elapsed() > KILL_AFTER_TERM {
+                self.report_problem("the process has not exited 3.7 s after SIGTERM");
                 self.processes[process].kill();
                 return;
             }
             sleep(Duration::from_millis(5));
         }
-        self.note(&format!("process {process} ended after {:?}", told.elapsed()));
+        self.record(&format!("process {process} exited after {:?}", terminated_at.elapsed()));
     }
 
     fn kill_successor(&mut self, after: Duration) {
         let mut second = self.start_second();
         sleep(after);
-        self.kill_process(&mut second, "its successor");
-        self.ended_beside(second);
-        self.await_service("stats", "probe");
+        self.kill_process(&mut second, "the successor");
+        self.insert_before_current(second);
+        self.wait_accepted("stats", "probe");
     }
 
     fn terminate_successor(&mut self, after: Duration) {
         let second = self.start_second();
         sleep(after);
         second.terminate();
-        // One that serves by now ends like any other, and the first process takes over from it.
+        // A successor that already serves shuts down like any process, and the first process takes over from it.
         let index = self.processes.len() - 1;
         self.processes.insert(index, second);
-        self.await_end(index, |_| {});
-        self.await_service("stats", "probe");
+        self.wait_exit(index, |_| {});
+        self.wait_accepted("stats", "probe");
     }
 
-    /// Whichever process goes on serves.
+    /// Terminates the first process during a takeover; the second process must serve all the same.
     fn terminate_during_takeover(&mut self, after: Duration) {
         let second = self.start_second();
         sleep(after);
         let first = self.processes.len() - 1;
         self.processes.push(second);
-        let told = Instant::now();
+        let terminated_at = Instant::now();
         self.processes[first].terminate();
-        while !self.current().log().contains("ready:") && told.elapsed() < TAKEOVER_TIMEOUT {
+        while !self.current().log().contains("ready:") && terminated_at.elapsed() < TAKEOVER_TIMEOUT {
             sleep(Duration::from_millis(5));
         }
         if !self.current().log().contains("ready:") {
-            self.problem("the second process does not serve within 6 s");
+            self.report_problem("the second process does not serve within 6 s");
         }
-        while self.processes[first].is_running() && told.elapsed() < KILL_AFTER_TERM {
+        while self.processes[first].is_running() && terminated_at.elapsed() < KILL_AFTER_TERM {
             sleep(Duration::from_millis(5));
         }
         if self.processes[first].is_running() {
-            self.problem("it has not ended 3.7 s after SIGTERM");
+            self.report_problem("the process has not exited 3.7 s after SIGTERM");
             self.processes[first].kill();
         }
     }
 
-    /// No second process beside it: for some time nobody listens, and callers open no connections.
+    /// Terminates the process without a second process beside it. For some time no process listens, so callers open no
+    /// connections.
     fn restart(&mut self) {
         for signal in ["-HUP", "-TERM", "-TERM"] {
             self.current().signal(signal);
         }
         let process = self.processes.len() - 1;
-        self.await_end(process, |world| world.gate.close());
+        self.wait_exit(process, |world| world.gate.close());
         self.start_next();
     }
 
     fn kill(&mut self) {
-        // Under this load a message may be turned away.
-        self.await_service("payout", "before-kill");
+        // Under this load a message may be rejected.
+        self.wait_accepted("payout", "before-kill");
         self.gate.close();
-        let mut process = self.processes.pop().expect("one runs");
-        self.kill_process(&mut process, "it");
+        let mut process = self.processes.pop().expect("no process");
+        self.kill_process(&mut process, "the serving process");
         self.processes.push(process);
         self.start_next();
     }
 
     fn start_next(&mut self) {
         let next = self.start_second();
-        self.await_ready(&next);
+        self.wait_ready(&next);
         self.processes.push(next);
         self.gate.open();
     }
 
-    fn kill_process(&mut self, process: &mut Daemon, which: &str) {
+    fn kill_process(&mut self, process: &mut Daemon, name: &str) {
         let owner = kill(process);
-        self.note(&format!("SIGKILL to {which}"));
+        self.record(&format!("SIGKILL to {name}"));
         self.killed_owners.extend(owner);
     }
 
-    /// A process that is gone goes before the one that serves.
-    fn ended_beside(&mut self, process: Daemon) {
+    /// Adds a process that has ended before the one that serves.
+    fn insert_before_current(&mut self, process: Daemon) {
         let index = self.processes.len() - 1;
         self.processes.insert(index, process);
     }
 
-    /// Waits until a message is taken on; until then it may only be turned away.
-    fn await_service(&mut self, class: &str, prefix: &str) {
-        let asked = Instant::now();
+    /// Sends messages until the forwarder accepts one. Each earlier message must be rejected with 503.
+    fn wait_accepted(&mut self, class: &str, prefix: &str) {
+        let started = Instant::now();
         for number in 0.. {
             let id = format!("{prefix}-{}-{number}", self.processes.len());
             match submit(self.current(), class, &id) {
                 202 => break,
-                503 if asked.elapsed() < TAKEOVER_TIMEOUT => sleep(Duration::from_millis(5)),
+                503 if started.elapsed() < TAKEOVER_TIMEOUT => sleep(Duration::from_millis(5)),
                 status => {
-                    return self.problem(&format!("{id} was answered {status} after {:?}", asked.elapsed()))
+                    return self
+                        .report_problem(&format!("{id} was answered {status} after {:?}", started.elapsed()))
                 }
             }
         }
-        self.note(&format!("messages are taken on after {:?}", asked.elapsed()));
+        self.record(&format!("messages are accepted after {:?}", started.elapsed()));
     }
 
-    /// Once its callers are gone the process holds no connection of theirs, and no more files than one that has just
-    /// started. Connections to endpoints and to the platform have bounds of their own.
+    /// Checks that the process, once its callers are gone, holds no client connection and no more files than at the start.
+    /// Connections to endpoints and to the platform have other limits and are not checked here.
     fn check_descriptors(&mut self, files_at_start: usize) {
         const SETTLED_WITHIN: Duration = Duration::from_secs(6);
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             let files = count_files(self.current());
             let clients = self.current().client_connections();
             if files <= files_at_start && clients == 0 {
                 return;
             }
-            if begun.elapsed() > SETTLED_WITHIN {
-                let open = self.current().descriptors().join(", ");
-                let left =
-                    format!("{files} files are left, {files_at_start} at the start, and {clients} clients");
-                return self.problem(&format!("{left}: {open}"));
+            if started.elapsed() > SETTLED_WITHIN {
+                let descriptors = self.current().descriptors().join(", ");
+                let leaked = format!(
+                    "{files} files are open, {files_at_start} at the start, and {clients} client connections"
+                );
+                return self.report_problem(&format!("{leaked}: {descriptors}"));
             }
             sleep(Duration::from_millis(50));
         }
     }
 
-    /// The logs of all processes of a seed that failed, for whoever looks for the cause.
+    /// Saves the logs of all processes of a seed that failed.
     fn save_logs(&mut self) {
         for (number, process) in self.processes.iter().enumerate() {
             let path = std::env::temp_dir().join(format!("soak-{}-{number}.log", self.seed));
             if std::fs::write(&path, process.log()).is_ok() {
-                let _ = writeln!(self.diary, "log: {}", path.display());
+                let _ = writeln!(self.event_log, "log: {}", path.display());
             }
         }
     }
--- a/tests/takeover_order.rs
+++ b/tests/takeover_order.rs
@@ -1,141 +1,147 @@
-//! Moments of a takeover whose order is forced: by a lock that the test holds, by a process that is stopped, or by a client
-//! that holds the rest of its request back. Callers have their answers in all of them. What these guard against, and how it
-//! was seen, is told in `tests/takeover_rounds.rs`.
+//! Takeovers with a forced order of events: the test holds a lock of the state folder, suspends a process, or delays the rest
+//! of a request. Callers are answered in all of them. `tests/takeover_rounds.rs` describes the failures that these tests
+//! guard against.
 mod callers;
 mod stand;
 use callers::processes::{start_first, start_first_with, start_second};
-use callers::{timeline, Call, Callers, Connections};
+use callers::{timeline, Callers, ClientRequest, Connections};
 use stand::*;
 use std::fs::File;
 use std::io::{BufReader, Write};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// A request that was not used for 1 s has expired; and some time for the looks at the locks.
+/// The time after which an unused request for the folder expires (1 s), and some time for polls of the locks.
 const SERVES_AGAIN_WITHIN: Duration = Duration::from_millis(1600);
-/// The soonest that a planned restart kills the process after SIGTERM.
-const KILLED_AFTER: Duration = Duration::from_millis(3700);
-/// Some looks at the locks of each process.
-const LOOKS: Duration = Duration::from_millis(200);
-const CALLERS: [Connections; 2] = [Connections::New, Connections::Kept];
+/// The earliest time after SIGTERM at which a planned restart kills the process.
+const KILL_AFTER_TERM: Duration = Duration::from_millis(3700);
+/// Time in which each process polls the locks several times.
+const SEVERAL_POLLS: Duration = Duration::from_millis(200);
+const CALLERS: [Connections; 2] = [Connections::New, Connections::KeepAlive];
 
-/// Holds one of the locks of the folder, as another process would.
-fn hold(daemon: &Daemon, name: &str) -> File {
+/// Acquires a lock of the state folder, as another process would; the lock is held until the file is dropped.
+fn acquire_lock(daemon: &Daemon, name: &str) -> File {
     let path = daemon.folder.join("state").join(name);
-    let file = File::options().create(true).append(true).open(path).expect("a file");
-    file.lock().expect("its lock");
+    let file = File::options().create(true).append(true).open(path).expect("cannot open the lock file");
+    file.lock().expect("cannot lock the file");
     file
 }
 
-fn status(daemon: &Daemon, id: &str) -> u16 {
+/// Sends a message and returns the status of the response.
+fn submit(daemon: &Daemon, id: &str) -> u16 {
     daemon.submit("stats", id)
 }
 
-/// Waits until the process takes a message on; until then it may only turn it away.
+/// Sends messages until the forwarder accepts one. Each earlier message must be rejected with 503.
 fn wait_accepted(daemon: &Daemon, within: Duration) {
-    let asked = Instant::now();
+    let started = Instant::now();
     for number in 0.. {
-        match status(daemon, &format!("wait-{number}")) {
+        match submit(daemon, &format!("wait-{number}")) {
             202 => return,
-            503 => assert!(asked.elapsed() < within, "turned away for {:?}", asked.elapsed()),
-            other => panic!("{other}, neither taken on nor turned away"),
+            503 => assert!(started.elapsed() < within, "messages rejected for {:?}", started.elapsed()),
+            other => panic!("a message was answered with status {other}, neither 202 nor 503"),
         }
         sleep(Duration::from_millis(5));
     }
 }
 
-fn check_answered(calls: &[Call]) {
-    let unanswered = calls.iter().filter(|call| !call.is_settled() && !call.crossed_a_close());
+/// Checks that each request has an answer, apart from those whose connection was closed while they were on their way.
+fn check_answered(requests: &[ClientRequest]) {
+    let unanswered = requests.iter().filter(|request| !request.is_settled() && !request.raced_with_close());
     let unanswered = timeline(unanswered);
-    assert!(!calls.is_empty() && unanswered.is_empty(), "without an answer:\n{unanswered}");
+    assert!(!requests.is_empty() && unanswered.is_empty(), "requests without an answer:\n{unanswered}");
 }
 
-/// The successor dies while the predecessor drains: a request that is arriving then is answered, and so are new clients.
+/// The successor dies while the predecessor drains. A request that the predecessor has received in part is answered, and so
+/// are new clients.
 #[test]
-fn a_drain_that_is_undone_cuts_nobody_off() {
+fn a_cancelled_drain_interrupts_no_request() {
     let first = start_first();
     let request = message_request("stats", "in-pieces", "20000m", "");
-    let (begin, rest) = request.split_at(40);
+    let (first_part, rest) = request.split_at(40);
     let mut client = first.connect();
-    client.write_all(begin).expect("it reads");
-    let successor = hold(&first, "next");
+    client.write_all(first_part).expect("cannot send to the forwarder");
+    let successor = acquire_lock(&first, "next");
     first.wait_log("handing over");
-    assert_eq!(status(&first, "while-draining"), 202);
+    assert_eq!(submit(&first, "while-draining"), 202);
     drop(successor);
     first.wait_log("serving again");
-    client.write_all(rest).expect("it reads");
-    let answer = read_http(&mut BufReader::new(client)).expect("an answer");
-    assert_eq!(answer.status(), 202);
-    assert_eq!(status(&first, "after-it"), 202);
-    assert!(!first.log().contains("handed over"), "it was undone before the release");
+    client.write_all(rest).expect("cannot send to the forwarder");
+    let response = read_http(&mut BufReader::new(client)).expect("no response");
+    assert_eq!(response.status(), 202);
+    assert_eq!(submit(&first, "after-drain"), 202);
+    assert!(
+        !first.log().contains("handed over"),
+        "the journal was released before the takeover was cancelled"
+    );
 }
 
-/// Between the release and the successor's listener, and after the successor's death, clients are turned away and told when
-/// to come again; they are neither refused nor left waiting.
+/// Clients are neither refused nor left without a response between the release and the moment the successor listens, nor
+/// after the successor's death.
 #[test]
-fn clients_are_turned_away_while_nobody_owns_the_folder() {
+fn clients_are_rejected_with_retry_after_while_no_process_owns_the_folder() {
     let first = start_first();
-    let request = hold(&first, "next");
+    let request = acquire_lock(&first, "next");
     first.wait_log("handed over");
-    let answer = first.send_request(&message_request("stats", "a", "20000m", "")).expect("an answer");
-    assert_eq!((answer.status(), answer.header("retry-after").is_some()), (503, true));
-    let owner = hold(&first, "owner");
+    let response = first.send_request(&message_request("stats", "a", "20000m", "")).expect("no response");
+    assert_eq!((response.status(), response.header("retry-after").is_some()), (503, true));
+    let owner = acquire_lock(&first, "owner");
     drop(request);
     first.wait_log("waiting for it");
-    let answer = first.send_request(&message_request("stats", "b", "20000m", "")).expect("an answer");
-    assert_eq!((answer.status(), answer.header("retry-after").is_some()), (503, true));
-    let at = first.log().len();
+    let response = first.send_request(&message_request("stats", "b", "20000m", "")).expect("no response");
+    assert_eq!((response.status(), response.header("retry-after").is_some()), (503, true));
+    let before = first.log().len();
     drop(owner);
-    first.wait_log_from(at, "ready:");
-    assert_eq!(status(&first, "c"), 202);
+    first.wait_log_from(before, "ready:");
+    assert_eq!(submit(&first, "c"), 202);
 }
 
-/// A request on a connection that was open before the release is turned away, not closed on.
+/// A connection that was open before the release is not closed before its request has a response.
 #[test]
-fn a_request_that_arrives_over_a_release_is_turned_away() {
+fn a_request_received_partly_before_the_release_is_rejected_with_retry_after() {
     let first = start_first();
     let request = message_request("stats", "in-pieces", "20000m", "");
-    let (begin, rest) = request.split_at(40);
+    let (first_part, rest) = request.split_at(40);
     let mut client = first.connect();
-    client.write_all(begin).expect("it reads");
-    let _successor = hold(&first, "next");
+    client.write_all(first_part).expect("cannot send to the forwarder");
+    let _successor = acquire_lock(&first, "next");
     first.wait_log("handed over");
-    sleep(LOOKS);
-    client.write_all(rest).expect("it reads");
-    let answer = read_http(&mut BufReader::new(client)).expect("an answer");
-    assert_eq!((answer.status(), answer.header("retry-after").is_some()), (503, true));
+    sleep(SEVERAL_POLLS);
+    client.write_all(rest).expect("cannot send to the forwarder");
+    let response = read_http(&mut BufReader::new(client)).expect("no response");
+    assert_eq!((response.status(), response.header("retry-after").is_some()), (503, true));
 }
 
-/// The first process is told to end while a second one waits, and cannot be served yet: the takeover goes on all the same.
+/// The first process receives SIGTERM while a second process waits and the journal cannot be released yet.
 #[test]
-fn sigterm_to_the_first_process_does_not_end_a_takeover() {
+fn sigterm_to_the_first_process_does_not_cancel_a_takeover() {
     let mut first = start_first();
     let callers = Callers::start(first.addr, "stats", &CALLERS);
-    let standby = hold(&first, "standby");
+    let standby = acquire_lock(&first, "standby");
     let second = start_second(&first);
     second.wait_log("waiting for it");
-    sleep(LOOKS);
+    sleep(SEVERAL_POLLS);
     first.terminate();
     first.wait_log("SIGTERM received");
     drop(standby);
     second.wait_log("ready:");
     assert!(first.wait_exit(EVENT_TIMEOUT).success());
-    wait_accepted(&second, LOOKS);
+    wait_accepted(&second, SEVERAL_POLLS);
     check_answered(&callers.stop());
     assert!(first.log().contains("handed over"));
 }
 
 #[test]
-fn sigterm_to_a_second_process_that_waits_leaves_the_first_one_serving() {
+fn sigterm_to_a_waiting_second_process_leaves_the_first_process_serving() {
     let first = start_first();
     let callers = Callers::start(first.addr, "stats", &CALLERS);
-    let _standby = hold(&first, "standby");
+    let _standby = acquire_lock(&first, "standby");
     let mut second = start_second(&first);
     second.wait_log("waiting for it");
     second.terminate();
     assert!(second.wait_exit(EVENT_TIMEOUT).success());
-    sleep(LOOKS);
-    wait_accepted(&first, LOOKS);
+    sleep(SEVERAL_POLLS);
+    wait_accepted(&first, SEVERAL_POLLS);
     check_answered(&callers.stop());
     std::mem::forget(second);
 }
@@ -143,46 +149,46 @@
 #[test]
 fn a_third_process_serves_once_the_first_two_are_dead() {
     let mut first = start_first();
-    let _standby = hold(&first, "standby");
+    let _standby = acquire_lock(&first, "standby");
     let mut second = start_second(&first);
     second.wait_log("waiting for it");
     first.kill();
     second.kill();
     let third = start_second(&first);
     third.wait_log("ready:");
-    assert_eq!(status(&third, "a"), 202);
+    assert_eq!(submit(&third, "a"), 202);
     std::mem::forget(second);
     std::mem::forget(first);
 }
 
-/// A successor that is stopped when the folder is released for it: the predecessor serves again, and hands over once the
-/// successor goes on.
+/// The successor is suspended when the journal is released for it. The predecessor serves again, and hands over once the
+/// successor is resumed.
 #[test]
-fn a_stopped_successor_takes_over_once_it_goes_on() {
+fn a_suspended_successor_takes_over_once_it_is_resumed() {
     let mut first = start_first();
     let callers = Callers::start(first.addr, "stats", &CALLERS);
-    let standby = hold(&first, "standby");
+    let standby = acquire_lock(&first, "standby");
     let second = start_second(&first);
     second.wait_log("waiting for it");
     second.signal("-STOP");
     drop(standby);
     first.wait_log("handed over");
-    let at = first.log().find("handed over").expect("it was");
+    let handed_over_at = first.log().find("handed over").expect("no `handed over` in the log");
     wait_accepted(&first, SERVES_AGAIN_WITHIN);
-    assert!(first.log()[at..].contains("ready:"), "the first one serves again");
-    sleep(LOOKS);
-    assert_eq!(first.log().matches("handed over").count(), 1, "an expired request is passed over");
+    assert!(first.log()[handed_over_at..].contains("ready:"), "the first process does not serve again");
+    sleep(SEVERAL_POLLS);
+    assert_eq!(first.log().matches("handed over").count(), 1, "an expired request is not ignored");
     second.signal("-CONT");
     second.wait_log("ready:");
     first.terminate();
     assert!(first.wait_exit(EVENT_TIMEOUT).success());
-    wait_accepted(&second, LOOKS);
+    wait_accepted(&second, SEVERAL_POLLS);
     check_answered(&callers.stop());
 }
 
-/// A second takeover and a third, while the processes before go on to run.
+/// A second and a third takeover follow while all earlier processes still run.
 #[test]
-fn a_successor_is_succeeded_while_its_predecessor_still_runs() {
+fn a_successor_hands_over_while_its_predecessor_still_runs() {
     let first = start_first();
     let callers = Callers::start(first.addr, "stats", &CALLERS);
     let second = start_second(&first);
@@ -191,8 +197,8 @@
     third.wait_log("ready:");
     let fourth = start_second(&first);
     fourth.wait_log("ready:");
-    sleep(LOOKS);
-    wait_accepted(&fourth, LOOKS);
+    sleep(SEVERAL_POLLS);
+    wait_accepted(&fourth, SEVERAL_POLLS);
     check_answered(&callers.stop());
     first.wait_log("no longer on standby");
     for earlier in [&first, &second, &third] {
@@ -200,51 +206,56 @@
     }
 }
 
-/// SIGTERM in the moment in which a process forgets its time as the owner and waits anew. It was lost there: the handler of
-/// the time before was gone, and the next one was not installed yet, so the process went on until SIGKILL.
+/// Guards against a SIGTERM that is lost while a former owner of the folder resets and waits for the folder again. The
+/// handler from before the reset was gone and the next one not yet installed, so the process ran until SIGKILL.
 #[test]
-fn sigterm_is_heard_while_a_process_forgets_its_time_as_the_owner() {
+fn sigterm_is_not_lost_while_a_former_owner_resets() {
     const DELAYS_MS: std::ops::Range<u64> = 0..24;
-    let ends = DELAYS_MS.map(|delay| {
+    let trials = DELAYS_MS.map(|delay| {
         std::thread::spawn(move || {
             let mut first = start_first();
-            let successor = hold(&first, "next");
+            let successor = acquire_lock(&first, "next");
             first.wait_log("handed over");
-            // The successor is gone, and the process sees it within 20 ms.
+            // The process detects within 20 ms that the successor is gone.
             drop(successor);
             sleep(Duration::from_millis(delay));
             first.terminate();
-            let asked = Instant::now();
-            while first.is_running() && asked.elapsed() < KILLED_AFTER {
+            let terminated_at = Instant::now();
+            while first.is_running() && terminated_at.elapsed() < KILL_AFTER_TERM {
                 sleep(Duration::from_millis(10));
             }
             (delay, first.is_running())
         })
     });
-    let ends: Vec<_> = ends.collect::<Vec<_>>().into_iter().map(|end| end.join().expect("a round")).collect();
-    let deaf: Vec<u64> = ends.into_iter().filter(|(_, runs)| *runs).map(|(delay, _)| delay).collect();
-    assert!(deaf.is_empty(), "SIGTERM was lost so many ms after the successor's end: {deaf:?}");
+    let trials: Vec<_> =
+        trials.collect::<Vec<_>>().into_iter().map(|trial| trial.join().expect("a trial panicked")).collect();
+    let lost_ms: Vec<u64> =
+        trials.into_iter().filter(|(_, is_running)| *is_running).map(|(delay, _)| delay).collect();
+    assert!(
+        lost_ms.is_empty(),
+        "SIGTERM was lost at these delays after the successor's end, in ms: {lost_ms:?}"
+    );
 }
 
-/// A process that had released the folder took it again only once its last call had ended. Where a call hung and the successor
-/// died, callers were turned away until then: `handed over; ending the calls that are out calls=1` in the log, and `ready`
-/// only when the call had ended. Before 879e520 they were refused. The calls of the time before go on beside the new one
-/// now, as those of another process do.
+/// Guards against a predecessor that takes the folder back only once its last call has ended. If a call hung and the
+/// successor died, callers were rejected until then, and refused before 879e520. The log had `handed over; finishing the
+/// calls in flight calls=1`, and `ready` only after the end of the call. Earlier calls now continue while the process serves
+/// again, as those of another process would.
 #[test]
-fn a_predecessor_with_a_call_out_serves_again_once_its_successor_is_gone() {
-    const CALL: Duration = Duration::from_secs(10);
-    /// What a second process has on the page of upgrades.
+fn a_predecessor_with_a_call_in_flight_serves_again_once_its_successor_is_gone() {
+    const CALL_DURATION: Duration = Duration::from_secs(10);
+    /// The documented limit for a second process during an upgrade.
     const SERVES_WITHIN: Duration = Duration::from_secs(6);
-    let endpoint = Server::start(|heard, _| {
-        if heard.request_id() == "slow" {
-            sleep(CALL);
+    let endpoint = Server::start(|request, _| {
+        if request.request_id() == "slow" {
+            sleep(CALL_DURATION);
         }
         respond("200 OK", "", "")
     });
     let first = start_first_with(&endpoint);
     assert_eq!(first.submit("payout", "slow"), 202);
     endpoint.wait_request("slow");
-    let successor = hold(&first, "next");
+    let successor = acquire_lock(&first, "next");
     first.wait_log("handed over");
     drop(successor);
     wait_accepted(&first, SERVES_WITHIN);
--- a/tests/takeover_rounds.rs
+++ b/tests/takeover_rounds.rs
@@ -1,50 +1,53 @@
-//! One takeover after the other between real processes, each of which has to be over within its bound.
+//! Successive takeovers between real processes, each of which must complete within its time limit.
 //!
-//! Operators saw upgrades whose second process never served. The first process gave the journal up and took it back 2 to 25
-//! times in a round: its log had `handing over`, `handed over calls=0` and `ready` every 80 ms, for as long as both ran.
-//! After a release it went straight back to waiting for the owner's lock and tried it at once, while the second process
-//! looked every 20 ms: nothing said whose turn it was. `crates/lab/tests/takeover/liveness.rs` has the order itself.
+//! Guards against two failures:
 //!
-//! Callers of such rounds were refused, reset, or closed on without an answer: 267, 226 and 4 of 6,300 calls where the second
-//! process was killed 5 to 250 ms after its start. It listened before it owned the folder, so connections stood in the
-//! queue of a process that did not accept them, and were reset when it died (2 to 37 ms after its start). The first
-//! process closed its listener to hand over, and opened it anew only once it had found the second one gone: whoever came
-//! in between was refused (6 to 232 ms). And when its last call had ended it dropped its tasks, with requests among them.
+//! - Upgrades whose second process never served. The first process released the journal and took it back 2 to 25 times in a
+//!   round: its log had `handing over`, `handed over calls=0` and `ready` every 80 ms while both processes ran. After a
+//!   release it waited for the owner's lock again and tried it at once, while the second process polled it every 20 ms, and
+//!   nothing reserved the lock for the second process. `crates/lab/tests/takeover/liveness.rs` models the protocol.
+//! - Callers that were refused, reset, or closed without a response: 267, 226 and 4 of 6,300 requests in rounds in which the
+//!   second process was killed 5 to 250 ms after its start. The second process listened before it owned the folder, so
+//!   connections waited in a queue that it did not accept from, and were reset when it died (2 to 37 ms after its start).
+//!   The first process closed its listener to hand over and opened a new one only once it had found the second process
+//!   gone, so clients that connected in between were refused (6 to 232 ms). After its last call it dropped its tasks,
+//!   including requests.
 //!
-//! `TAKEOVER_ROUNDS` says how many rounds a test plays, `TAKEOVER_SEED` from which seed.
+//! `TAKEOVER_ROUNDS` sets the number of rounds per test, `TAKEOVER_SEED` the seed.
 mod callers;
 mod stand;
 use callers::processes::{kill, start_first, start_second, KilledOwner};
-use callers::{timeline, Call, Callers, Connections, End};
+use callers::{timeline, Callers, ClientRequest, Connections, RequestOutcome};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use stand::*;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Within this time of its start a second process has to serve, and a first one again after the death of a second.
+/// Time limit from the start of a second process until it serves, and from its death until the first process serves again.
 const SERVES_WITHIN: Duration = Duration::from_millis(500);
 const DEFAULT_ROUNDS: usize = 10;
-/// A second process is killed so long after its start.
+/// Range of the time from the start of a second process until it is killed.
 const KILL_AFTER_MS: std::ops::Range<u64> = 5..250;
-const CALLERS: [Connections; 4] = [Connections::New, Connections::Kept, Connections::New, Connections::Kept];
+const CALLERS: [Connections; 4] =
+    [Connections::New, Connections::KeepAlive, Connections::New, Connections::KeepAlive];
 
 fn from_environment(name: &str, default: usize) -> usize {
-    std::env::var(name).map_or(default, |text| text.parse().expect("a number"))
+    std::env::var(name).map_or(default, |text| text.parse().expect("not a number"))
 }
 
 fn rounds() -> usize {
     from_environment("TAKEOVER_ROUNDS", DEFAULT_ROUNDS)
 }
 
-/// Starts a second process beside this one, waits until it serves, and ends the first one. Returns the second process and
-/// the time until it served.
+/// Starts a second process beside the first one, waits until it serves, and terminates the first one. Returns the second
+/// process and the time until it served.
 fn take_over(first: &mut Daemon) -> (Daemon, Duration) {
     let started = Instant::now();
     let second = start_second(first);
     second.wait_log("ready:");
     let took = started.elapsed();
-    // Both look at the locks several times more, so that a first process that takes the folder back is seen.
+    // Both poll the locks several times more, so that a first process that takes the folder back is detected.
     sleep(Duration::from_millis(200));
     first.terminate();
     assert!(first.wait_exit(EVENT_TIMEOUT).success());
@@ -54,59 +57,67 @@
     (second, took)
 }
 
-/// Takeovers one after the other, each of which has to be over in time.
-fn play_takeovers(first: Daemon) -> Vec<Daemon> {
-    // All are kept to the end: the folder is removed with any of them.
+/// Runs successive takeovers and checks that each completes in time. Returns all processes.
+fn run_takeovers(first: Daemon) -> Vec<Daemon> {
+    // Keeps all processes: dropping any of them removes the folder.
     let mut processes = vec![first];
     let mut times = Vec::new();
     for round in 0..rounds() {
-        let (second, took) = take_over(processes.last_mut().expect("one runs"));
-        assert!(took < SERVES_WITHIN, "round {round}: it serves after {took:?}");
+        let (second, took) = take_over(processes.last_mut().expect("no process"));
+        assert!(took < SERVES_WITHIN, "round {round}: the second process serves after {took:?}");
         times.push(took);
         processes.push(second);
     }
     times.sort();
-    println!("{} takeovers: {:?} / {:?} / {:?}", times.len(), times[0], times[times.len() / 2], times.last());
+    println!(
+        "{} takeovers, min / median / max: {:?} / {:?} / {:?}",
+        times.len(),
+        times[0],
+        times[times.len() / 2],
+        times.last()
+    );
     processes
 }
 
-/// Every call has its answer, apart from those that died with a process that was killed, and those on a connection that had
-/// carried a call before and whose close crossed them (protocol, "Clients to forwarders").
-fn check_calls(calls: &[Call], kills: &[KilledOwner]) {
-    let is_settled = |call: &&Call| call.is_settled();
-    let (settled, rest): (Vec<&Call>, Vec<&Call>) = calls.iter().partition(is_settled);
-    let (killed, rest): (Vec<&Call>, Vec<&Call>) =
-        rest.into_iter().partition(|call| kills.iter().any(|kill| kill.took_along(call)));
-    let (crossed, unanswered): (Vec<&Call>, Vec<&Call>) =
-        rest.into_iter().partition(|call| call.crossed_a_close());
-    let rejected = settled.iter().filter(|call| matches!(call.end, End::Answered { status: 503, .. }));
+/// Checks that every request has an answer, apart from those interrupted by the kill of a process, and those on a reused
+/// connection that the forwarder closed while they were on their way (protocol, "Clients to forwarders").
+fn check_answered(requests: &[ClientRequest], killed_owners: &[KilledOwner]) {
+    let is_settled = |request: &&ClientRequest| request.is_settled();
+    let (settled, rest): (Vec<&ClientRequest>, Vec<&ClientRequest>) = requests.iter().partition(is_settled);
+    let (interrupted, rest): (Vec<&ClientRequest>, Vec<&ClientRequest>) =
+        rest.into_iter().partition(|request| killed_owners.iter().any(|owner| owner.interrupted(request)));
+    let (raced, unanswered): (Vec<&ClientRequest>, Vec<&ClientRequest>) =
+        rest.into_iter().partition(|request| request.raced_with_close());
+    let rejected = settled
+        .iter()
+        .filter(|request| matches!(request.outcome, RequestOutcome::Answered { status: 503, .. }));
     println!(
-        "{} calls: {} answered, {} of them turned away with a time to come again; {} died with a killed process, \
-         {} crossed a close, {} have no answer",
-        calls.len(),
+        "{} requests: {} answered, {} of them rejected with Retry-After; {} interrupted by a kill, \
+         {} raced with a close, {} have no answer",
+        requests.len(),
         settled.len(),
         rejected.count(),
-        killed.len(),
-        crossed.len(),
+        interrupted.len(),
+        raced.len(),
         unanswered.len()
     );
-    assert!(unanswered.is_empty(), "without an answer:\n{}", timeline(unanswered));
+    assert!(unanswered.is_empty(), "requests without an answer:\n{}", timeline(unanswered));
 }
 
 #[test]
-fn each_idle_takeover_is_over_in_time_and_the_folder_changes_hands_once() {
-    play_takeovers(start_first());
+fn each_idle_takeover_completes_in_time_with_one_handover() {
+    run_takeovers(start_first());
 }
 
 #[test]
-fn each_takeover_under_traffic_is_over_in_time_and_every_call_has_its_answer() {
+fn each_takeover_under_traffic_completes_in_time_and_every_request_is_answered() {
     let first = start_first();
     let callers = Callers::start(first.addr, "stats", &CALLERS);
-    let _logs = play_takeovers(first);
-    check_calls(&callers.stop(), &[]);
+    let _processes = run_takeovers(first);
+    check_answered(&callers.stop(), &[]);
 }
 
-/// Starts a second process and kills it so much later.
+/// Starts a second process and kills it after this time; returns `Some` if it had owned the folder.
 fn kill_second(first: &Daemon, after: Duration) -> Option<KilledOwner> {
     let mut second = start_second(first);
     sleep(after);
@@ -115,34 +126,34 @@
     owner
 }
 
-/// Waits until the first process takes messages on.
+/// Waits until the first process accepts messages.
 fn wait_serving(first: &Daemon, round: usize) {
-    let killed = Instant::now();
-    let mut tries = 0;
-    while first.submit("stats", &format!("after-{round}-{tries}")) != 202 {
-        tries += 1;
+    let killed_at = Instant::now();
+    let mut attempts = 0;
+    while first.submit("stats", &format!("after-{round}-{attempts}")) != 202 {
+        attempts += 1;
         assert!(
-            killed.elapsed() < SERVES_WITHIN,
-            "round {round}: nobody serves after {:?}",
-            killed.elapsed()
+            killed_at.elapsed() < SERVES_WITHIN,
+            "round {round}: no process serves after {:?}",
+            killed_at.elapsed()
         );
         sleep(Duration::from_millis(5));
     }
 }
 
 #[test]
-fn callers_of_a_successor_that_is_killed_have_their_answers() {
+fn callers_of_a_killed_successor_are_answered() {
     let seed = from_environment("TAKEOVER_SEED", 1) as u64;
     println!("seed {seed}: TAKEOVER_SEED={seed} cargo test --test takeover_rounds callers_of");
     let mut random = StdRng::seed_from_u64(seed);
     let first = start_first();
     let callers = Callers::start(first.addr, "stats", &CALLERS);
-    let mut owners = Vec::new();
+    let mut killed_owners = Vec::new();
     for round in 0..rounds() {
         let after = Duration::from_millis(random.random_range(KILL_AFTER_MS));
-        owners.extend(kill_second(&first, after));
+        killed_owners.extend(kill_second(&first, after));
         wait_serving(&first, round);
     }
-    println!("{} kills, {} of them of a process that owned the folder", rounds(), owners.len());
-    check_calls(&callers.stop(), &owners);
+    println!("{} kills, {} of them of a process that owned the folder", rounds(), killed_owners.len());
+    check_answered(&callers.stop(), &killed_owners);
 }
