--- a/tests/net/relay.rs
+++ b/tests/net/relay.rs
@@ -1,5 +1,5 @@
-//! Relays between the members of a test fleet: one for datagrams and one for connections to each member, and a link with
-//! its own faults for each ordered pair of members.
+//! Relays between the members of a test fleet. Each member has one relay for datagrams and one for connections to it, and
+//! each ordered pair of members has a link with separately set faults.
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
@@ -12,27 +12,28 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::sync::{watch, Semaphore};
 
-/// Connections that a relay holds at a time.
+/// Maximum number of connections that a relay holds at a time.
 const MAX_CONNECTIONS: usize = 256;
-/// Longest datagram that a relay passes on, in bytes.
+/// Size of the longest datagram that a relay forwards.
 const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
-/// Bytes of a connection that are passed on at once.
+/// Maximum number of bytes of a connection that are forwarded at once.
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// What a link does to traffic in one direction.
+/// The faults of a link in one direction.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Link {
-    /// Nothing passes: datagrams are lost, established connections stay silent, new ones are not completed.
+    /// Drops all traffic: datagrams are lost, established connections carry no data, new ones are not completed.
     pub cut: bool,
-    /// Share of datagrams that are lost.
-    pub lost: f64,
-    /// Share of the remaining datagrams that are duplicated.
-    pub doubled: f64,
+    /// Share of datagrams that are lost, from 0 to 1.
+    pub loss: f64,
+    /// Share of the remaining datagrams that are duplicated, from 0 to 1.
+    pub duplication: f64,
     /// Delay in milliseconds.
     pub delay_ms: u64,
-    /// Largest random addition to the delay, in milliseconds: different delays reorder datagrams.
+    /// Maximum random addition to the delay, in milliseconds. Different delays reorder datagrams.
     pub jitter_ms: u64,
-    /// Bytes that connections may still pass in total; the one that exceeds it is reset, wherever it is in a frame.
+    /// Bytes that all connections of the link may still carry. A connection that exceeds the rest is reset, also within a
+    /// frame.
     pub bytes_left: Option<u64>,
 }
 
@@ -52,14 +53,14 @@
 /// All links of a fleet.
 pub struct Network {
     links: Mutex<BTreeMap<Direction, Link>>,
-    /// Rises with each change, which wakes up connections that wait on a cut link.
+    /// Counts the changes, and wakes up connections that wait on a cut link.
     changes: watch::Sender<u64>,
-    /// Connections of an earlier generation are reset.
+    /// Connections that were established in an earlier generation are reset.
     generation: AtomicU64,
     random: Mutex<StdRng>,
-    /// Bytes of datagrams that reached each member.
+    /// Bytes of datagrams that each member received.
     received_bytes: Vec<AtomicU64>,
-    /// Members by the address that they send from.
+    /// Index of each member by the address that it sends from.
     members: BTreeMap<IpAddr, usize>,
 }
 
@@ -97,7 +98,7 @@
         self.notify();
     }
 
-    /// Bytes of datagrams that reached a member.
+    /// Returns the bytes of datagrams that a member received.
     pub fn received_bytes(&self, member: usize) -> u64 {
         self.received_bytes[member].load(Ordering::Relaxed)
     }
@@ -117,21 +118,21 @@
     fn delay(&self, link: &Link) -> Duration {
         let jitter_ms = match link.jitter_ms {
             0 => 0,
-            most => lock(&self.random).random_range(0..=most),
+            max => lock(&self.random).random_range(0..=max),
         };
         Duration::from_millis(link.delay_ms + jitter_ms)
     }
 
-    /// How many times a datagram arrives.
-    fn copies(&self, link: &Link) -> usize {
+    /// Draws how many copies of a datagram arrive.
+    fn draw_copies(&self, link: &Link) -> usize {
         let mut random = lock(&self.random);
-        if link.cut || random.random_bool(link.lost) {
+        if link.cut || random.random_bool(link.loss) {
             return 0;
         }
-        1 + usize::from(random.random_bool(link.doubled))
+        1 + usize::from(random.random_bool(link.duplication))
     }
 
-    /// Takes bytes of a connection from the link's budget; false if it is exceeded.
+    /// Subtracts bytes of a connection from the link's byte limit; returns `false` if they exceed it.
     fn spend(&self, direction: Direction, bytes: u64) -> bool {
         let mut links = lock(&self.links);
         let Some(left) = links.get_mut(&direction).and_then(|link| link.bytes_left.as_mut()) else {
@@ -142,7 +143,7 @@
         is_within
     }
 
-    /// Waits while a link is cut, unless its connections are reset meanwhile.
+    /// Waits while a link is cut; returns early if all connections are reset.
     async fn wait_while_cut(&self, direction: Direction, generation: u64) {
         let mut changes = self.changes.subscribe();
         while self.link(direction).cut && self.generation() == generation {
@@ -154,33 +155,33 @@
 }
 
 /// Relays datagrams to one member.
-pub async fn relay_datagrams(network: Arc<Network>, to: usize, front: UdpSocket, target: SocketAddr) {
-    let front = Arc::new(front);
+pub async fn relay_datagrams(network: Arc<Network>, to: usize, socket: UdpSocket, target: SocketAddr) {
+    let socket = Arc::new(socket);
     let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        let Ok((size, sender)) = front.recv_from(&mut bytes).await else { continue };
+        let Ok((size, sender)) = socket.recv_from(&mut bytes).await else { continue };
         let Some(from) = network.members.get(&sender.ip()).copied() else { continue };
         let link = network.link(Direction { from, to });
-        for _ in 0..network.copies(&link) {
+        for _ in 0..network.draw_copies(&link) {
             let delay = network.delay(&link);
             let network = network.clone();
-            let front = front.clone();
+            let socket = socket.clone();
             let datagram = bytes[..size].to_vec();
             tokio::spawn(async move {
                 tokio::time::sleep(delay).await;
                 network.received_bytes[to].fetch_add(datagram.len() as u64, Ordering::Relaxed);
-                // A member that is down receives nothing.
-                let _ = front.send_to(&datagram, target).await;
+                // Fails while the member is down, which is a lost datagram.
+                let _ = socket.send_to(&datagram, target).await;
             });
         }
     }
 }
 
 /// Relays connections to one member.
-pub async fn relay_connections(network: Arc<Network>, to: usize, front: TcpListener, target: SocketAddr) {
+pub async fn relay_connections(network: Arc<Network>, to: usize, listener: TcpListener, target: SocketAddr) {
     let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
-        let Ok((socket, sender)) = front.accept().await else { continue };
+        let Ok((socket, sender)) = listener.accept().await else { continue };
         let Some(from) = network.members.get(&sender.ip()).copied() else { continue };
         let Ok(permit) = permits.clone().try_acquire_owned() else { continue };
         let network = network.clone();
@@ -193,14 +194,14 @@
 
 async fn relay_connection(network: &Network, direction: Direction, near: TcpStream, target: SocketAddr) {
     let generation = network.generation();
-    // As on a cut line: the connection is established, and nothing comes.
+    // The relay has accepted the connection, but carries no data while the link is cut.
     network.wait_while_cut(direction, generation).await;
     let Ok(far) = TcpStream::connect(target).await else { return };
     let _ = near.set_nodelay(true);
     let _ = far.set_nodelay(true);
     let (near_read, near_write) = near.into_split();
     let (far_read, far_write) = far.into_split();
-    // The end of one direction drops both, which resets what is left.
+    // When one direction ends, both are dropped, which resets the rest of the connection.
     tokio::select! {
         () = copy(network, direction, generation, near_read, far_write) => {}
         () = copy(network, direction.reversed(), generation, far_read, near_write) => {}
