--- a/tests/callers/processes.rs
+++ b/tests/callers/processes.rs
@@ -31,6 +31,7 @@
 /// A process that was killed while it owned the folder. The kill also ends the requests on its connections.
 #[derive(Clone, Debug)]
 pub struct KilledOwner {
+    /// When the process began to listen, in Unix time.
     listened_at: Duration,
     /// From just before the signal was sent until the process had ended.
     killed: RangeInclusive<Duration>,
@@ -53,8 +54,8 @@
         Some(KilledOwner { listened_at: Duration::from_secs_f64(seconds), killed })
     }
 
-    /// Returns whether the kill may have interrupted this request: its connection ended without a response, and its time
-    /// overlaps the kill.
+    /// Returns whether the kill may have interrupted this request: the process listened when the request began, the
+    /// connection ended without a response, and the request overlaps the kill.
     pub fn interrupted(&self, request: &ClientRequest) -> bool {
         let is_cut = matches!(request.outcome, RequestOutcome::Reset | RequestOutcome::Closed);
         let listened = request.connected_at + LOG_RESOLUTION >= self.listened_at;
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -49,7 +49,7 @@
                 if seed >= to {
                     return failed;
                 }
-                if let Err(problems) = world::run(seed) {
+                if let Err(problems) = world::run_seed(seed) {
                     println!("seed {seed} FAILED: SOAK_FROM={seed} SOAK_SEEDS=1 cargo test --test soak\n{problems}");
                     failed.push(seed);
                 }
--- a/tests/soak/world.rs
+++ b/tests/soak/world.rs
@@ -47,7 +47,7 @@
 }
 
 /// The processes of a forwarder, its endpoint and its platform, and a record of the operations.
-pub struct World {
+pub struct SoakRun {
     seed: u64,
     endpoint: Server,
     discovery: Server,
@@ -65,41 +65,41 @@
 /// # Errors
 ///
 /// The problems that were found, and the operations with their times.
-pub fn run(seed: u64) -> Result<(), String> {
+pub fn run_seed(seed: u64) -> Result<(), String> {
     let mut random = StdRng::seed_from_u64(seed);
     let crowd_kinds = [CrowdKind::None, CrowdKind::Idle, CrowdKind::Disconnecting, CrowdKind::InPieces];
     let crowd_kind = crowd_kinds[random.random_range(0..crowd_kinds.len())];
     let operations = operations::draw(&mut random);
-    let mut world = World::start(seed);
-    let files_at_start = count_files(world.current());
+    let mut run = SoakRun::start(seed);
+    let files_at_start = count_files(run.current());
     let stall_detector = StallDetector::start();
-    let callers = Callers::start_kinds(world.current().addr, &CALLERS, &world.gate);
-    let crowd = Crowd::start(crowd_kind, world.current().addr);
+    let callers = Callers::start_kinds(run.current().addr, &CALLERS, &run.gate);
+    let crowd = Crowd::start(crowd_kind, run.current().addr);
     sleep(PAUSE);
     for operation in operations {
-        world.record(&format!("{operation:?}"));
-        world.execute(operation);
+        run.record(&format!("{operation:?}"));
+        run.execute(operation);
         sleep(PAUSE);
     }
     let requests = callers.stop();
     let stalls = stall_detector.stop();
     crowd.stop();
-    world.check_descriptors(files_at_start);
+    run.check_descriptors(files_at_start);
     let observations = Observations {
         requests: &requests,
-        killed_owners: &world.killed_owners,
+        killed_owners: &run.killed_owners,
         stalls: &stalls,
-        endpoint: &world.endpoint,
-        discovery: &world.discovery,
+        endpoint: &run.endpoint,
+        discovery: &run.discovery,
     };
-    let mut problems = std::mem::take(&mut world.problems);
+    let mut problems = std::mem::take(&mut run.problems);
     problems.extend(checks::check(&observations));
     println!("seed {seed}, crowd {crowd_kind:?}: {}", observations.summary());
     if problems.is_empty() {
         return Ok(());
     }
-    world.save_logs();
-    Err(format!("{}\n{}", problems.join("\n"), world.event_log))
+    run.save_logs();
+    Err(format!("{}\n{}", problems.join("\n"), run.event_log))
 }
 
 /// Sends a message and returns the status of the response, or 0 without a response.
@@ -117,8 +117,8 @@
     process.descriptors().iter().filter(|target| !target.starts_with("socket:")).count()
 }
 
-impl World {
-    fn start(seed: u64) -> World {
+impl SoakRun {
+    fn start(seed: u64) -> SoakRun {
         let endpoint = start_endpoint();
         let known = endpoint_list(1, &[(7, endpoint.addr)]);
         let discovery = start_discovery(known.clone());
@@ -128,7 +128,16 @@
         let first = setup.start();
         let (gate, killed_owners) = (ConnectGate::default(), Vec::new());
         let (event_log, problems) = (String::new(), Vec::new());
-        World { seed, endpoint, discovery, processes: vec![first], gate, killed_owners, event_log, problems }
+        SoakRun {
+            seed,
+            endpoint,
+            discovery,
+            processes: vec![first],
+            gate,
+            killed_owners,
+            event_log,
+            problems,
+        }
     }
 
     fn current(&mut self) -> &mut Daemon {
@@ -188,14 +197,14 @@
     }
 
     /// Sends SIGTERM to a process and waits until it has exited.
-    fn terminate(&mut self, process: usize, after_last_connects: impl FnOnce(&mut World)) {
+    fn terminate(&mut self, process: usize, after_last_connects: impl FnOnce(&mut SoakRun)) {
         self.processes[process].terminate();
         self.wait_exit(process, after_last_connects);
     }
 
     /// Waits until a process that has received SIGTERM exits; it must exit before the SIGKILL of the platform. Calls
     /// `after_last_connects` once clients open no more connections to it.
-    fn wait_exit(&mut self, process: usize, after_last_connects: impl FnOnce(&mut World)) {
+    fn wait_exit(&mut self, process: usize, after_last_connects: impl FnOnce(&mut SoakRun)) {
         let terminated_at = Instant::now();
         sleep(CONNECTS_AFTER_TERM);
         after_last_connects(self);
@@ -259,7 +268,7 @@
             self.current().signal(signal);
         }
         let process = self.processes.len() - 1;
-        self.wait_exit(process, |world| world.gate.close());
+        self.wait_exit(process, |run| run.gate.close());
         self.start_next();
     }
 
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -75,12 +75,12 @@
         successor.wait_log("ready:");
         self.predecessor.wait_log("handed over");
         let readyz = send_request(mgmt, b"GET /v1/readyz HTTP/1.1\r\nHost: o\r\n\r\n");
-        assert_eq!(readyz.map(|h| h.status()), Some(200));
+        assert_eq!(readyz.map(|response| response.status()), Some(200));
         successor
     }
 
     fn count_calls(&self, id: &str) -> usize {
-        self.endpoint.received().iter().filter(|h| h.request_id() == id).count()
+        self.endpoint.received().iter().filter(|request| request.request_id() == id).count()
     }
 
     fn count_callbacks(&self, id: &str) -> usize {
@@ -103,8 +103,8 @@
                 let mut responses = Vec::new();
                 while !done.load(Ordering::Relaxed) || responses.len() < 10 {
                     let (id, sent_at) = (format!("c{c}-{}", responses.len()), Instant::now());
-                    let status =
-                        send_request(addr, &message_request("payout", &id, "20000m", "")).map(|h| h.status());
+                    let status = send_request(addr, &message_request("payout", &id, "20000m", ""))
+                        .map(|response| response.status());
                     assert!(
                         sent_at.elapsed() < Duration::from_secs(2),
                         "{id} waited {:?}",
@@ -134,14 +134,14 @@
     let accepted = responses.iter().filter(|(_, status)| *status == Some(202)).map(|(id, _)| id.clone());
     let accepted: Vec<String> = accepted.chain((0..3).map(|n| format!("slow-{n}"))).collect();
     fixture.endpoint.wait_until("each accepted payout", |all| {
-        accepted.iter().all(|id| all.iter().any(|h| h.request_id() == id))
+        accepted.iter().all(|id| all.iter().any(|request| request.request_id() == id))
     });
     fixture.predecessor.terminate();
     let mut predecessor = fixture.predecessor;
     assert!(predecessor.wait_exit(EVENT_TIMEOUT).success());
     for id in &accepted {
         assert_eq!(
-            fixture.endpoint.received().iter().filter(|h| h.request_id() == id).count(),
+            fixture.endpoint.received().iter().filter(|request| request.request_id() == id).count(),
             1,
             "payout {id} was not sent exactly once"
         );
@@ -157,11 +157,17 @@
 fn messages_wait_for_a_predecessors_call_with_the_same_ordering_key() {
     let fixture = start_fixture("200 OK", "");
     let keyed = |id: &str| message_request("sync", id, "20000m", "X-Key: 00aa\r\n");
-    assert_eq!(fixture.predecessor.send_request(&keyed("slow-1")).map(|h| h.status()), Some(202));
-    assert_eq!(fixture.predecessor.send_request(&keyed("second")).map(|h| h.status()), Some(202));
+    assert_eq!(
+        fixture.predecessor.send_request(&keyed("slow-1")).map(|response| response.status()),
+        Some(202)
+    );
+    assert_eq!(
+        fixture.predecessor.send_request(&keyed("second")).map(|response| response.status()),
+        Some(202)
+    );
     fixture.endpoint.wait_request("slow-1");
     let successor = fixture.take_over();
-    assert_eq!(successor.send_request(&keyed("third")).map(|h| h.status()), Some(202));
+    assert_eq!(successor.send_request(&keyed("third")).map(|response| response.status()), Some(202));
     assert_eq!(successor.submit("stats", "unkeyed"), 202);
     fixture.endpoint.wait_request("unkeyed");
     assert_eq!(
@@ -171,7 +177,7 @@
     );
     fixture.gate.open();
     let all = fixture.endpoint.wait_until("both waiting messages", |all| {
-        ["second", "third"].iter().all(|id| all.iter().any(|h| h.request_id() == *id))
+        ["second", "third"].iter().all(|id| all.iter().any(|request| request.request_id() == *id))
     });
     let order: Vec<&str> = all.iter().map(HttpMessage::request_id).filter(|id| *id != "unkeyed").collect();
     assert_eq!(order, ["slow-1", "second", "third"]);
@@ -192,7 +198,7 @@
     let _successor = fixture.take_over();
     fixture.gate.open();
     fixture.endpoint.wait_until("the second attempt", |all| {
-        all.iter().filter(|h| h.request_id() == "slow-p").count() >= 2
+        all.iter().filter(|request| request.request_id() == "slow-p").count() >= 2
     });
 }
 
