--- a/src/daemon/standby.rs
+++ b/src/daemon/standby.rs
@@ -34,7 +34,7 @@
     /// Stops accepting, and waits until all clients have their responses or [`client::FINAL_RESPONSES`] has passed.
     pub(super) async fn close(mut self) {
         self.connections.send_replace(ClientConnections::Closing);
-        let _ = timeout(client::FINAL_RESPONSES, &mut self.accept_task).await;
+        let _ = timeout(client::FINAL_RESPONSE_TIMEOUT, &mut self.accept_task).await;
     }
 }
 
