--- a/tests/as2.rs
+++ b/tests/as2.rs
@@ -23,7 +23,7 @@
 
 impl KeyDirectory {
     fn new(settings: &str) -> KeyDirectory {
-        let directory = std::env::temp_dir().join(format!("as2-{}-{}", std::process::id(), unique()));
+        let directory = std::env::temp_dir().join(format!("as2-{}-{}", std::process::id(), unique_number()));
         std::fs::create_dir_all(&directory).expect("create the key directory");
         for owner in ["us", "bank", "stranger"] {
             let args = format!(
@@ -39,7 +39,7 @@
     }
     /// Writes a new file, and returns its unique name.
     fn write(&self, prefix: &str, content: &[u8]) -> String {
-        let name = format!("{prefix}-{}", unique());
+        let name = format!("{prefix}-{}", unique_number());
         std::fs::write(self.0.join(&name), content).expect("write a file");
         name
     }
@@ -154,11 +154,11 @@
         match behavior {
             BankBehavior::NoResponse => Reply::RespondAndHold(String::new()),
             BankBehavior::CloseConnection => Reply::Close,
-            BankBehavior::AsynchronousMdn => say("200 OK", "", ""),
+            BankBehavior::AsynchronousMdn => respond("200 OK", "", ""),
             BankBehavior::SynchronousMdn { disposition, signer, mic } => {
                 let mic = mic.map_or_else(|| bank_keys.mic(&part), str::to_string);
                 let (content_type, body) = bank_keys.mdn(message_id, disposition, &mic, signer);
-                say("200 OK", &format!("content-type: {content_type}\r\n"), &body)
+                respond("200 OK", &format!("content-type: {content_type}\r\n"), &body)
             }
         }
     });
@@ -171,8 +171,8 @@
         bank.addr
     );
     std::fs::write(keys.0.join("as2.json"), settings).expect("write the AS2 settings");
-    let discovery = discovery(list(1, &[]));
-    let daemon = Setup { env: keys.env(), ..setup(&discovery, list(1, &[])) }.start();
+    let discovery = start_discovery(endpoint_list(1, &[]));
+    let daemon = Setup { env: keys.env(), ..setup(&discovery, endpoint_list(1, &[])) }.start();
     Fixture { keys, bank, discovery, daemon, as2_address }
 }
 
@@ -188,14 +188,17 @@
         bank.addr
     );
     let keys = KeyDirectory::new(&settings);
-    let discovery = discovery(list(1, &[]));
-    let daemon =
-        Setup { env: keys.env(), swaps: vec![LONG_CONNECT_TIMEOUT], ..setup(&discovery, list(1, &[])) }
-            .start();
+    let discovery = start_discovery(endpoint_list(1, &[]));
+    let daemon = Setup {
+        env: keys.env(),
+        settings_replacements: vec![LONG_CONNECT_TIMEOUT],
+        ..setup(&discovery, endpoint_list(1, &[]))
+    }
+    .start();
     let first = start_hanging_connect(&daemon, &mut bank);
     let second = retry_after_during_connect(&daemon, first, &mut bank);
     assert!(
-        call(&second).header("as2-to").is_some_and(|to| to == "bank"),
+        read_call(&second).header("as2-to").is_some_and(|to| to == "bank"),
         "the connection carries the next message"
     );
 }
@@ -214,7 +217,7 @@
 ) {
     let fixture = fixture(behavior, encrypt);
     assert_eq!(fixture.daemon.submit("payout", "p1"), 202);
-    let sent = fixture.bank.wait("the payout", |all| !all.is_empty());
+    let sent = fixture.bank.wait_until("the payout", |all| !all.is_empty());
     assert_eq!(sent[0].header("message-id"), Some("<p1@us>"));
     if fault.is_some() {
         fixture.discovery.wait_text(r#"{"id":"p1","status":"undeliverable"}"#);
@@ -237,32 +240,32 @@
         true,
     );
     assert_eq!(fixture.daemon.submit("payout", "d1"), 202);
-    fixture.bank.wait("a second attempt", |all| all.len() >= 2);
+    fixture.bank.wait_until("a second attempt", |all| all.len() >= 2);
     assert_eq!(fixture.bank.received()[1].header("message-id"), Some("<d1@us>"));
 }
 
 #[test]
 fn a_payout_without_an_mdn_is_undeliverable_and_a_late_mdn_does_not_change_that() {
     let silent = fixture(BankBehavior::NoResponse, false);
-    let response = silent.daemon.ask(&message("payout", "s1", "1500m", ""));
+    let response = silent.daemon.send_request(&message_request("payout", "s1", "1500m", ""));
     assert_eq!(response.map(|r| r.status()), Some(202));
     silent.discovery.wait_text(r#"{"id":"s1","status":"undeliverable"}"#);
     assert_eq!(silent.bank.received().len(), 1);
     let late = fixture(BankBehavior::AsynchronousMdn, false);
-    let response = late.daemon.ask(&message("payout", "s2", "1500m", ""));
+    let response = late.daemon.send_request(&message_request("payout", "s2", "1500m", ""));
     assert_eq!(response.map(|r| r.status()), Some(202));
-    let sent = late.bank.wait("the payout", |all| !all.is_empty());
+    let sent = late.bank.wait_until("the payout", |all| !all.is_empty());
     late.discovery.wait_text(r#"{"id":"s2","status":"undeliverable"}"#);
     assert_eq!(late.post_mdn(&sent[0]), 200);
     late.daemon.wait_log("ignored receipt for <s2@us>: its attempt had already ended");
-    assert_eq!(late.discovery.count_distinct("s2"), 1);
+    assert_eq!(late.discovery.count_distinct_bodies("s2"), 1);
 }
 
 #[test]
 fn an_asynchronous_mdn_completes_a_delivery() {
     let fixture = fixture(BankBehavior::AsynchronousMdn, true);
     assert_eq!(fixture.daemon.submit("payout", "l1"), 202);
-    let sent = fixture.bank.wait("the payout", |all| !all.is_empty());
+    let sent = fixture.bank.wait_until("the payout", |all| !all.is_empty());
     assert_eq!(fixture.post_mdn(&sent[0]), 200);
     fixture.daemon.wait_log("message=l1 outcome=Ok attempt=0");
     assert!(!fixture.discovery.received().iter().any(|request| request.text().contains("l1")));
@@ -273,9 +276,9 @@
 fn never_resends_a_payout_that_was_in_flight_at_a_kill() {
     let mut fixture = fixture(BankBehavior::AsynchronousMdn, false);
     assert_eq!(fixture.daemon.submit("payout", "k1"), 202);
-    let sent = fixture.bank.wait("the payout", |all| !all.is_empty());
+    let sent = fixture.bank.wait_until("the payout", |all| !all.is_empty());
     fixture.daemon.kill();
-    fixture.daemon.start_again();
+    fixture.daemon.restart();
     fixture.discovery.wait_text(r#"{"id":"k1","status":"undeliverable"}"#);
     assert_eq!(fixture.post_mdn(&sent[0]), 200);
     fixture.daemon.wait_log("receipt for <k1@us>");
@@ -297,7 +300,7 @@
             "POST {path} HTTP/1.1\r\nhost: us\r\n{headers}content-length: {}\r\n\r\n{body}",
             body.len()
         );
-        ask(self.as2_address, request.as_bytes()).expect("a response")
+        send_request(self.as2_address, request.as_bytes()).expect("a response")
     }
     /// Submits a payout as the partner `from`, signed by `signer`; the message requests a signed MDN.
     fn submit_as(&self, from: &str, signer: &str, extra_headers: &str) -> HttpMessage {
@@ -332,7 +335,7 @@
         let part = fixture.keys.decrypt_and_verify(&response).expect("a valid signature");
         let mic = fixture.keys.mic("Content-Type: text/plain\r\n\r\npay the creator");
         assert!(part.contains(&format!("Received-Content-MIC: {mic}, sha-256")), "{part}");
-        assert_eq!(endpoint.wait("the payout", |all| !all.is_empty())[0].text(), "pay the creator");
+        assert_eq!(endpoint.wait_until("the payout", |all| !all.is_empty())[0].text(), "pay the creator");
         fixture.daemon.wait_log("outcome=Ok");
         // A repeated message gets the same MDN and is not forwarded again.
         let repeated = fixture.submit_as(from, signer, "");
@@ -351,9 +354,9 @@
     let is_unavailable = unavailable.clone();
     let endpoint = Server::start(move |_, _| {
         if is_unavailable.load(Ordering::SeqCst) {
-            say("503 Shut", "", "")
+            respond("503 Shut", "", "")
         } else {
-            say(status, "", "")
+            respond(status, "", "")
         }
     });
     let mut fixture = fixture_with_endpoint(&endpoint);
@@ -364,8 +367,8 @@
     fixture.daemon.wait_log("pace reduced after a rejection");
     fixture.daemon.kill();
     unavailable.store(false, Ordering::SeqCst);
-    fixture.daemon.start_again();
-    let mdns = fixture.bank.wait("the MDN", |all| !all.is_empty());
+    fixture.daemon.restart();
+    let mdns = fixture.bank.wait_until("the MDN", |all| !all.is_empty());
     let part = fixture.keys.decrypt_and_verify(&mdns[0]).expect("a valid signature");
     assert!(part.contains(disposition), "{part}");
     assert_eq!(fixture.bank.received().len(), 1);
@@ -387,8 +390,8 @@
         .replace(old_bank_address, &fixture.bank.addr.to_string())
         .replace(old_as2_address, &fixture.as2_address.to_string());
     std::fs::write(fixture.keys.0.join("as2.json"), settings).expect("write the AS2 settings");
-    let endpoints = list(1, &[(8, endpoint.addr)]);
-    fixture.discovery = discovery(endpoints.clone());
+    let endpoints = endpoint_list(1, &[(8, endpoint.addr)]);
+    fixture.discovery = start_discovery(endpoints.clone());
     fixture.daemon = Setup { env: fixture.keys.env(), ..setup(&fixture.discovery, endpoints) }.start();
     fixture
 }
@@ -396,8 +399,8 @@
 #[test]
 fn the_as2_front_is_off_without_a_settings_file() {
     let endpoint = Server::always("200 OK");
-    let endpoints = list(1, &[(7, endpoint.addr)]);
-    let discovery = discovery(endpoints.clone());
+    let endpoints = endpoint_list(1, &[(7, endpoint.addr)]);
+    let discovery = start_discovery(endpoints.clone());
     let daemon = setup(&discovery, endpoints).start();
     assert_eq!(daemon.submit("payout", "x1"), 202);
     endpoint.wait_request("x1");
--- a/tests/batch.rs
+++ b/tests/batch.rs
@@ -32,7 +32,7 @@
 }
 
 fn is_batch(call: &HttpMessage) -> bool {
-    call.first.starts_with("POST /v1/messages:batch ")
+    call.start_line.starts_with("POST /v1/messages:batch ")
 }
 
 fn batches(server: &Server) -> Vec<Vec<BatchedMessage>> {
@@ -48,8 +48,8 @@
     release: Sender<()>,
 }
 
-/// Starts the daemon. `respond` gets the messages of a batch and the batch's index, from 0.
-fn fixture(respond: impl Fn(&[BatchedMessage], usize) -> Reply + Send + Sync + 'static) -> Fixture {
+/// Starts the daemon. `respond_to_batch` gets the messages of a batch and the batch's index, from 0.
+fn fixture(respond_to_batch: impl Fn(&[BatchedMessage], usize) -> Reply + Send + Sync + 'static) -> Fixture {
     let (release, released) = channel::<()>();
     let released = Mutex::new(released);
     let batch_count = Mutex::new(0);
@@ -58,16 +58,17 @@
             let _ = released.lock().expect("lock").recv_timeout(EVENT_TIMEOUT);
         }
         if !is_batch(call) {
-            return say("200 OK", "", "");
+            return respond("200 OK", "", "");
         }
         let mut batch_count = batch_count.lock().expect("lock");
         *batch_count += 1;
-        respond(&parse_batch(call), *batch_count - 1)
+        respond_to_batch(&parse_batch(call), *batch_count - 1)
     });
-    let endpoints = list(1, &[(7, endpoint.addr)]);
-    let discovery = discovery(endpoints.clone());
-    let swaps = vec![(r#""perCall":[1]"#, r#""perCall":[10]"#), (r#""workers":6"#, r#""workers":1"#)];
-    let daemon = Setup { swaps, ..setup(&discovery, endpoints) }.start();
+    let endpoints = endpoint_list(1, &[(7, endpoint.addr)]);
+    let discovery = start_discovery(endpoints.clone());
+    let settings_replacements =
+        vec![(r#""perCall":[1]"#, r#""perCall":[10]"#), (r#""workers":6"#, r#""workers":1"#)];
+    let daemon = Setup { settings_replacements, ..setup(&discovery, endpoints) }.start();
     Fixture { endpoint, discovery, daemon, release }
 }
 
@@ -78,7 +79,7 @@
         self.endpoint.wait_request("first");
         messages.iter().for_each(|(class, id)| assert_eq!(self.daemon.submit(class, id), 202));
         self.release.send(()).expect("the endpoint waits for the release");
-        self.endpoint.wait("a batch", |calls| calls.iter().any(is_batch));
+        self.endpoint.wait_until("a batch", |calls| calls.iter().any(is_batch));
     }
 }
 
@@ -96,7 +97,7 @@
             (0, "v") => "void",
             _ => "done",
         };
-        say("200 OK", "", &results_for(messages, result))
+        respond("200 OK", "", &results_for(messages, result))
     });
     fixture.submit_together(&[
         ("payout", "d"),
@@ -108,29 +109,29 @@
     fixture.discovery.wait_text(r#"{"id":"f","status":"undeliverable"}"#);
     // Only the message with the result `busy` is sent again.
     let times_sent = |calls: &[HttpMessage], id: &str| {
-        let alone = calls.iter().filter(|c| c.id() == id).count();
+        let alone = calls.iter().filter(|c| c.request_id() == id).count();
         alone + calls.iter().filter(|c| is_batch(c)).flat_map(parse_batch).filter(|m| m.id == id).count()
     };
-    let calls = fixture.endpoint.wait("b again", |calls| times_sent(calls, "b") == 2);
+    let calls = fixture.endpoint.wait_until("b again", |calls| times_sent(calls, "b") == 2);
     assert_eq!(["d", "f", "v", "x"].map(|id| times_sent(&calls, id)), [1; 4]);
     let first_batch = &batches(&fixture.endpoint)[0];
     assert!((2..=10).contains(&first_batch.len()), "{}", first_batch.len());
     let d = first_batch.iter().find(|m| m.id == "d").expect("message d was sent");
     assert_eq!((d.key.as_str(), d.body.as_slice()), ("key-d", &b"body of d"[..]));
-    let callbacks = |id: &str| fixture.discovery.count_distinct(id);
+    let callbacks = |id: &str| fixture.discovery.count_distinct_bodies(id);
     assert_eq!(callbacks(r#""id":"d""#) + callbacks(r#""id":"v""#), 0);
 }
 
 #[test]
 fn a_batch_has_at_most_the_number_of_messages_that_its_kind_allows() {
-    let fixture = fixture(|messages, _| say("200 OK", "", &results_for(messages, |_| "done")));
+    let fixture = fixture(|messages, _| respond("200 OK", "", &results_for(messages, |_| "done")));
     let ids: Vec<String> = (0..25).map(|n| format!("m{n}")).collect();
     let messages: Vec<(&str, &str)> = ids.iter().map(|id| ("stats", id.as_str())).collect();
     fixture.submit_together(&messages);
     let batched = |calls: &[HttpMessage]| calls.iter().filter(|c| is_batch(c)).flat_map(parse_batch).count();
-    let calls = fixture
-        .endpoint
-        .wait("all messages", |calls| batched(calls) + calls.iter().filter(|c| !is_batch(c)).count() >= 26);
+    let calls = fixture.endpoint.wait_until("all messages", |calls| {
+        batched(calls) + calls.iter().filter(|c| !is_batch(c)).count() >= 26
+    });
     let sizes: Vec<usize> = calls.iter().filter(|c| is_batch(c)).map(|c| parse_batch(c).len()).collect();
     assert!(sizes.iter().all(|n| (2..=10).contains(n)) && sizes.contains(&10), "{sizes:?}");
 }
@@ -142,17 +143,18 @@
 #[case::unavailable("503 Full")]
 fn resends_all_messages_if_the_response_states_that_none_was_run(#[case] status: &'static str) {
     let fixture = fixture(move |messages, n| match n {
-        0 => say(status, "", ""),
-        _ => say("200 OK", "", &results_for(messages, |_| "done")),
+        0 => respond(status, "", ""),
+        _ => respond("200 OK", "", &results_for(messages, |_| "done")),
     });
     fixture.submit_together(&[("payout", "p"), ("stats", "q")]);
     let times_sent = |calls: &[HttpMessage], id: &str| {
-        let carries =
-            |c: &HttpMessage| c.id() == id || (is_batch(c) && parse_batch(c).iter().any(|m| m.id == id));
+        let carries = |c: &HttpMessage| {
+            c.request_id() == id || (is_batch(c) && parse_batch(c).iter().any(|m| m.id == id))
+        };
         calls.iter().filter(|c| carries(c)).count()
     };
     let both_again = |calls: &[HttpMessage]| times_sent(calls, "p") == 2 && times_sent(calls, "q") == 2;
-    fixture.endpoint.wait("both messages again", both_again);
+    fixture.endpoint.wait_until("both messages again", both_again);
 }
 
 #[rstest]
@@ -160,12 +162,12 @@
 #[case::incomplete_body(|m: &[BatchedMessage]| {
     Reply::Respond(format!("HTTP/1.1 200 OK\r\ncontent-length: 500\r\n\r\n{} done\r\n", m[0].id))
 })]
-#[case::missing_results(|_: &[BatchedMessage]| say("200 OK", "", "somebody done\r\n"))]
-#[case::error_status(|_: &[BatchedMessage]| say("500 Error", "", ""))]
+#[case::missing_results(|_: &[BatchedMessage]| respond("200 OK", "", "somebody done\r\n"))]
+#[case::error_status(|_: &[BatchedMessage]| respond("500 Error", "", ""))]
 fn never_resends_a_payout_of_a_batch_that_may_have_run(#[case] reply: fn(&[BatchedMessage]) -> Reply) {
     let fixture = fixture(move |messages, n| match n {
         0 => reply(messages),
-        _ => say("200 OK", "", &results_for(messages, |_| "done")),
+        _ => respond("200 OK", "", &results_for(messages, |_| "done")),
     });
     fixture.submit_together(&[("payout", "p"), ("payout", "r"), ("stats", "q")]);
     fixture.discovery.wait_text(r#"{"id":"p","status":"undeliverable"}"#);
@@ -177,13 +179,13 @@
 #[test]
 fn respects_a_retry_after_in_the_response_to_a_batch() {
     let fixture = fixture(|messages, n| match n {
-        0 => say("200 OK", "Retry-After: 1.2\r\n", &results_for(messages, |_| "busy")),
-        _ => say("200 OK", "", &results_for(messages, |_| "done")),
+        0 => respond("200 OK", "Retry-After: 1.2\r\n", &results_for(messages, |_| "busy")),
+        _ => respond("200 OK", "", &results_for(messages, |_| "done")),
     });
     fixture.submit_together(&[("payout", "p"), ("payout", "q")]);
     fixture.daemon.wait_log("Retry-After received");
     let (received_at, calls_before) = (Instant::now(), fixture.endpoint.received().len());
-    fixture.endpoint.wait("another call", |calls| calls.len() > calls_before);
+    fixture.endpoint.wait_until("another call", |calls| calls.len() > calls_before);
     assert!(received_at.elapsed() >= Duration::from_millis(1100), "sent after {:?}", received_at.elapsed());
 }
 
@@ -209,17 +211,18 @@
         if is_batch(call) {
             return Reply::RespondAndHold(String::new());
         }
-        say("200 OK", "", "")
+        respond("200 OK", "", "")
     });
-    let endpoints = list(1, &[(7, silent_endpoint.addr), (8, other_endpoint.addr)]);
-    let discovery = discovery(endpoints.clone());
-    let swaps = vec![(r#""perCall":[1]"#, r#""perCall":[10]"#), (r#""workers":6"#, r#""workers":1"#)];
-    let daemon = Setup { swaps, ..setup(&discovery, endpoints) }.start();
+    let endpoints = endpoint_list(1, &[(7, silent_endpoint.addr), (8, other_endpoint.addr)]);
+    let discovery = start_discovery(endpoints.clone());
+    let settings_replacements =
+        vec![(r#""perCall":[1]"#, r#""perCall":[10]"#), (r#""workers":6"#, r#""workers":1"#)];
+    let daemon = Setup { settings_replacements, ..setup(&discovery, endpoints) }.start();
     let fixture = Fixture { endpoint: silent_endpoint, discovery, daemon, release };
     fixture.submit_together(&[("stats", "a"), ("stats", "b"), ("stats", "c")]);
-    let request = String::from_utf8(message("payout", "o", "20000m", "")).expect("UTF-8");
+    let request = String::from_utf8(message_request("payout", "o", "20000m", "")).expect("UTF-8");
     let to_other_destination = request.replace("dest=7", "dest=8");
-    assert_eq!(fixture.daemon.ask(to_other_destination.as_bytes()).map(|r| r.status()), Some(202));
+    assert_eq!(fixture.daemon.send_request(to_other_destination.as_bytes()).map(|r| r.status()), Some(202));
     other_endpoint.wait_request("o");
     let ended = |id: &str, log: &str| log.contains(&format!("attempt ended message={id} outcome="));
     let log = fixture.daemon.log();
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -10,8 +10,8 @@
 use std::time::{Duration, Instant};
 
 fn start_daemon(endpoint: &Server, sockets: u32) -> (Server, Daemon) {
-    let endpoints = list(1, &[(7, endpoint.addr)]);
-    let discovery = discovery(endpoints.clone());
+    let endpoints = endpoint_list(1, &[(7, endpoint.addr)]);
+    let discovery = start_discovery(endpoints.clone());
     let daemon = Setup { sockets, ..setup(&discovery, endpoints) }.start();
     (discovery, daemon)
 }
@@ -74,7 +74,7 @@
     let endpoint = Server::always("200 OK");
     let (_discovery, daemon) = start_daemon(&endpoint, 1024);
     let mut socket = daemon.connect();
-    socket.write_all(&message("stats", "c1", "9000m", "")).expect("write the request");
+    socket.write_all(&message_request("stats", "c1", "9000m", "")).expect("write the request");
     let mut reader = BufReader::new(socket.try_clone().expect("clone the socket"));
     assert_eq!(read_http(&mut reader).map(|response| response.status()), Some(202));
     socket.write_all(request_with(CHUNKED, "3\r\nabc\r\n0\r\n\r\n").as_bytes()).expect("write the request");
@@ -96,7 +96,9 @@
     for n in 0..60 {
         let mut socket = daemon.connect();
         if sends_request {
-            socket.write_all(&message("stats", &format!("s{n}"), "9000m", "")).expect("write the request");
+            socket
+                .write_all(&message_request("stats", &format!("s{n}"), "9000m", ""))
+                .expect("write the request");
             let response = read_http(&mut BufReader::new(socket.try_clone().expect("clone the socket")));
             assert_eq!(response.map(|r| r.status()), Some(202));
         }
@@ -112,16 +114,17 @@
 #[test]
 fn idle_clients_leave_descriptors_for_other_uses_while_discovery_is_down() {
     let (old_endpoint, new_endpoint) = (Server::always("200 OK"), Server::always("200 OK"));
-    let new_list = list(2, &[(7, new_endpoint.addr)]).replace("s-0", "s-1");
+    let new_list = endpoint_list(2, &[(7, new_endpoint.addr)]).replace("s-0", "s-1");
     let discovery_up = Arc::new(AtomicBool::new(false));
     let is_up = discovery_up.clone();
     let discovery =
-        Server::start(move |request, _| match (request.first.starts_with("GET"), is_up.load(Relaxed)) {
-            (false, _) => say("204 No Content", "", ""),
+        Server::start(move |request, _| match (request.start_line.starts_with("GET"), is_up.load(Relaxed)) {
+            (false, _) => respond("204 No Content", "", ""),
             (true, false) => Reply::Close,
-            (true, true) => watch(&new_list),
+            (true, true) => watch_response(&new_list),
         });
-    let daemon = Setup { sockets: 60, ..setup(&discovery, list(1, &[(7, old_endpoint.addr)])) }.start();
+    let daemon =
+        Setup { sockets: 60, ..setup(&discovery, endpoint_list(1, &[(7, old_endpoint.addr)])) }.start();
     daemon.limit_descriptors(60);
     let open: Vec<_> = (0..60).map(|_| daemon.connect()).collect();
     assert_eq!(daemon.submit("stats", "meanwhile"), 202);
@@ -141,20 +144,20 @@
 fn rejects_messages_with_503_until_the_first_endpoint_list_arrives() {
     let endpoint = Server::always("200 OK");
     let discovery_up = Arc::new(AtomicBool::new(false));
-    let (is_up, first_list) = (discovery_up.clone(), list(2, &[(7, endpoint.addr)]));
+    let (is_up, first_list) = (discovery_up.clone(), endpoint_list(2, &[(7, endpoint.addr)]));
     let discovery = Server::start(move |_, _| match is_up.load(Relaxed) {
         false => Reply::Close,
-        true => watch(&first_list),
+        true => watch_response(&first_list),
     });
-    let daemon = setup(&discovery, list(1, &[])).start();
-    let response = daemon.ask(&message("stats", "early", "9000m", "")).expect("a response");
+    let daemon = setup(&discovery, endpoint_list(1, &[])).start();
+    let response = daemon.send_request(&message_request("stats", "early", "9000m", "")).expect("a response");
     assert_eq!((response.status(), response.header("retry-after")), (503, Some("1.000")));
     discovery_up.store(true, Relaxed);
     daemon.wait_log("upstream group: version 2");
     assert_eq!(daemon.submit("stats", "early"), 202);
-    let request = String::from_utf8(message("stats", "other", "9000m", "")).expect("UTF-8");
+    let request = String::from_utf8(message_request("stats", "other", "9000m", "")).expect("UTF-8");
     let unknown_destination = request.replace("dest=7", "dest=8");
-    assert_eq!(daemon.ask(unknown_destination.as_bytes()).map(|r| r.status()), Some(404));
+    assert_eq!(daemon.send_request(unknown_destination.as_bytes()).map(|r| r.status()), Some(404));
 }
 
 #[test]
@@ -168,7 +171,7 @@
     daemon.wait_log("cannot accept client connections");
     drop(open);
     assert_eq!(daemon.submit("stats", "d2"), 202);
-    assert!(daemon.runs());
+    assert!(daemon.is_running());
     assert!(daemon.log().matches("cannot accept client connections").count() < 200);
 }
 
@@ -189,9 +192,9 @@
     let endpoint = Server::start(|_, _| Reply::RespondAndHold(String::new()));
     let (_discovery, daemon) = start_daemon(&endpoint, 1024);
     assert_eq!(daemon.submit("payout", "i1"), 202);
-    let request = String::from_utf8(message("payout", "i1", "9000m", "")).expect("UTF-8");
+    let request = String::from_utf8(message_request("payout", "i1", "9000m", "")).expect("UTF-8");
     let different = request.replace("body of i1", "body of xx");
-    assert_eq!(daemon.ask(different.as_bytes()).map(|r| r.status()), Some(503));
+    assert_eq!(daemon.send_request(different.as_bytes()).map(|r| r.status()), Some(503));
     assert_eq!(daemon.submit("payout", "i1"), 202);
     assert_eq!(endpoint.wait_request("i1").text(), "body of i1");
 }
--- a/tests/waits.rs
+++ b/tests/waits.rs
@@ -13,20 +13,21 @@
 
 fn start_daemon() -> (FullBacklogEndpoint, Server, Daemon) {
     let endpoint = FullBacklogEndpoint::start();
-    let endpoints = list(1, &[(7, endpoint.addr)]);
-    let discovery = discovery(endpoints.clone());
-    let swaps = vec![LONG_CONNECT_TIMEOUT, (r#""resolutionNs":5000000"#, r#""resolutionNs":1000000"#)];
-    let daemon = Setup { swaps, ..setup(&discovery, endpoints) }.start();
+    let endpoints = endpoint_list(1, &[(7, endpoint.addr)]);
+    let discovery = start_discovery(endpoints.clone());
+    let settings_replacements =
+        vec![LONG_CONNECT_TIMEOUT, (r#""resolutionNs":5000000"#, r#""resolutionNs":1000000"#)];
+    let daemon = Setup { settings_replacements, ..setup(&discovery, endpoints) }.start();
     (endpoint, discovery, daemon)
 }
 
 /// Submits message `a` with this deadline, and returns the connection on which the endpoint has received its call. The class
 /// lets an attempt last until the deadline.
 fn call_in_flight(endpoint: &FullBacklogEndpoint, daemon: &Daemon, deadline: &str) -> TcpStream {
-    let request = message("payout", "a", deadline, "");
-    assert_eq!(daemon.ask(&request).map(|response| response.status()), Some(202));
+    let request = message_request("payout", "a", deadline, "");
+    assert_eq!(daemon.send_request(&request).map(|response| response.status()), Some(202));
     let socket = endpoint.accept();
-    assert_eq!(call(&socket).id(), "a");
+    assert_eq!(read_call(&socket).request_id(), "a");
     socket
 }
 
@@ -34,9 +35,9 @@
 fn assert_retry_after_respected(endpoint: &FullBacklogEndpoint, daemon: &Daemon, sent_at: Instant) {
     assert_eq!(daemon.submit("stats", "b"), 202);
     let next = endpoint.accept();
-    assert_eq!(call(&next).id(), "b");
+    assert_eq!(read_call(&next).request_id(), "b");
     let delay = sent_at.elapsed();
-    answer(&next, "200 OK", "");
+    write_response(&next, "200 OK", "");
     // The time counts from the write of the Retry-After. The 100 ms within which a call may still be sent after a Retry-After
     // do not apply here.
     assert!(delay >= Duration::from_millis(2390), "message b was sent {delay:?} after the Retry-After");
@@ -98,8 +99,8 @@
     discovery.wait_text(r#"{"id":"a","status":"undeliverable"}"#);
     assert_eq!(daemon.submit("stats", "b"), 202);
     let next = endpoint.accept();
-    assert_eq!(call(&next).id(), "b");
-    answer(&next, "200 OK", "");
+    assert_eq!(read_call(&next).request_id(), "b");
+    write_response(&next, "200 OK", "");
     daemon.wait_log("attempt ended message=b outcome=Ok");
     // A write fails once the daemon has closed the connection, some time after the cancellation.
     let give_up_at = Instant::now() + EVENT_TIMEOUT;
