--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -7,8 +7,8 @@
 const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
 
 fn start_daemon(endpoint: &Server) -> (Server, Daemon) {
-    let endpoints = list(1, &[(7, endpoint.addr)]);
-    let discovery = discovery(endpoints.clone());
+    let endpoints = endpoint_list(1, &[(7, endpoint.addr)]);
+    let discovery = start_discovery(endpoints.clone());
     let daemon = setup(&discovery, endpoints).start();
     (discovery, daemon)
 }
@@ -74,8 +74,8 @@
 #[case::garbage("%%%%")]
 #[case::second_response(OK_RESPONSE)]
 fn ignores_bytes_after_a_response(#[case] extra: &'static str) {
-    let endpoint = Server::start(move |request, _| match request.id() {
-        "last" => say("500 Oops", "", ""),
+    let endpoint = Server::start(move |request, _| match request.request_id() {
+        "last" => respond("500 Oops", "", ""),
         _ => Reply::Respond(format!("{OK_RESPONSE}{extra}")),
     });
     let (discovery, daemon) = start_daemon(&endpoint);
