--- a/tests/forwarder.rs
+++ b/tests/forwarder.rs
@@ -1,47 +1,51 @@
-//! The real program as a process, met by a client, endpoints and discovery.
+//! The daemon process with a client, stand-in endpoints and a stand-in discovery server.
 mod stand;
 use rstest::rstest;
 use stand::*;
 use std::io::{BufReader, Write};
 use std::time::Duration;
 
-fn one(endpoint: &Server) -> (Server, String) {
+/// Starts discovery with this endpoint as the only one, of destination 7, and returns it with its endpoint list.
+fn discovery_with(endpoint: &Server) -> (Server, String) {
     let known = endpoint_list(1, &[(7, endpoint.addr)]);
     (start_discovery(known.clone()), known)
 }
 
 #[test]
-fn a_message_is_taken_on_and_passed_on_unchanged() {
+fn a_message_is_accepted_and_delivered_unchanged() {
     let endpoint = Server::always("200 OK");
-    let (disco, known) = one(&endpoint);
+    let (disco, known) = discovery_with(&endpoint);
     let daemon = setup(&disco, known).start();
     assert_eq!(daemon.submit("sync", "a1"), 202);
     let call = endpoint.wait_request("a1");
     assert_eq!(call.start_line.trim(), "POST /v1/messages HTTP/1.1");
     assert_eq!(call.header("idempotency-key"), Some("key-a1"));
     assert_eq!(call.text(), "body of a1");
-    let left = call.header("x-deadline").and_then(|d| d.strip_suffix('m')).expect("in milliseconds");
-    assert!((1..=20_000).contains(&left.parse::<u64>().expect("a number")), "{left}");
-    assert!(!disco.received().iter().any(|h| h.start_line.starts_with("POST")), "delivered: no notice");
+    let remaining = call.header("x-deadline").and_then(|d| d.strip_suffix('m')).expect("in milliseconds");
+    assert!((1..=20_000).contains(&remaining.parse::<u64>().expect("a number")), "{remaining}");
+    assert!(
+        !disco.received().iter().any(|h| h.start_line.starts_with("POST")),
+        "a delivered message has no completion callback"
+    );
 }
 
-/// Bad input is a plain 4xx, and the program goes on.
+/// A malformed or impossible request gets a 4xx, and the daemon keeps serving.
 #[rstest]
 #[case::no_id("X-Request-Id: b", "X-Other: b", 400)]
 #[case::no_deadline("X-Deadline", "X-Other", 400)]
 #[case::bad_deadline("20000m", "soon", 400)]
 #[case::deadline_unit("20000m", "20000s", 400)]
-#[case::passed("20000m", "0m", 410)]
-#[case::tenant("X-Tenant: t", "X-Tenant: nobody", 400)]
-#[case::class_and_path("X-Class: stats", "X-Class: payout", 400)]
+#[case::deadline_passed("20000m", "0m", 410)]
+#[case::unknown_tenant("X-Tenant: t", "X-Tenant: nobody", 400)]
+#[case::class_differs_from_path("X-Class: stats", "X-Class: payout", 400)]
 #[case::no_dest("dest=7", "dest=", 400)]
-#[case::path("POST /stats", "POST /a/b/c", 404)]
-#[case::method("POST /stats", "PATCH /stats", 405)]
-#[case::not_text("X-Tenant: t", "X-Tenant: \u{e9}", 400)]
-#[case::too_big("Content-Length: 9", "Content-Length: 70000", 413)]
-fn bad_input_is_told_so(#[case] from: &str, #[case] to: &str, #[case] status: u16) {
+#[case::unknown_path("POST /stats", "POST /a/b/c", 404)]
+#[case::unknown_method("POST /stats", "PATCH /stats", 405)]
+#[case::header_not_ascii("X-Tenant: t", "X-Tenant: \u{e9}", 400)]
+#[case::body_too_large("Content-Length: 9", "Content-Length: 70000", 413)]
+fn rejects_an_invalid_request(#[case] from: &str, #[case] to: &str, #[case] status: u16) {
     let endpoint = Server::always("200 OK");
-    let (disco, known) = one(&endpoint);
+    let (disco, known) = discovery_with(&endpoint);
     let mut daemon = setup(&disco, known).start();
     let text = String::from_utf8(message_request("stats", "b", "20000m", "")).expect("text");
     assert!(text.contains(from));
@@ -55,7 +59,7 @@
 }
 
 #[test]
-fn unknown_classes_and_dests_fail_and_broken_lists_are_passed_over() {
+fn rejects_unknown_classes_and_destinations_and_ignores_invalid_endpoint_lists() {
     let endpoint = Server::always("200 OK");
     let known = endpoint_list(1, &[(7, endpoint.addr)]);
     let disco = start_discovery("{\"rev\": what".into());
@@ -68,67 +72,74 @@
     assert_eq!(daemon.submit("stats", "c3"), 202);
 }
 
-/// What each answer of an endpoint means for a message that must not run twice.
+/// A 500 leaves open whether the message ran, so a message that may run at most once is undeliverable. A 410 says that the
+/// message is over, which needs no completion callback.
 #[rstest]
-#[case::error("500 Oops", "", 1)]
-#[case::void("410 Gone", "", 0)]
-fn a_payout_that_may_have_run_is_undeliverable(
-    #[case] status: &'static str, #[case] head: &'static str, #[case] notices: usize,
+#[case::server_error("500 Oops", "", 1)]
+#[case::gone("410 Gone", "", 0)]
+fn an_at_most_once_message_is_not_retried_after_an_error_or_a_410(
+    #[case] status: &'static str, #[case] headers: &'static str, #[case] callbacks: usize,
 ) {
     let endpoint = Server::start(move |h, _| {
         if h.request_id() == "p1" {
-            respond(status, head, "")
+            respond(status, headers, "")
         } else {
             respond("200 OK", "", "")
         }
     });
-    let (disco, known) = one(&endpoint);
+    let (disco, known) = discovery_with(&endpoint);
     let daemon = setup(&disco, known).start();
     assert_eq!(daemon.submit("payout", "p1"), 202);
     endpoint.wait_request("p1");
-    if notices > 0 {
+    if callbacks > 0 {
         disco.wait_text(r#"{"id":"p1","status":"undeliverable"}"#);
     }
     assert_eq!(daemon.submit("payout", "p2"), 202);
     endpoint.wait_request("p2");
     assert_eq!(endpoint.received().iter().filter(|h| h.request_id() == "p1").count(), 1);
-    assert_eq!(disco.count_distinct_bodies("p1"), notices);
+    assert_eq!(disco.count_distinct_bodies("p1"), callbacks);
 }
 
 #[test]
-fn a_call_that_breaks_after_its_last_byte_may_have_run() {
+fn an_at_most_once_message_whose_call_breaks_without_a_response_is_undeliverable() {
     let endpoint = Server::start(|_, _| Reply::Close);
-    let (disco, known) = one(&endpoint);
+    let (disco, known) = discovery_with(&endpoint);
     let daemon = setup(&disco, known).start();
     assert_eq!(daemon.submit("payout", "r1"), 202);
     disco.wait_text(r#"{"id":"r1","status":"undeliverable"}"#);
     assert_eq!(endpoint.received().len(), 1);
 }
 
-/// What never ran goes again, also a payout; after a told wait, not before its end.
+/// A message that did not run is retried even if it may run at most once, and not before a Retry-After has passed.
 #[rstest]
-#[case::told_to_wait("429 Later", "Retry-After: 0.3\r\n", 300)]
-#[case::full("503 Full", "", 0)]
+#[case::retry_after("429 Later", "Retry-After: 0.3\r\n", 300)]
+#[case::overloaded("503 Full", "", 0)]
 #[case::no_slot("503 Full", "X-No-Slot: 1\r\n", 0)]
-#[case::tries_spent("504 Spent", "", 0)]
-fn one_that_never_ran_is_sent_again(
-    #[case] status: &'static str, #[case] head: &'static str, #[case] wait_ms: u64,
+#[case::attempts_used_up("504 Spent", "", 0)]
+fn a_message_that_did_not_run_is_retried(
+    #[case] status: &'static str, #[case] headers: &'static str, #[case] wait_ms: u64,
 ) {
     let endpoint =
-        Server::start(move |_, n| if n == 0 { respond(status, head, "") } else { respond("200 OK", "", "") });
-    let (disco, known) = one(&endpoint);
+        Server::start(
+            move |_, n| if n == 0 { respond(status, headers, "") } else { respond("200 OK", "", "") },
+        );
+    let (disco, known) = discovery_with(&endpoint);
     let daemon = setup(&disco, known).start();
     let start = std::time::Instant::now();
     assert_eq!(daemon.submit("payout", "w1"), 202);
     endpoint.wait_until("a second call", |all| all.len() == 2);
     assert!(start.elapsed() >= Duration::from_millis(wait_ms));
     daemon.wait_log("message=w1 outcome=Ok attempt=1");
-    assert!(!disco.received().iter().any(|h| h.text().contains("w1")), "delivered: no notice");
+    assert!(
+        !disco.received().iter().any(|h| h.text().contains("w1")),
+        "a delivered message has no completion callback"
+    );
 }
 
-/// The list comes in chunks that end anywhere; a watch that ends or falls silent goes on after what is held.
+/// The endpoint list comes in chunks that end at any byte. A watch that ends or falls silent is reopened after the last version
+/// that was received.
 #[test]
-fn the_upstream_group_follows_split_chunks_and_watches_that_break() {
+fn the_endpoint_list_is_read_from_split_chunks_and_across_reopened_watches() {
     let (old, new) = (Server::always("200 OK"), Server::always("200 OK"));
     let known = endpoint_list(1, &[(7, old.addr)]);
     let change = endpoint_list(5, &[(7, old.addr), (7, new.addr)]).replacen("Ready", "Terminating", 1) + "\n";
@@ -146,30 +157,32 @@
         assert_eq!(daemon.submit("stats", id), 202);
         new.wait_request(id);
     }
-    assert!(old.received().is_empty(), "it drains");
-    let asked =
-        disco.wait_until("a watch after one that ended, and one after a silent one", |all| all.len() >= 3);
-    let firsts: Vec<&str> =
-        asked.iter().map(|h| h.start_line.split(' ').nth(1).unwrap_or_default()).collect();
+    assert!(old.received().is_empty(), "the old endpoint is draining");
+    let watches = disco
+        .wait_until("a watch after the one that ended and another after the silent one", |all| {
+            all.len() >= 3
+        });
+    let paths: Vec<&str> =
+        watches.iter().map(|h| h.start_line.split(' ').nth(1).unwrap_or_default()).collect();
     assert_eq!(
-        firsts[..3],
+        paths[..3],
         ["/v1/endpoints?watch=1&after=1", "/v1/endpoints?watch=1&after=5", "/v1/endpoints?watch=1&after=5"]
     );
 }
 
-/// What is gone leaves nothing behind, and a new endpoint at its address gets connections of its own.
+/// An endpoint that is removed from the list loses its connections, and a new endpoint at the same address gets new ones.
 #[test]
-fn an_endpoint_that_is_gone_is_retired_with_its_connections() {
+fn a_removed_endpoint_is_retired_and_its_connections_are_closed() {
     let endpoint = Server::always("200 OK");
     let many: Vec<_> = (1..=20).map(|dest| (dest, endpoint.addr)).collect();
     let known = endpoint_list(1, &many);
-    let (tell, told) = std::sync::mpsc::channel();
-    let (told, after) =
-        (std::sync::Mutex::new(told), endpoint_list(2, &[(7, endpoint.addr)]).replace("s-0", "s-new"));
-    let disco = Server::start(move |heard, _| {
+    let (send_list, signal) = std::sync::mpsc::channel();
+    let (signal, updated) =
+        (std::sync::Mutex::new(signal), endpoint_list(2, &[(7, endpoint.addr)]).replace("s-0", "s-new"));
+    let disco = Server::start(move |request, _| {
         let line: String =
-            told.lock().expect("lock").recv().map(|()| after.clone() + "\n").unwrap_or_default();
-        assert!(heard.start_line.starts_with("GET"), "{}", heard.start_line);
+            signal.lock().expect("lock").recv().map(|()| updated.clone() + "\n").unwrap_or_default();
+        assert!(request.start_line.starts_with("GET"), "{}", request.start_line);
         Reply::RespondAndHold(format!(
             "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n{:x}\r\n{line}\r\n",
             line.len()
@@ -185,7 +198,7 @@
         daemon.wait_log(&format!("message=r{dest} outcome=Ok attempt=0"));
     }
     assert!(daemon.open_descriptors() >= before + many.len());
-    tell.send(()).expect("it listens");
+    send_list.send(()).expect("it listens");
     daemon.wait_log("retired host=s-0 dest=1");
     assert_eq!(daemon.submit("stats", "r21"), 202);
     daemon.wait_log("message=r21 outcome=Ok attempt=0");
@@ -197,24 +210,24 @@
     assert_eq!(daemon.log().matches("retired host=").count(), many.len());
 }
 
-/// A second hand-in over a connection that crossed its answer is the same message.
+/// A client that submits a message again because it missed the response refers to the same message.
 #[test]
-fn the_same_request_twice_runs_once() {
+fn a_message_submitted_twice_is_attempted_once() {
     let endpoint = Server::start(|_, _| Reply::RespondAndHold(String::new()));
-    let (disco, known) = one(&endpoint);
+    let (disco, known) = discovery_with(&endpoint);
     let daemon = setup(&disco, known).start();
     assert_eq!((daemon.submit("payout", "t1"), daemon.submit("payout", "t1")), (202, 202));
     assert_eq!(daemon.submit("payout", "t2"), 202);
-    // Each goes out on a connection of its own: the later one may be heard first.
+    // Each message is sent on its own connection, so t2 may arrive before t1.
     endpoint.wait_request("t1");
     endpoint.wait_request("t2");
     assert_eq!(endpoint.received().iter().filter(|h| h.request_id() == "t1").count(), 1);
 }
 
 #[test]
-fn messages_past_the_open_cap_are_rejected_with_a_time_to_come_back() {
+fn messages_over_the_limit_of_pending_messages_are_rejected_with_a_retry_after() {
     let endpoint = Server::start(|_, _| Reply::RespondAndHold(String::new()));
-    let (disco, known) = one(&endpoint);
+    let (disco, known) = discovery_with(&endpoint);
     let daemon = Setup { max_pending: 4, ..setup(&disco, known) }.start();
     let submit = |n| {
         daemon.send_request(&message_request("payout", &format!("o{n}"), "20000m", "")).expect("an answer")
@@ -225,23 +238,26 @@
     assert!(answers[3..].iter().all(|h| h.header("retry-after").is_some()));
 }
 
-/// Killed outright with one call out: what that call may have done decides what comes of the message.
+/// An attempt that is in flight when the process is killed may have run, so only a class that allows a repeat is retried after
+/// the restart.
 #[rstest]
-#[case::payout("payout", false)]
-#[case::sync("sync", true)]
-#[case::stats("stats", true)]
-fn what_was_out_at_a_kill_may_have_run(#[case] class: &str, #[case] again: bool) {
+#[case::at_most_once("payout", false)]
+#[case::idempotent_by_key("sync", true)]
+#[case::idempotent("stats", true)]
+fn an_attempt_in_flight_at_a_kill_is_retried_only_as_its_class_allows(
+    #[case] class: &str, #[case] is_retried: bool,
+) {
     let endpoint =
         Server::start(
             |_, n| if n == 0 { Reply::RespondAndHold(String::new()) } else { respond("200 OK", "", "") },
         );
-    let (disco, known) = one(&endpoint);
+    let (disco, known) = discovery_with(&endpoint);
     let mut daemon = setup(&disco, known).start();
     assert_eq!(daemon.submit(class, "k1"), 202);
     endpoint.wait_request("k1");
     daemon.kill();
     daemon.restart();
-    if again {
+    if is_retried {
         endpoint.wait_until("a second call", |all| all.len() == 2);
     } else {
         disco.wait_text(r#"{"id":"k1","status":"undeliverable"}"#);
@@ -250,12 +266,12 @@
 }
 
 #[test]
-fn a_key_keeps_its_order_across_a_kill_and_a_torn_journal_is_read_up_to_the_tear() {
+fn messages_of_a_key_keep_their_order_across_a_kill_with_a_torn_journal() {
     let endpoint =
         Server::start(
             |_, n| if n == 0 { Reply::RespondAndHold(String::new()) } else { respond("200 OK", "", "") },
         );
-    let (disco, known) = one(&endpoint);
+    let (disco, known) = discovery_with(&endpoint);
     let mut daemon = setup(&disco, known).start();
     for id in ["q1", "q2", "q3"] {
         assert_eq!(
@@ -266,9 +282,9 @@
     endpoint.wait_request("q1");
     daemon.kill();
     let journal = daemon.folder.join("state").join("journal");
-    let mut held = std::fs::read(&journal).expect("the journal");
-    held.extend([9, 0, 0, 0, 1, 2, 3]);
-    std::fs::write(&journal, held).expect("torn");
+    let mut bytes = std::fs::read(&journal).expect("the journal");
+    bytes.extend([9, 0, 0, 0, 1, 2, 3]);
+    std::fs::write(&journal, bytes).expect("torn");
     daemon.restart();
     assert!(daemon.log().contains("torn tail of 7 bytes"));
     let all = endpoint.wait_until("all three", |all| all.iter().any(|h| h.request_id() == "q3"));
@@ -277,7 +293,7 @@
 }
 
 #[test]
-fn a_notice_is_sent_until_it_is_answered_and_its_key_waits_for_that() {
+fn a_completion_callback_is_sent_until_acknowledged_and_its_key_waits_for_it() {
     let endpoint = Server::start(|h, _| {
         if h.request_id() == "n1" {
             respond("500 Oops", "", "")
@@ -294,7 +310,8 @@
         }
     });
     let daemon = setup(&disco, known).start();
-    // Six attempts all fail, so it is given up; the next of its key follows the answer to that notice.
+    // All six attempts of n1 fail, so it is undeliverable. n2, of the same key, is sent after the callback for n1 is
+    // acknowledged.
     assert_eq!(
         daemon.send_request(&message_request("sync", "n1", "6000m", "X-Key: 5\r\n")).map(|h| h.status()),
         Some(202)
@@ -307,13 +324,13 @@
     assert!(disco.received().iter().filter(|h| h.text().contains("n1")).count() >= 2);
 }
 
-/// A connection to the platform that has fallen silent holds a notice up for less than the 300 ms it has.
+/// A completion callback must arrive within 300 ms of its message's deadline, even where a connection has fallen silent.
 #[test]
-fn a_notice_goes_again_soon_where_no_answer_comes() {
+fn a_completion_callback_without_a_response_is_soon_sent_again() {
     let endpoint = Server::always("500 Oops");
     let known = endpoint_list(1, &[(7, endpoint.addr)]);
-    let disco = Server::start(|heard, _| match heard.start_line.starts_with("POST") {
-        true if heard.text().contains("s1") => Reply::RespondAndHold(String::new()),
+    let disco = Server::start(|request, _| match request.start_line.starts_with("POST") {
+        true if request.text().contains("s1") => Reply::RespondAndHold(String::new()),
         true => respond("204 No Content", "", ""),
         false => {
             Reply::RespondAndHold("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n1\r\n\n\r\n".into())
@@ -321,22 +338,21 @@
     });
     let daemon = setup(&disco, known).start();
     assert_eq!(daemon.submit("payout", "s1"), 202);
-    let sent = |n: usize| {
+    let wait_for_callbacks = |n: usize| {
         let posts = |all: &[HttpMessage]| all.iter().filter(|h| h.text().contains("s1")).count();
-        disco.wait_until("a notice", |all| posts(all) >= n);
+        disco.wait_until("a completion callback", |all| posts(all) >= n);
         std::time::Instant::now()
     };
-    let first = sent(1);
-    assert!(sent(2) - first < Duration::from_millis(250));
+    let first = wait_for_callbacks(1);
+    assert!(wait_for_callbacks(2) - first < Duration::from_millis(250));
 }
 
-/// One that is never answered holds up none that ends later.
 #[test]
-fn a_notice_without_an_answer_holds_up_no_other() {
+fn a_completion_callback_without_a_response_does_not_delay_others() {
     let endpoint = Server::always("500 Oops");
     let known = endpoint_list(1, &[(7, endpoint.addr)]);
-    let disco = Server::start(|heard, _| match heard.start_line.starts_with("POST") {
-        true if heard.text().contains("h1") => Reply::RespondAndHold(String::new()),
+    let disco = Server::start(|request, _| match request.start_line.starts_with("POST") {
+        true if request.text().contains("h1") => Reply::RespondAndHold(String::new()),
         true => respond("204 No Content", "", ""),
         false => {
             Reply::RespondAndHold("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n1\r\n\n\r\n".into())
@@ -350,14 +366,15 @@
     assert!(!daemon.log().contains("callback acknowledged for h1"));
 }
 
-/// The connection that served last may have fallen silent: a notice goes out again on a new one, and soon.
+/// The connection that carried the last callback may have fallen silent; the next callback is then sent again on a new
+/// connection.
 #[test]
-fn a_notice_that_meets_a_silent_connection_goes_out_on_a_new_one() {
+fn a_completion_callback_is_sent_again_on_a_new_connection_after_a_silent_one() {
     let endpoint = Server::always("500 Oops");
     let known = endpoint_list(1, &[(7, endpoint.addr)]);
     let served = std::sync::Mutex::new(std::collections::BTreeSet::new());
-    let disco = Server::start(move |heard, _| match heard.start_line.starts_with("POST") {
-        true if served.lock().expect("lock").insert(heard.client_address) => {
+    let disco = Server::start(move |request, _| match request.start_line.starts_with("POST") {
+        true if served.lock().expect("lock").insert(request.client_address) => {
             respond("204 No Content", "", "")
         }
         true => Reply::RespondAndHold(String::new()),
@@ -371,76 +388,76 @@
         daemon.wait_log(&format!("callback acknowledged for {id}"));
     }
     let posts: Vec<_> = disco.received().into_iter().filter(|h| h.text().contains("o2")).collect();
-    assert_eq!(posts.len(), 2, "once on the silent one, once on a new one");
+    assert_eq!(posts.len(), 2, "once on the silent connection, once on a new one");
     assert_ne!(posts[0].client_address, posts[1].client_address);
 }
 
 #[test]
-fn a_repeat_of_a_delivered_message_is_answered_as_delivered_also_after_a_kill() {
+fn a_repeated_delivered_message_is_answered_as_delivered_even_after_a_kill() {
     let endpoint = Server::always("200 OK");
-    let (disco, known) = one(&endpoint);
+    let (disco, known) = discovery_with(&endpoint);
     let mut daemon = setup(&disco, known).start();
     assert_eq!(daemon.submit("sync", "d1"), 202);
     daemon.wait_log("message=d1 outcome=Ok attempt=0");
     assert_eq!(daemon.submit("sync", "d1"), 200);
     daemon.kill();
     daemon.restart();
-    let renamed = String::from_utf8(message_request("sync", "d1", "20000m", "")).expect("text");
-    let renamed = renamed.replace("X-Request-Id: d1", "X-Request-Id: d2");
-    assert_eq!(daemon.send_request(renamed.as_bytes()).map(|h| h.status()), Some(200));
+    let repeat = String::from_utf8(message_request("sync", "d1", "20000m", "")).expect("text");
+    let repeat = repeat.replace("X-Request-Id: d1", "X-Request-Id: d2");
+    assert_eq!(daemon.send_request(repeat.as_bytes()).map(|h| h.status()), Some(200));
     assert_eq!(endpoint.received().len(), 1);
 }
 
 #[test]
-fn a_full_journal_rejects_and_stays_inside_the_folder() {
+fn a_full_journal_rejects_messages_and_stays_within_its_size_limit() {
     let endpoint = Server::start(|_, _| Reply::RespondAndHold(String::new()));
-    let (disco, known) = one(&endpoint);
+    let (disco, known) = discovery_with(&endpoint);
     let daemon = Setup { disk_mb: 0.2, ..setup(&disco, known) }.start();
-    let big = |id: &str| {
+    let large_message = |id: &str| {
         let text = String::from_utf8(message_request("payout", id, "20000m", "")).expect("text");
-        let (head, _) = text.split_once("Content-Length").expect("a head");
+        let (headers, _) = text.split_once("Content-Length").expect("header lines");
         let body = "x".repeat(30_000);
-        format!("{head}Content-Length: 30000\r\n\r\n{body}")
+        format!("{headers}Content-Length: 30000\r\n\r\n{body}")
     };
-    let answers: Vec<u16> = (0..6)
-        .map(|n| daemon.send_request(big(&format!("f{n}")).as_bytes()).map_or(0, |h| h.status()))
+    let statuses: Vec<u16> = (0..6)
+        .map(|n| daemon.send_request(large_message(&format!("f{n}")).as_bytes()).map_or(0, |h| h.status()))
         .collect();
-    assert_eq!(answers[..2], [202, 202]);
-    assert_eq!(answers[2..], [503; 4]);
-    let size = std::fs::metadata(daemon.folder.join("state").join("journal")).expect("it is there").len();
+    assert_eq!(statuses[..2], [202, 202]);
+    assert_eq!(statuses[2..], [503; 4]);
+    let size = std::fs::metadata(daemon.folder.join("state").join("journal")).expect("the journal").len();
     assert!(size < 100_000, "{size}");
 }
 
 #[test]
-fn told_to_end_it_answers_finishes_its_calls_and_goes_in_time() {
+fn after_sigterm_it_answers_requests_finishes_its_calls_and_exits_in_time() {
     let endpoint = Server::always("200 OK");
-    let (disco, known) = one(&endpoint);
+    let (disco, known) = discovery_with(&endpoint);
     let mut daemon = setup(&disco, known).start();
-    let mut kept = daemon.connect();
+    let mut connection = daemon.connect();
     daemon.terminate();
     daemon.wait_log("told to end");
     assert_eq!(daemon.submit("stats", "e1"), 202);
-    kept.write_all(&message_request("stats", "e2", "20000m", "")).expect("written");
-    assert_eq!(read_http(&mut BufReader::new(kept)).map(|h| h.status()), Some(202));
+    connection.write_all(&message_request("stats", "e2", "20000m", "")).expect("written");
+    assert_eq!(read_http(&mut BufReader::new(connection)).map(|h| h.status()), Some(202));
     endpoint.wait_request("e2");
     assert!(daemon.wait_exit(Duration::from_millis(3700)).success());
 }
 
-/// A message that is over is kept in a few bytes.
+/// The journal keeps only a few bytes of a completed message.
 #[test]
-fn what_is_over_leaves_room_for_what_comes() {
+fn completed_messages_leave_journal_space_for_new_ones() {
     let endpoint = Server::always("200 OK");
-    let (disco, known) = one(&endpoint);
+    let (disco, known) = discovery_with(&endpoint);
     let daemon = Setup { disk_mb: 0.2, ..setup(&disco, known) }.start();
     for n in 0..400 {
         assert_eq!(daemon.submit("stats", &format!("m{n}")), 202);
         endpoint.wait_request(&format!("m{n}"));
     }
-    let size = std::fs::metadata(daemon.folder.join("state").join("journal")).expect("it is there").len();
+    let size = std::fs::metadata(daemon.folder.join("state").join("journal")).expect("the journal").len();
     assert!(size < 100_000, "{size}");
 }
 
-/// A burst leaves no more connections standing than an endpoint can spare.
+/// After a burst, idle connections are closed, because an endpoint accepts a limited number.
 #[test]
 fn a_burst_leaves_few_idle_connections() {
     let together = std::sync::Barrier::new(4);
@@ -448,7 +465,7 @@
         together.wait();
         respond("200 OK", "", "")
     });
-    let (disco, known) = one(&endpoint);
+    let (disco, known) = discovery_with(&endpoint);
     let daemon = setup(&disco, known).start();
     daemon.wait_log("upstream group: version 1");
     let before = daemon.open_descriptors();
@@ -461,26 +478,26 @@
     }
 }
 
-/// An endpoint that holds two connections turns the others away. That is no limit and no outage: as many calls as it
-/// takes go there, one after the other, and nothing is handed back or slowed down for it.
+/// An endpoint that accepts two connections rejects further ones. That is neither a rate limit nor an outage: the daemon sends as
+/// many calls at once as the endpoint takes, gives no message up and reduces no pace.
 #[test]
-fn an_endpoint_with_a_full_table_of_connections_gets_as_many_calls_as_it_takes() {
-    let held = std::sync::Arc::new(std::sync::Mutex::new(std::collections::BTreeSet::new()));
-    let table = held.clone();
-    let endpoint = Server::start(move |heard, _| {
-        let place = heard.client_address;
+fn an_endpoint_at_its_connection_limit_gets_as_many_calls_as_it_takes() {
+    let open_connections = std::sync::Arc::new(std::sync::Mutex::new(std::collections::BTreeSet::new()));
+    let connections = open_connections.clone();
+    let endpoint = Server::start(move |request, _| {
+        let client = request.client_address;
         let full = {
-            let mut held = table.lock().expect("lock");
-            !held.contains(&place) && (held.len() >= 2 || !held.insert(place))
+            let mut open = connections.lock().expect("lock");
+            !open.contains(&client) && (open.len() >= 2 || !open.insert(client))
         };
         if full {
             return respond("503 Full", "Connection: close\r\n", "");
         }
         std::thread::sleep(Duration::from_millis(20));
-        table.lock().expect("lock").remove(&place);
+        connections.lock().expect("lock").remove(&client);
         respond("200 OK", "Connection: close\r\n", "")
     });
-    let (disco, known) = one(&endpoint);
+    let (disco, known) = discovery_with(&endpoint);
     let daemon = setup(&disco, known).start();
     for n in 0..60 {
         assert_eq!(daemon.submit("payout", &format!("c{n}")), 202);
@@ -491,9 +508,9 @@
     let log = daemon.log();
     assert!(
         !log.contains("pace reduced after a rejection") && !log.contains("breaker opened"),
-        "taken for a limit or an outage"
+        "the connection limit counts as a rate limit or an outage"
     );
-    let crowded = log.matches("outcome=ConnectionLimit").count();
-    assert!((1..40).contains(&crowded), "{crowded} turned away for 60 messages");
-    assert!(!disco.received().iter().any(|h| h.start_line.starts_with("POST")), "each is delivered");
+    let rejected = log.matches("outcome=ConnectionLimit").count();
+    assert!((1..40).contains(&rejected), "{rejected} calls rejected for 60 messages");
+    assert!(!disco.received().iter().any(|h| h.start_line.starts_with("POST")), "all messages are delivered");
 }
--- a/tests/late.rs
+++ b/tests/late.rs
@@ -1,5 +1,5 @@
-//! A connect may take seconds. What was decided before it is checked again at the first byte: what changed meanwhile counts,
-//! the message keeps all its attempts, and the connection serves the next one.
+//! A connect may take seconds, so the decision to send is checked again before the first byte is written. If it no longer holds,
+//! the message is not sent and loses no attempt, and the connection stays open for the next call.
 mod stand;
 use rstest::rstest;
 use stand::*;
@@ -19,13 +19,13 @@
     let first = start_hanging_connect(&daemon, &mut endpoint);
     let sent_at = Instant::now();
     let second = retry_after_during_connect(&daemon, first, &mut endpoint);
-    // Both messages are sent again once it has passed, the first of them on the open connection.
+    // Both messages are sent again once the Retry-After has passed, the first of them on the open connection.
     let (calls, received) = channel();
     serve(second, calls.clone());
     let assert_late = |(call, at): (HttpMessage, Instant)| {
         assert!(
             at >= sent_at + RETRY_AFTER,
-            "{} came {:?} after the Retry-After",
+            "{} was sent {:?} after the Retry-After",
             call.request_id(),
             at - sent_at
         );
@@ -37,14 +37,14 @@
             break assert_late(call);
         }
         endpoint.try_accept().into_iter().for_each(|(socket, _)| serve(socket, calls.clone()));
-        assert!(Instant::now() < until, "the other message came");
+        assert!(Instant::now() < until, "timed out waiting for the other message");
         std::thread::yield_now();
     }
     daemon.wait_log("first byte message=b attempt=0");
     daemon.wait_log("attempt ended message=b outcome=Ok");
 }
 
-/// Serves all calls on this connection, and reports each.
+/// Answers all calls on this connection with 200 and reports each call with its time.
 fn serve(socket: TcpStream, calls: Sender<(HttpMessage, Instant)>) {
     std::thread::spawn(move || {
         while let Some(call) = read_http(&mut BufReader::new(&socket)) {
@@ -54,10 +54,10 @@
     });
 }
 
-/// Discovery that sends nothing until it is signalled to, then this change.
+/// Starts a discovery server that sends this change of the endpoint list when it is signalled, and nothing before.
 fn delayed_discovery(change: String, signal: Receiver<()>) -> Server {
     let signal = Mutex::new(signal);
-    Server::start(move |heard, n| match (heard.start_line.starts_with("POST"), n) {
+    Server::start(move |request, n| match (request.start_line.starts_with("POST"), n) {
         (true, _) => respond("204 No Content", "", ""),
         (_, 0) => {
             let _ = signal.lock().expect("lock").recv();
@@ -67,11 +67,11 @@
     })
 }
 
-/// Nothing new is sent to an endpoint that drains or is removed, also what waited for its connection.
+/// An endpoint that is draining or removed gets no new call, not even for a message that was waiting for its connection.
 #[rstest]
 #[case::draining("Terminating")]
 #[case::removed("Gone")]
-fn a_drain_that_is_listed_during_a_connect_is_respected(#[case] state: &str) {
+fn a_message_is_not_sent_to_an_endpoint_drained_or_removed_during_the_connect(#[case] state: &str) {
     let (mut endpoint, other) = (FullBacklogEndpoint::start(), Server::always("200 OK"));
     let known = endpoint_list(1, &[(7, endpoint.addr)]);
     let change = endpoint_list(5, &[(7, endpoint.addr), (7, other.addr)]).replacen("Ready", state, 1);
@@ -84,15 +84,16 @@
     endpoint.drain_backlog();
     let second = endpoint.accept();
     other.wait_request("b");
-    assert!(is_idle(&second), "nothing was sent to the endpoint that drains");
+    assert!(is_idle(&second), "nothing was sent to the draining endpoint");
     write_response(&first, "200 OK", "");
     daemon.wait_log("attempt ended message=a outcome=Ok");
     daemon.wait_log("first byte message=b attempt=0");
 }
 
-/// A payout whose connect hung when the process was killed was never sent: it may go again.
+/// A message whose connect still hung when the process was killed was never sent, so it may be retried even if it may run at most
+/// once.
 #[test]
-fn a_payout_that_hung_in_its_connect_at_a_kill_never_ran() {
+fn an_at_most_once_message_whose_connect_hung_at_a_kill_is_sent_after_the_restart() {
     let mut endpoint = FullBacklogEndpoint::start();
     let known = endpoint_list(1, &[(7, endpoint.addr)]);
     let disco = start_discovery(known.clone());
@@ -105,10 +106,10 @@
     daemon.restart();
     let call_b = loop {
         let socket = endpoint.accept();
-        // A connect of the process that was killed may still stand in the queue.
-        if let Some(heard) = read_http(&mut BufReader::new(&socket)) {
+        // A connection of the killed process may still be in the backlog.
+        if let Some(call) = read_http(&mut BufReader::new(&socket)) {
             write_response(&socket, "200 OK", "");
-            break heard;
+            break call;
         }
     };
     assert_eq!(call_b.request_id(), "b");
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -1,4 +1,4 @@
-//! A planned restart: clients go on sending on all the connections they have, and open new ones for a while.
+//! A planned restart, while clients keep sending on their connections and for a while open new ones.
 mod stand;
 use micaladder::journal::{AcceptedMessage, Journal, Record};
 use micaladder::{clock, Nanos};
@@ -13,19 +13,20 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// For so long after SIGTERM new connections keep coming; SIGKILL comes so long after it at the soonest.
-const NEW_FOR: Duration = Duration::from_millis(400);
+/// How long after SIGTERM clients open new connections.
+const NEW_CONNECTIONS_FOR: Duration = Duration::from_millis(400);
+/// The shortest time from SIGTERM to SIGKILL.
 const KILL_AFTER: Duration = Duration::from_millis(3700);
 
-/// Hands one message in on this connection; nothing where it ends without an answer.
+/// Submits a message on this connection and returns the response status, or `None` if the connection ends without a response.
 fn submit(socket: &TcpStream, class: &str, id: &str) -> Option<u16> {
     let mut writer = socket;
     writer.write_all(&message_request(class, id, "20000m", "")).ok()?;
     read_http(&mut BufReader::new(socket.try_clone().expect("a handle"))).map(|h| h.status())
 }
 
-/// Sends one message after the other, each once the one before has its answer, until the connection ends.
-fn sends_on(socket: &TcpStream, class: &str, name: &str) -> Vec<(String, Option<u16>)> {
+/// Submits messages on this connection, each after the response to the previous one, until the connection ends.
+fn submit_until_closed(socket: &TcpStream, class: &str, name: &str) -> Vec<(String, Option<u16>)> {
     let mut all = Vec::new();
     loop {
         let id = format!("{name}-{}", all.len());
@@ -38,60 +39,67 @@
 }
 
 #[test]
-fn at_a_planned_restart_each_request_is_answered_and_what_is_taken_on_has_one_end() {
+fn at_a_planned_restart_each_request_is_answered_and_each_accepted_message_completes_once() {
     let endpoint = Server::always("200 OK");
     let known = endpoint_list(1, &[(7, endpoint.addr)]);
     let disco = start_discovery(known.clone());
     let mut daemon = setup(&disco, known).start();
-    let (tell, heard) = channel();
+    let (client_served, served_clients) = channel();
     let threads: Vec<_> = (0..6)
         .map(|n| {
-            let (socket, tell) = (daemon.connect(), tell.clone());
+            let (socket, client_served) = (daemon.connect(), client_served.clone());
             thread::spawn(move || {
                 let class = if n % 2 == 0 { "stats" } else { "payout" };
                 assert_eq!(submit(&socket, class, &format!("first-{n}")), Some(202));
-                tell.send(()).expect("it listens");
-                sends_on(&socket, class, &format!("c{n}"))
+                client_served.send(()).expect("a receiver");
+                submit_until_closed(&socket, class, &format!("c{n}"))
             })
         })
         .collect();
-    (0..6).for_each(|_| heard.recv_timeout(EVENT_TIMEOUT).expect("each client is served"));
+    (0..6).for_each(|_| served_clients.recv_timeout(EVENT_TIMEOUT).expect("each client is served"));
     daemon.terminate();
-    let told = Instant::now();
+    let terminated_at = Instant::now();
     daemon.wait_log("told to end");
-    let mut new = 0;
-    while told.elapsed() < NEW_FOR {
-        let status = submit(&daemon.connect(), "stats", &format!("new-{new}"));
-        assert!(matches!(status, Some(202 | 503)), "a new connection ended with {status:?}");
-        new += 1;
+    let mut new_connections = 0;
+    while terminated_at.elapsed() < NEW_CONNECTIONS_FOR {
+        let status = submit(&daemon.connect(), "stats", &format!("new-{new_connections}"));
+        assert!(matches!(status, Some(202 | 503)), "a request on a new connection got {status:?}");
+        new_connections += 1;
     }
-    assert!(daemon.wait_exit(KILL_AFTER - told.elapsed()).success());
+    assert!(daemon.wait_exit(KILL_AFTER - terminated_at.elapsed()).success());
     let log = daemon.log();
     let sent: BTreeMap<String, Option<u16>> =
         threads.into_iter().flat_map(|t| t.join().expect("a client")).collect();
     assert!(sent.values().all(|s| matches!(s, Some(202 | 503) | None)), "{sent:?}");
-    // A close may cross a request that was not read: its client sends it once more. One that was read is answered.
-    assert!(!log.contains("ended under a request"), "a connection was closed under a request");
-    let begun = |id: &String| log.contains(&format!("message accepted message={id} "));
-    let cut: Vec<&String> = sent.iter().filter(|(id, s)| s.is_none() && begun(id)).map(|s| s.0).collect();
-    assert!(cut.is_empty(), "read, taken on and never answered: {cut:?}");
-    // What was taken on and not delivered yet is carried over.
+    // A close may cross a request that the daemon has not read; its client sends the request again. Each request that the daemon
+    // has read gets a response.
+    assert!(!log.contains("ended under a request"), "a connection was closed during a request");
+    let is_accepted = |id: &String| log.contains(&format!("message accepted message={id} "));
+    let unanswered: Vec<&String> =
+        sent.iter().filter(|(id, s)| s.is_none() && is_accepted(id)).map(|s| s.0).collect();
+    assert!(unanswered.is_empty(), "accepted and never answered: {unanswered:?}");
+    // Messages that were accepted and are still pending are completed after the restart.
     daemon.restart();
-    let taken: Vec<String> = sent.into_iter().filter(|(_, s)| *s == Some(202)).map(|(id, _)| id).collect();
-    assert!(taken.len() > 12, "they went on: {taken:?}");
-    let ended = |all: &[HttpMessage], id: &str| all.iter().any(|h| h.request_id() == id);
-    let all = endpoint.wait_until("all that was taken on", |all| {
-        taken.iter().all(|id| ended(all, id) || disco.count_distinct_bodies(&format!(r#""id":"{id}""#)) > 0)
+    let accepted: Vec<String> = sent.into_iter().filter(|(_, s)| *s == Some(202)).map(|(id, _)| id).collect();
+    assert!(accepted.len() > 12, "clients kept sending after SIGTERM: {accepted:?}");
+    let is_delivered = |all: &[HttpMessage], id: &str| all.iter().any(|h| h.request_id() == id);
+    let all = endpoint.wait_until("all accepted messages", |all| {
+        accepted
+            .iter()
+            .all(|id| is_delivered(all, id) || disco.count_distinct_bodies(&format!(r#""id":"{id}""#)) > 0)
     });
-    for id in taken.iter().filter(|id| ["c1", "c3", "c5"].iter().any(|c| id.starts_with(c))) {
-        assert!(all.iter().filter(|h| h.request_id() == id).count() <= 1, "a payout came twice: {id}");
+    for id in accepted.iter().filter(|id| ["c1", "c3", "c5"].iter().any(|c| id.starts_with(c))) {
+        assert!(
+            all.iter().filter(|h| h.request_id() == id).count() <= 1,
+            "{id}, which may run at most once, was sent twice"
+        );
     }
 }
 
-/// Discovery that says nothing, or refuses, until the list may come.
-fn late_discovery(known: String, silent: bool, comes: Arc<AtomicBool>) -> Server {
-    Server::start(move |heard, _| {
-        match (heard.start_line.starts_with("POST"), comes.load(Ordering::Relaxed)) {
+/// Starts a discovery server that stays silent or closes each connection, until it is enabled and sends the endpoint list.
+fn late_discovery(known: String, silent: bool, enabled: Arc<AtomicBool>) -> Server {
+    Server::start(move |request, _| {
+        match (request.start_line.starts_with("POST"), enabled.load(Ordering::Relaxed)) {
             (true, _) => respond("204 No Content", "", ""),
             (false, true) => watch_response(&known),
             (false, false) if silent => Reply::RespondAndHold(String::new()),
@@ -100,8 +108,8 @@
     })
 }
 
-/// A payout as the journal keeps it.
-fn payout(id: u64, deadline: u64) -> Record {
+/// The journal record of a message that may run at most once.
+fn at_most_once_record(id: u64, deadline: u64) -> Record {
     Record::Accepted(AcceptedMessage {
         id,
         name: format!("p{id}"),
@@ -116,39 +124,41 @@
     })
 }
 
-/// With the largest journal that its folder may hold, and discovery silent or down, a process is ready long before the 10 s
-/// within which it must be; and all that it found untried is tried once its list has come, though it may run once only.
+/// With the largest journal that the state folder may hold, and discovery silent or down, the process is ready well within the
+/// required 10 seconds. Once the endpoint list arrives, it attempts each message from the journal, which may run at most once.
 #[rstest]
 #[case::silent(true)]
 #[case::down(false)]
-fn with_a_full_journal_it_is_ready_in_time_and_tries_all_that_it_found(#[case] silent: bool) {
+fn a_start_with_a_full_journal_is_ready_in_time_and_attempts_each_message_once(#[case] silent: bool) {
     let endpoint = Server::always("200 OK");
-    let comes = Arc::new(AtomicBool::new(false));
-    let disco = late_discovery(endpoint_list(2, &[(7, endpoint.addr)]), silent, comes.clone());
+    let enabled = Arc::new(AtomicBool::new(false));
+    let disco = late_discovery(endpoint_list(2, &[(7, endpoint.addr)]), silent, enabled.clone());
     let mut daemon = Setup { max_pending: 100_000, ..setup(&disco, endpoint_list(1, &[])) }.start();
     daemon.kill();
     let state = daemon.folder.join("state");
-    let (mut journal, found) = Journal::open(&state, 3_000_000).expect("a journal");
-    assert!(found.is_empty());
+    let (mut journal, records) = Journal::open(&state, 3_000_000).expect("a journal");
+    assert!(records.is_empty());
     let deadline = clock::now() + Nanos::from_secs(19.0);
-    let full = (1..).find(|id| journal.append(&payout(*id, deadline.0)).is_err()).expect("an end");
+    let full = (1..)
+        .find(|id| journal.append(&at_most_once_record(*id, deadline.0)).is_err())
+        .expect("a full journal");
     assert!(full > 1000, "{full} messages fill it");
     drop(journal);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     daemon.restart();
-    assert!(begun.elapsed() < Duration::from_secs(5), "{:?}", begun.elapsed());
-    comes.store(true, Ordering::Relaxed);
-    let all = endpoint.wait_until("all that was found", |all| all.len() as u64 >= full - 1);
+    assert!(started_at.elapsed() < Duration::from_secs(5), "{:?}", started_at.elapsed());
+    enabled.store(true, Ordering::Relaxed);
+    let all = endpoint.wait_until("all messages of the journal", |all| all.len() as u64 >= full - 1);
     let ids: BTreeSet<&str> = all.iter().map(HttpMessage::request_id).collect();
-    assert_eq!((ids.len() as u64, all.len() as u64), (full - 1, full - 1), "each once");
+    assert_eq!((ids.len() as u64, all.len() as u64), (full - 1, full - 1), "each message is attempted once");
 }
 
-/// A second SIGTERM, and a reload before or after it, change nothing of how the process ends.
+/// A second SIGTERM, or a reload before or after it, does not change the shutdown.
 #[rstest]
 #[case::twice(&["-TERM", "-TERM"])]
 #[case::reload_first(&["-HUP", "-TERM"])]
 #[case::reload_between(&["-TERM", "-HUP", "-TERM", "-TERM"])]
-fn signals_that_come_while_it_ends_change_nothing(#[case] signals: &[&str]) {
+fn further_signals_do_not_change_a_shutdown(#[case] signals: &[&str]) {
     let endpoint = Server::always("200 OK");
     let known = endpoint_list(1, &[(7, endpoint.addr)]);
     let disco = start_discovery(known.clone());
@@ -157,13 +167,16 @@
     assert_eq!(submit(&client, "payout", "before"), Some(202));
     signals.iter().for_each(|signal| daemon.signal(signal));
     daemon.wait_log("told to end");
-    let told = Instant::now();
-    let sent = sends_on(&client, "payout", "while");
-    assert!(daemon.wait_exit(KILL_AFTER - told.elapsed()).success());
-    let taken = || sent.iter().filter(|s| s.1 == Some(202)).map(|s| s.0.as_str()).chain(["before"]);
-    assert!(taken().count() > 2, "it serves on while it ends: {sent:?}");
+    let terminated_at = Instant::now();
+    let sent = submit_until_closed(&client, "payout", "while");
+    assert!(daemon.wait_exit(KILL_AFTER - terminated_at.elapsed()).success());
+    let accepted = || sent.iter().filter(|s| s.1 == Some(202)).map(|s| s.0.as_str()).chain(["before"]);
+    assert!(accepted().count() > 2, "requests are served during the shutdown: {sent:?}");
     daemon.restart();
-    let is_over = |all: &[HttpMessage], id: &str| all.iter().any(|h| h.request_id() == id);
-    let all = endpoint.wait_until("all that was taken on", |all| taken().all(|id| is_over(all, id)));
-    assert!(taken().all(|id| all.iter().filter(|h| h.request_id() == id).count() == 1), "each once");
+    let is_delivered = |all: &[HttpMessage], id: &str| all.iter().any(|h| h.request_id() == id);
+    let all = endpoint.wait_until("all accepted messages", |all| accepted().all(|id| is_delivered(all, id)));
+    assert!(
+        accepted().all(|id| all.iter().filter(|h| h.request_id() == id).count() == 1),
+        "each message is attempted once"
+    );
 }
--- a/tests/stand/mod.rs
+++ b/tests/stand/mod.rs
@@ -444,7 +444,7 @@
         all
     }
 
-    /// Counts the connections at the client address that the process holds: those established, and those closed by the client only.
+    /// Counts the connections at the client address that the process holds: established ones and those closed only by the client.
     pub fn client_connections(&self) -> usize {
         // ESTABLISHED and CLOSE_WAIT, as /proc/net/tcp writes them.
         const STATES: [&str; 2] = ["01", "08"];
@@ -550,8 +550,8 @@
 pub const LONG_CONNECT_TIMEOUT: (&str, &str) =
     (r#""connectTimeoutNs":1000000000"#, r#""connectTimeoutNs":9000000000"#);
 
-/// An endpoint that accepts connections only when the test says so. While its accept backlog is full, the kernel drops the SYN of a
-/// connect, which the client sends again a second later: the connect hangs, and succeeds once the backlog has room.
+/// An endpoint that accepts connections only when the test says so. While its accept backlog is full, the kernel drops the SYN of
+/// a connect, and the client's kernel sends it again a second later: the connect hangs, and succeeds once the backlog has room.
 pub struct FullBacklogEndpoint {
     pub addr: SocketAddr,
     listener: TcpListener,
@@ -648,7 +648,7 @@
 /// The Retry-After that `retry_after_during_connect` sends; shorter than an outage.
 pub const RETRY_AFTER: Duration = Duration::from_millis(2400);
 
-/// Answers `a` with a Retry-After, then lets the connect for `b` succeed. Returns the new connection, on which nothing is written.
+/// Answers `a` with a Retry-After, then lets the connect for `b` succeed. Returns the new connection, which stays unused.
 pub fn retry_after_during_connect(
     daemon: &Daemon, first: TcpStream, endpoint: &mut FullBacklogEndpoint,
 ) -> TcpStream {
