--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,32 +1,32 @@
-//! The real program and a discovery that fails: the list that is known serves, and discovery is polled with growing backoff.
+//! Failing discovery: the daemon keeps using the known endpoint list and polls discovery with exponential backoff.
 mod stand;
 use rstest::rstest;
 use stand::*;
 use std::time::{Duration, Instant};
 
-/// How a discovery that fails answers a watch.
+/// How a failing discovery server answers a watch.
 #[derive(Clone, Copy)]
 enum Failure {
     Refused,
-    CutOff,
+    Closed,
 }
 
-fn failure(failure: Failure) -> Reply {
+fn failed_response(failure: Failure) -> Reply {
     match failure {
         Failure::Refused => respond("503 Service Unavailable", "connection: close\r\n", ""),
-        Failure::CutOff => Reply::Close,
+        Failure::Closed => Reply::Close,
     }
 }
 
 #[rstest]
 #[case::refused(Failure::Refused)]
-#[case::cut_off(Failure::CutOff)]
-fn a_discovery_that_fails_is_polled_with_backoff_while_the_known_list_serves(#[case] kind: Failure) {
+#[case::closed(Failure::Closed)]
+fn failing_discovery_is_polled_with_backoff_while_the_known_list_is_used(#[case] failure: Failure) {
     let (old, new) = (Server::always("200 OK"), Server::always("200 OK"));
     let known = endpoint_list(1, &[(7, old.addr)]);
     let fresh = endpoint_list(2, &[(7, new.addr)]).replace("s-0", "s-1");
-    let disco = Server::start(move |heard, number| match (heard.start_line.starts_with("GET"), number) {
-        (true, 0..6) => failure(kind),
+    let disco = Server::start(move |request, number| match (request.start_line.starts_with("GET"), number) {
+        (true, 0..6) => failed_response(failure),
         (true, _) => watch_response(&fresh),
         (false, _) => respond("204 No Content", "", ""),
     });
@@ -41,9 +41,15 @@
     let pauses = log.lines().filter_map(|l| l.split_once("pause_ms=")?.1.split(' ').next()?.parse().ok());
     let pauses: Vec<u64> = pauses.collect();
     assert_eq!(pauses.len(), 6, "{log}");
-    assert!(pauses.iter().zip(0..).all(|(p, n)| *p <= (200 << n).min(1000)), "within its window: {pauses:?}");
-    assert!(pauses.iter().any(|p| *p > 200), "the windows grow: {pauses:?}");
-    assert!(pauses.windows(2).any(|p| p[0] != p[1]), "all of a window is as likely: {pauses:?}");
+    assert!(
+        pauses.iter().zip(0..).all(|(p, n)| *p <= (200 << n).min(1000)),
+        "each pause is within its backoff window: {pauses:?}"
+    );
+    assert!(pauses.iter().any(|p| *p > 200), "the backoff windows grow: {pauses:?}");
+    assert!(
+        pauses.windows(2).any(|p| p[0] != p[1]),
+        "the pauses are random within their windows: {pauses:?}"
+    );
 }
 
 #[test]
@@ -56,46 +62,46 @@
     endpoint.wait_request("still");
 }
 
-/// Found with 300 forwarders whose list is pushed to an agent beside each of them: what the agent had counted as known, while
-/// each waited up to five seconds before its first poll, and sent to endpoints that drained.
+/// Found with 300 forwarders, each with a local agent to which the endpoint list is pushed: a list counts as known once the agent
+/// has it, but each forwarder waited up to five seconds before its first poll and sent to draining endpoints.
 #[rstest]
 #[case::pushed(r#""registryMode":"pushed""#, false)]
 #[case::on_request(r#""registryMode":"on_request""#, true)]
-fn one_of_300_delays_its_poll_only_where_all_poll_the_same_server(
+fn a_forwarder_of_300_delays_its_poll_only_if_all_poll_the_same_server(
     #[case] mode: &'static str, #[case] is_delayed: bool,
 ) {
     let endpoint = Server::always("200 OK");
-    let at = |rev| endpoint_list(rev, &[(7, endpoint.addr)]);
-    let (disco, moved) = (start_discovery(at(2)), start_discovery(at(3)));
+    let list_with_revision = |rev| endpoint_list(rev, &[(7, endpoint.addr)]);
+    let (disco, moved) = (start_discovery(list_with_revision(2)), start_discovery(list_with_revision(3)));
     let settings_replacements =
         vec![(r#""nInstances":1,"#, r#""nInstances":300,"#), (r#""registryMode":"pushed""#, mode)];
-    let begun = Instant::now();
-    let daemon = Setup { settings_replacements, ..setup(&disco, at(1)) }.start();
+    let started_at = Instant::now();
+    let daemon = Setup { settings_replacements, ..setup(&disco, list_with_revision(1)) }.start();
     daemon.wait_log("upstream group: version 2");
     daemon.reload(&disco.addr.to_string(), &moved.addr.to_string());
     daemon.wait_log("upstream group: version 3");
-    // With the seed of the test setup, its two delays are 3.2 s together.
-    let took = begun.elapsed();
-    assert_eq!(took > Duration::from_millis(2500), is_delayed, "{took:?}");
+    // With the seed of the test setup, the two delays add up to 3.2 s.
+    let elapsed = started_at.elapsed();
+    assert_eq!(elapsed > Duration::from_millis(2500), is_delayed, "{elapsed:?}");
 }
 
-/// What a silent watch misses counts as known 6 s after it fell silent, which may have been right after its last event: by then
-/// it has been reopened, also where further ones are as silent.
+/// A change that a silent watch misses counts as known 6 s after the watch fell silent, which may be right after its last event.
+/// By then the daemon has reopened the watch, even if further watches are silent too.
 #[rstest]
-#[case::at_once(0, "")]
-#[case::one_more_is_silent(1, "")]
-#[case::two_more_are_silent(2, "")]
-#[case::they_send_half_a_list(2, "{\"rev\":2,\"all\":true,\n \"targets\":[")]
-#[case::they_send_noise(2, "no list\nat all")]
-fn a_watch_that_falls_silent_is_reopened_in_time(#[case] silent: usize, #[case] text: &'static str) {
+#[case::next_watch_answers(0, "")]
+#[case::one_more_watch_is_silent(1, "")]
+#[case::two_more_watches_are_silent(2, "")]
+#[case::two_more_watches_send_half_a_list(2, "{\"rev\":2,\"all\":true,\n \"targets\":[")]
+#[case::two_more_watches_send_invalid_data(2, "no list\nat all")]
+fn a_watch_that_falls_silent_is_reopened_in_time(#[case] further_silent: usize, #[case] text: &'static str) {
     let (old, new) = (Server::always("200 OK"), Server::always("200 OK"));
     let known = endpoint_list(1, &[(7, old.addr)]);
     let fresh = endpoint_list(2, &[(7, new.addr)]).replace("s-0", "s-1");
     let first = known.clone();
-    let disco = Server::start(move |heard, n| match (heard.start_line.starts_with("GET"), n) {
+    let disco = Server::start(move |request, n| match (request.start_line.starts_with("GET"), n) {
         (false, _) => respond("204 No Content", "", ""),
         (true, 0) => watch_response(&first),
-        (true, n) if n <= silent => Reply::RespondAndHold(if text.is_empty() {
+        (true, n) if n <= further_silent => Reply::RespondAndHold(if text.is_empty() {
             String::new()
         } else {
             chunked_response([text.as_bytes()])
@@ -104,31 +110,31 @@
     });
     let daemon = setup(&disco, known).start();
     daemon.wait_log("upstream group: version 1");
-    let begun = Instant::now();
+    let started_at = Instant::now();
     daemon.wait_log("upstream group: version 2");
-    let took = begun.elapsed();
+    let elapsed = started_at.elapsed();
     // A keep-alive is due only after 2 s, and may be late by half a second.
     assert!(
-        took > Duration::from_millis(2500),
-        "not taken for silent while a keep-alive may still come: {took:?}"
+        elapsed > Duration::from_millis(2500),
+        "a watch does not count as silent while a keep-alive may still come: {elapsed:?}"
     );
-    assert!(took < Duration::from_millis(5800), "{took:?}");
+    assert!(elapsed < Duration::from_millis(5800), "{elapsed:?}");
     assert_eq!(daemon.submit("stats", "after"), 202);
     new.wait_request("after");
 }
 
-/// Lists may be indented over many lines, with noise between them: a first one, and changes that a watch brings.
+/// The first list and the changes that follow may be indented over many lines, with invalid data between them.
 #[test]
-fn indented_lists_are_read_and_noise_between_them_is_skipped() {
+fn indented_lists_are_read_and_invalid_data_between_them_is_skipped() {
     let (old, new) = (Server::always("200 OK"), Server::always("200 OK"));
     let indent = |text: String| format!("{:#}\n", text.parse::<serde_json::Value>().expect("a list"));
     let first = indent(endpoint_list(2, &[(7, old.addr)]));
     let change = endpoint_list(3, &[(7, old.addr), (7, new.addr)]).replacen("Ready", "Terminating", 1);
     let change = indent(change.replacen("true", "false", 1));
     let texts = [&first[..], "\n", "  \"uid\": \"s-9\",\n}\n", &change];
-    let answer = chunked_response(texts.concat().as_bytes().chunks(37));
-    let disco = Server::start(move |heard, n| match (heard.start_line.starts_with("GET"), n) {
-        (true, 0) => Reply::RespondAndHold(answer.clone()),
+    let response = chunked_response(texts.concat().as_bytes().chunks(37));
+    let disco = Server::start(move |request, n| match (request.start_line.starts_with("GET"), n) {
+        (true, 0) => Reply::RespondAndHold(response.clone()),
         (true, _) => Reply::RespondAndHold(String::new()),
         (false, _) => respond("204 No Content", "", ""),
     });
@@ -139,19 +145,19 @@
         assert_eq!(daemon.submit("stats", &format!("m{n}")), 202);
         new.wait_request(&format!("m{n}"));
     }
-    assert!(old.received().is_empty(), "the drain in an indented change is respected");
+    assert!(old.received().is_empty(), "the indented change marks the old endpoint as draining");
 }
 
-/// A list that never ends is dropped and polled again; the one in use stays.
+/// A list over the size limit is dropped and polled again, while the old list stays in use.
 #[test]
-fn a_list_without_end_is_dropped_and_polled_again() {
+fn a_list_over_the_size_limit_is_dropped_and_polled_again() {
     let old = Server::always("200 OK");
     let known = endpoint_list(1, &[(7, old.addr)]);
-    let endless = format!("{{\"rev\":2,\"all\":true,\"targets\":[{}", " ".repeat(10 << 20));
-    let endless = chunked_response([endless.as_bytes()]);
+    let oversized = format!("{{\"rev\":2,\"all\":true,\"targets\":[{}", " ".repeat(10 << 20));
+    let oversized = chunked_response([oversized.as_bytes()]);
     let fresh = endpoint_list(3, &[(7, old.addr)]);
-    let disco = Server::start(move |heard, n| match (heard.start_line.starts_with("GET"), n) {
-        (true, 0..2) => Reply::Respond(endless.clone()),
+    let disco = Server::start(move |request, n| match (request.start_line.starts_with("GET"), n) {
+        (true, 0..2) => Reply::Respond(oversized.clone()),
         (true, _) => watch_response(&fresh),
         (false, _) => respond("204 No Content", "", ""),
     });
@@ -160,6 +166,6 @@
     assert_eq!(daemon.submit("stats", "meanwhile"), 202);
     old.wait_request("meanwhile");
     daemon.wait_log("upstream group: version 3");
-    // Two at once at the most, and what is read of each is bounded.
+    // At most two lists are read at once, and the bytes kept of each are bounded.
     assert!(daemon.anonymous_memory() < 48 << 20, "{} bytes", daemon.anonymous_memory());
 }
--- a/tests/journal_compatibility.rs
+++ b/tests/journal_compatibility.rs
@@ -1,4 +1,5 @@
-//! A lasting folder written by an earlier version (commit b204e6b) is read, continued and written byte for byte alike.
+//! Compatibility with a state folder written by an earlier version (commit b204e6b): it is read and continued, and equal content
+//! is written as the same bytes.
 mod stand;
 use micaladder::fleet::member::Member;
 use micaladder::fleet::snapshot::SnapshotStore;
@@ -8,19 +9,19 @@
 use stand::*;
 use std::path::{Path, PathBuf};
 
-/// Bytes that the folder may hold, as the fixture's writer set it.
+/// Size limit of the folder in bytes, as it was set when the fixture was written.
 const CAPACITY: u64 = 3_000_000;
-/// 2026-12-01, 00:00 UTC, in Unix nanoseconds.
+/// Start of the recorded process: 2026-12-01, 00:00 UTC, in Unix nanoseconds.
 const STARTED: u64 = 1_796_083_200_000_000_000;
-/// 2100-01-01, 00:00 UTC, in Unix nanoseconds: far enough that a daemon still delivers what is pending.
+/// 2100-01-01, 00:00 UTC, in Unix nanoseconds: late enough that a daemon still delivers the pending messages.
 const DEADLINE: u64 = 4_102_444_800_000_000_000;
 
 fn fixture(part: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/folder-b204e6b").join(part)
 }
 
-/// A copy that a test may change: the fixture itself stays as it was written.
-fn copy(part: &str) -> tempfile::TempDir {
+/// Copies a part of the fixture to a temporary folder, so that a test may change it.
+fn temporary_copy(part: &str) -> tempfile::TempDir {
     let folder = tempfile::tempdir().expect("a folder");
     copy_files(part, folder.path());
     folder
@@ -34,7 +35,7 @@
     }
 }
 
-fn bytes(folder: &Path, file: &str) -> Vec<u8> {
+fn read_file(folder: &Path, file: &str) -> Vec<u8> {
     std::fs::read(folder.join(file)).expect("a file")
 }
 
@@ -57,7 +58,7 @@
     (0..20_000u32).map(|n| (n * 7 % 251) as u8).collect()
 }
 
-/// Every kind of record that stands in the journal.
+/// The records of the fixture's journal, with each kind of journal record.
 fn state_records() -> Vec<Record> {
     let started = |id, at, earlier_attempts| Record::AttemptStarted { id, at, zone: 0, earlier_attempts };
     let completed = |id, completion| Record::Completed { id, at: STARTED + 5_000_000_000, completion };
@@ -113,7 +114,7 @@
     ]
 }
 
-/// Every kind of record that stands in the file `late`, with each kind of observation.
+/// The records of the fixture's file `late`, with each kind of late outcome and of observation.
 fn late_records() -> Vec<Record> {
     let late = |id, at, outcome| Record::LateOutcome { id, at, outcome };
     let observed =
@@ -132,7 +133,7 @@
     ]
 }
 
-/// Each field at its limits, and texts of several scripts in each text field.
+/// Records with each field at its limits and text of several scripts in each text field.
 fn extreme_records() -> Vec<Record> {
     vec![
         Record::Accepted(AcceptedMessage {
@@ -169,10 +170,8 @@
 #[rstest]
 #[case::state("state", state_records())]
 #[case::extremes("extremes", extreme_records())]
-fn each_record_of_an_old_journal_is_read_and_the_journal_continued(
-    #[case] part: &str, #[case] written: Vec<Record>,
-) {
-    let folder = copy(part);
+fn an_old_journal_is_read_and_can_be_continued(#[case] part: &str, #[case] written: Vec<Record>) {
+    let folder = temporary_copy(part);
     let (mut journal, records) = Journal::open(folder.path(), CAPACITY).expect("it opens");
     assert_eq!(records, written);
     let appended = Record::AttemptEnded { id: 3, may_have_run: true };
@@ -180,8 +179,8 @@
     drop(journal);
     let (_, records) = Journal::open(folder.path(), CAPACITY).expect("it opens again");
     assert_eq!(records, [written, vec![appended]].concat());
-    let old = bytes(&fixture(part), "journal");
-    assert_eq!(bytes(folder.path(), "journal")[..old.len()], old[..], "what stood there is untouched");
+    let old = read_file(&fixture(part), "journal");
+    assert_eq!(read_file(folder.path(), "journal")[..old.len()], old[..], "the old records are unchanged");
 }
 
 #[rstest]
@@ -191,15 +190,15 @@
     let folder = tempfile::tempdir().expect("a folder");
     let (mut journal, _) = Journal::open(folder.path(), CAPACITY).expect("it opens");
     records.iter().for_each(|record| journal.append(record).expect("appended"));
-    assert!(bytes(folder.path(), "journal") == bytes(&fixture(part), "journal"), "appended");
+    assert!(read_file(folder.path(), "journal") == read_file(&fixture(part), "journal"), "appended");
     journal.compact(records.into_iter()).expect("compacted");
-    assert!(bytes(folder.path(), "journal") == bytes(&fixture(part), "journal"), "compacted");
+    assert!(read_file(folder.path(), "journal") == read_file(&fixture(part), "journal"), "compacted");
 }
 
 #[test]
-fn an_old_journal_that_ends_within_a_record_is_read_up_to_it() {
-    let folder = copy("state");
-    let old = bytes(folder.path(), "journal");
+fn an_old_journal_with_a_truncated_last_record_is_read_up_to_that_record() {
+    let folder = temporary_copy("state");
+    let old = read_file(folder.path(), "journal");
     std::fs::write(folder.path().join("journal"), &old[..old.len() - 1]).expect("written");
     let (_, records) = Journal::open(folder.path(), CAPACITY).expect("it opens");
     let written = state_records();
@@ -207,21 +206,21 @@
 }
 
 #[test]
-fn late_outcomes_of_an_old_process_are_read_and_written_alike() {
+fn late_outcomes_are_read_and_written_as_the_same_bytes() {
     let open = |folder: &Path| SharedFolder::open(folder).expect("the folder");
-    let read = copy("state");
+    let read = temporary_copy("state");
     let mut reader = open(read.path()).open_late_outcomes().expect("the file");
     assert_eq!(reader.read(), (late_records(), true));
-    // In a copy of its own: the reader's lock outlasts it in each process that another test is starting, until that has
-    // become the program.
-    let written = copy("state");
+    // The writer uses another copy: a process that another test is forking inherits the reader's lock and keeps it until its
+    // exec.
+    let written = temporary_copy("state");
     let mut writer = open(written.path()).create_late_outcomes().expect("the lock");
     late_records().iter().for_each(|record| writer.append(record));
-    assert_eq!(bytes(written.path(), "late"), bytes(&fixture("state"), "late"));
+    assert_eq!(read_file(written.path(), "late"), read_file(&fixture("state"), "late"));
 }
 
 #[test]
-fn an_old_snapshot_of_the_fleet_is_read_and_written_alike() {
+fn a_fleet_snapshot_is_read_and_written_as_the_same_bytes() {
     let open = |folder: &Path| {
         let disk = Folder::open(folder).expect("the folder");
         SnapshotStore::open(Box::new(disk), CAPACITY)
@@ -234,7 +233,7 @@
     let members = [member("n1", "127.0.0.1:7001", 12), member("größe", "[::1]:7002", 1)];
     let agreed = ["n0", "n1", "größe"].map(String::from).into();
     let seconds = STARTED / 1_000_000_000;
-    let old = copy("state");
+    let old = temporary_copy("state");
     let mut snapshot = open(old.path());
     let seen: Vec<_> =
         snapshot.known_members().iter().map(|s| (s.name.as_str(), s.address, s.last_seen)).collect();
@@ -245,13 +244,14 @@
     let mut snapshot = open(new.path());
     snapshot.begin_incarnation(5_000);
     snapshot.record(&members, &agreed, seconds);
-    assert_eq!(bytes(new.path(), "fleet"), bytes(&fixture("state"), "fleet"));
+    assert_eq!(read_file(new.path(), "fleet"), read_file(&fixture("state"), "fleet"));
 }
 
-/// The real program on an old folder: what is pending is delivered with its own body, what was out at the old process ends
-/// by its late outcome, owed callbacks go out, and completed messages are answered from the deduplication cache.
+/// A daemon that starts on the old state folder delivers each pending message with its body, completes messages that the old
+/// process had in flight by their late outcomes, sends the callbacks that were not acknowledged, and answers completed messages
+/// from the deduplication cache.
 #[test]
-fn a_daemon_that_starts_on_an_old_folder_goes_on_where_the_old_one_stopped() {
+fn a_daemon_started_on_an_old_state_folder_continues_the_work_of_the_old_process() {
     let endpoint = Server::always("200 OK");
     let known = endpoint_list(1, &[(7, endpoint.addr)]);
     let disco = start_discovery(known.clone());
--- a/tests/sites.rs
+++ b/tests/sites.rs
@@ -1,5 +1,5 @@
-//! The real program under the settings of each site variant in `deploy/sites`: it starts, takes messages of each class
-//! on, delivers them, and after a kill and a restart delivers what was left.
+//! The daemon with the settings of each site in `deploy/sites`: it starts, accepts and delivers messages of each class, and after
+//! a kill and a restart delivers the pending messages.
 mod stand;
 use rstest::rstest;
 use serde_json::Value;
@@ -9,29 +9,29 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// The names that a request needs from the settings.
+/// A site's settings and the names in them that a request needs.
 struct Deployment {
     settings: String,
-    /// Each class, and its deadline in milliseconds.
+    /// The name of each class and its deadline in milliseconds.
     classes: Vec<(String, u64)>,
     tenant: Option<String>,
 }
 
-fn site(name: &str) -> Deployment {
+fn read_site(name: &str) -> Deployment {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/sites").join(name).join("settings.json");
-    let settings = std::fs::read_to_string(&path).expect("its settings");
-    let read: Value = serde_json::from_str(&settings).expect("JSON");
+    let settings = std::fs::read_to_string(&path).expect("the site's settings");
+    let parsed: Value = serde_json::from_str(&settings).expect("JSON");
     let class = |c: &Value| {
         let name = c["name"].as_str().expect("a name").to_string();
         (name, c["deadlineNs"].as_u64().expect("a deadline") / 1_000_000)
     };
-    let classes = read["classes"].as_array().expect("classes").iter().map(class).collect();
-    let tenant = read["tenants"].as_array().expect("tenants").first();
+    let classes = parsed["classes"].as_array().expect("classes").iter().map(class).collect();
+    let tenant = parsed["tenants"].as_array().expect("tenants").first();
     let tenant = tenant.map(|t| t["name"].as_str().expect("a name").to_string());
     Deployment { settings, classes, tenant }
 }
 
-/// One message of this class for dest 7, in the form of the protocol page: no tenant is named where there is none.
+/// Returns the request for a message of this class to destination 7, without a tenant header if the site has no tenants.
 fn request(site: &Deployment, class: &str, deadline_ms: u64, id: &str) -> Vec<u8> {
     let tenant = site.tenant.as_ref().map(|t| format!("X-Tenant: {t}\r\n")).unwrap_or_default();
     let body = format!("body of {id}");
@@ -45,95 +45,96 @@
 }
 
 #[rstest]
-#[case::no_tenants_one_class_in_order("quayside-alerts")]
-#[case::six_classes_and_reported_limits("orchard-freight")]
-fn messages_of_each_class_are_accepted_and_delivered_also_after_a_restart(#[case] name: &str) {
-    let site = site(name);
-    let open = Arc::new(AtomicBool::new(true));
-    let is_open = open.clone();
-    let endpoint = Server::start(move |_, _| match is_open.load(Ordering::Relaxed) {
+#[case::one_ordered_class_without_tenants("quayside-alerts")]
+#[case::six_classes_with_reported_limits("orchard-freight")]
+fn messages_of_each_class_are_accepted_and_delivered_even_after_a_restart(#[case] name: &str) {
+    let site = read_site(name);
+    let answers_ok = Arc::new(AtomicBool::new(true));
+    let responds_ok = answers_ok.clone();
+    let endpoint = Server::start(move |_, _| match responds_ok.load(Ordering::Relaxed) {
         true => respond("200 OK", "", ""),
-        // Rejected, so it had no effect and stays pending.
+        // A rejected message had no effect and stays pending.
         false => respond("503 Later", "", ""),
     });
     let known = endpoint_list(1, &[(7, endpoint.addr)]);
     let disco = start_discovery(known.clone());
     let settings = Some(site.settings.clone());
     let mut daemon = Setup { settings, ..setup(&disco, known) }.start();
-    let submit = |daemon: &Daemon, which: &str| -> Vec<String> {
-        let one = |(class, deadline): &(String, u64)| {
-            let id = format!("{class}-{which}");
+    let submit = |daemon: &Daemon, suffix: &str| -> Vec<String> {
+        let submit_class = |(class, deadline): &(String, u64)| {
+            let id = format!("{class}-{suffix}");
             let answer = daemon.send_request(&request(&site, class, *deadline, &id)).expect("an answer");
             assert_eq!(answer.status(), 202, "{id}: {}", answer.text());
             id
         };
-        site.classes.iter().map(one).collect()
+        site.classes.iter().map(submit_class).collect()
     };
     for id in submit(&daemon, "first") {
         assert_eq!(endpoint.wait_request(&id).text(), format!("body of {id}"));
     }
-    open.store(false, Ordering::Relaxed);
-    let held = submit(&daemon, "held");
+    answers_ok.store(false, Ordering::Relaxed);
+    let pending = submit(&daemon, "pending");
     daemon.kill();
-    let before = endpoint.received().len();
-    open.store(true, Ordering::Relaxed);
+    let calls_before = endpoint.received().len();
+    answers_ok.store(true, Ordering::Relaxed);
     daemon.restart();
-    for id in &held {
-        let is_over = |all: &[HttpMessage]| all[before..].iter().any(|h| h.request_id() == id);
-        endpoint.wait_until(id, is_over);
+    for id in &pending {
+        let is_delivered = |all: &[HttpMessage]| all[calls_before..].iter().any(|h| h.request_id() == id);
+        endpoint.wait_until(id, is_delivered);
     }
-    let wrong = daemon.send_request(&request(&site, "no-such-class", 1000, "wrong")).expect("an answer");
-    assert_eq!(wrong.status(), 404);
+    let unknown_class =
+        daemon.send_request(&request(&site, "no-such-class", 1000, "unknown")).expect("an answer");
+    assert_eq!(unknown_class.status(), 404);
 }
 
-/// The window in which the receivers of this variant drop a repeat, and a call that comes at its very end.
-const WINDOW: Duration = Duration::from_millis(1000);
+/// The time in which the receivers of quayside-alerts drop a repeated message.
+const DEDUPLICATION_WINDOW: Duration = Duration::from_millis(1000);
 
-/// The ids of calls, and when they came.
+/// The request id and the arrival time of each call.
 type Arrivals = Arc<Mutex<Vec<(String, Instant)>>>;
 
-/// When each call with this message came, counted from the first.
-fn calls(endpoint: &Arrivals, id: &str) -> Vec<Duration> {
-    let all = endpoint.lock().expect("lock");
+/// Returns the arrival times of the calls with this message, counted from the first of them.
+fn arrival_times(arrivals: &Arrivals, id: &str) -> Vec<Duration> {
+    let all = arrivals.lock().expect("lock");
     let times: Vec<Instant> = all.iter().filter(|c| c.0 == id).map(|c| c.1).collect();
     times.iter().map(|t| *t - times[0]).collect()
 }
 
-/// An endpoint that reads each call whole and then breaks the connection, so that it may have run.
-fn resetting() -> (Server, Arrivals) {
-    let came: Arrivals = Arc::default();
-    let mine = came.clone();
-    let endpoint = Server::start(move |heard, _| {
-        mine.lock().expect("lock").push((heard.request_id().to_string(), Instant::now()));
+/// Starts an endpoint that reads each call and then closes the connection, so that the message may have run.
+fn closing_endpoint() -> (Server, Arrivals) {
+    let arrivals: Arrivals = Arc::default();
+    let recorded = arrivals.clone();
+    let endpoint = Server::start(move |request, _| {
+        recorded.lock().expect("lock").push((request.request_id().to_string(), Instant::now()));
         Reply::Close
     });
-    (endpoint, came)
+    (endpoint, arrivals)
 }
 
-/// With a window of 1 s, an attempt that may have run is retried inside it only, and the message completes in time.
+/// With a deduplication window of 1 s, a message that may have run is retried only inside the window and completes in time.
 #[test]
-fn an_attempt_that_may_have_run_is_retried_inside_the_window_only() {
-    let site = site("quayside-alerts");
-    let (endpoint, came) = resetting();
+fn a_message_that_may_have_run_is_retried_inside_the_window_only() {
+    let site = read_site("quayside-alerts");
+    let (endpoint, arrivals) = closing_endpoint();
     let known = endpoint_list(1, &[(7, endpoint.addr)]);
     let disco = start_discovery(known.clone());
     let daemon = Setup { settings: Some(site.settings.clone()), ..setup(&disco, known) }.start();
     let (class, deadline) = &site.classes[0];
     assert_eq!(daemon.send_request(&request(&site, class, *deadline, "m1")).map(|h| h.status()), Some(202));
     disco.wait_text(r#""id":"m1""#);
-    let calls = calls(&came, "m1");
-    assert!(calls.len() > 1, "it is repeated: {calls:?}");
-    assert!(calls.iter().all(|c| *c < WINDOW), "{calls:?}");
+    let times = arrival_times(&arrivals, "m1");
+    assert!(times.len() > 1, "the message is retried: {times:?}");
+    assert!(times.iter().all(|t| *t < DEDUPLICATION_WINDOW), "{times:?}");
 }
 
-/// The same after a restart: the window counts from the attempt before it.
+/// After a restart the window still counts from the first attempt, which the killed process made.
 #[rstest]
-#[case::inside_a_long_one("8000000000", Duration::ZERO, true)]
-#[case::after_a_short_one("1000000000", WINDOW, false)]
+#[case::restart_inside_a_long_window("8000000000", Duration::ZERO, true)]
+#[case::restart_after_a_short_window("1000000000", DEDUPLICATION_WINDOW, false)]
 fn a_restart_does_not_extend_the_window(
-    #[case] window_ns: &str, #[case] down_for: Duration, #[case] again: bool,
+    #[case] window_ns: &str, #[case] down_for: Duration, #[case] is_retried: bool,
 ) {
-    let mut site = site("quayside-alerts");
+    let mut site = read_site("quayside-alerts");
     site.settings =
         site.settings.replace(r#""windowNs": 1000000000"#, &format!(r#""windowNs": {window_ns}"#));
     site.settings = site.settings.replace(r#""deadlineNs": 1800000000"#, r#""deadlineNs": 9000000000"#);
@@ -154,10 +155,10 @@
     daemon.kill();
     std::thread::sleep(down_for);
     daemon.restart();
-    if again {
-        endpoint.wait_until("a repeat inside the window", |all| all.len() == 2);
+    if is_retried {
+        endpoint.wait_until("a retry inside the window", |all| all.len() == 2);
         return;
     }
     disco.wait_text(r#""id":"m1""#);
-    assert_eq!(endpoint.received().len(), 1, "not repeated after the window");
+    assert_eq!(endpoint.received().len(), 1, "no retry after the window");
 }
