--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,16 +1,17 @@
-//! The forwarder's side of the interface for tests: feeds events, collects actions. It models no server.
+//! Test harness for the decision module: feeds it events and collects its actions. It models no server.
 #![allow(dead_code)]
 use micaladder::*;
 
-pub const MS: u64 = 1_000_000;
+pub const NANOS_PER_MS: u64 = 1_000_000;
+/// Index of a class in `settings`, as are the next four constants.
 pub const IDEMPOTENT: usize = 0;
-pub const KEYED: usize = 1;
-pub const KEYED_IN_ZONE: usize = 2;
+pub const IDEMPOTENT_BY_KEY: usize = 1;
+pub const IDEMPOTENT_BY_KEY_IN_ZONE: usize = 2;
 pub const AT_MOST_ONCE: usize = 3;
 pub const ORDERED: usize = 4;
 
-pub fn ms(t: u64) -> Nanos {
-    Nanos(t * MS)
+pub fn ms(millis: u64) -> Nanos {
+    Nanos(millis * NANOS_PER_MS)
 }
 
 fn class(priority_weight: f64, effect: Effect, fifo: bool) -> Class {
@@ -24,9 +25,9 @@
     }
 }
 
-/// Settings of a small deployment with one class of each effect.
+/// Returns the settings of a small deployment with one class for each effect, and an ordered class.
 pub fn settings() -> Settings {
-    let keyed = |group| Effect::IdempotentByKey { scope: group, window: ms(8000) };
+    let by_key = |scope| Effect::IdempotentByKey { scope, window: ms(8000) };
     Settings {
         slots: 8,
         max_pending: 100,
@@ -35,8 +36,8 @@
         tick: ms(5),
         classes: vec![
             class(1.0, Effect::Idempotent, false),
-            class(2.0, keyed(IdempotencyScope::AllEndpoints), false),
-            class(2.0, keyed(IdempotencyScope::SameZone), false),
+            class(2.0, by_key(IdempotencyScope::AllEndpoints), false),
+            class(2.0, by_key(IdempotencyScope::SameZone), false),
             class(4.0, Effect::AtMostOnce, false),
             class(1.0, Effect::Idempotent, true),
         ],
@@ -57,14 +58,14 @@
     }
 }
 
-/// A decision module, its settings and its clock.
+/// A decision module with its settings and its clock.
 pub struct Forwarder {
     pub module: Balancer,
     pub now: Nanos,
-    pub set: Settings,
+    pub settings: Settings,
 }
 
-/// A running endpoint's entry in the list, without a rate.
+/// Returns the list entry of a running endpoint without a rate.
 pub fn list_entry(id: u32, dest: u64, kind: usize, zone: usize) -> EndpointEntry {
     EndpointEntry {
         host: EndpointId(id),
@@ -77,24 +78,25 @@
 }
 
 impl Forwarder {
-    pub fn new(set: Settings, entries: Vec<EndpointEntry>) -> Self {
-        Self::seeded(set, entries, 7)
+    pub fn new(settings: Settings, entries: Vec<EndpointEntry>) -> Self {
+        Self::with_seed(settings, entries, 7)
     }
-    pub fn seeded(set: Settings, entries: Vec<EndpointEntry>, seed: u64) -> Self {
-        let mut r = Forwarder { module: Balancer::new(set.clone(), seed), now: ms(1_000_000), set };
-        r.step(0, &[Event::EndpointList { complete: true, entries }]);
-        r
+    pub fn with_seed(settings: Settings, entries: Vec<EndpointEntry>, seed: u64) -> Self {
+        let mut forwarder =
+            Forwarder { module: Balancer::new(settings.clone(), seed), now: ms(1_000_000), settings };
+        forwarder.step(0, &[Event::EndpointList { complete: true, entries }]);
+        forwarder
     }
-    /// Lets time pass, then feeds events.
+    /// Advances the clock by `later_ms`, handles the events and returns the actions.
     pub fn step(&mut self, later_ms: u64, events: &[Event]) -> Vec<Action> {
         self.now = self.now + ms(later_ms);
         let mut out = Vec::new();
         self.module.handle(self.now, events, &mut out);
         out
     }
-    /// A new message without a key, with the deadline of its class.
+    /// Returns the event of a new message without a key, with the deadline of its class.
     pub fn message(&self, id: u64, class: usize, dest: u64) -> Event {
-        let deadline = self.now + self.set.classes[class].deadline;
+        let deadline = self.now + self.settings.classes[class].deadline;
         Event::Message(Message {
             id: MessageId(id),
             class,
@@ -104,15 +106,15 @@
             deadline,
         })
     }
-    /// A new message of the ordered class with this key.
-    pub fn keyed(&self, id: u64, key: u64, dest: u64) -> Event {
+    /// Returns the event of a new message of the ordered class with this key.
+    pub fn ordered_message(&self, id: u64, key: u64, dest: u64) -> Event {
         let Event::Message(m) = self.message(id, ORDERED, dest) else { unreachable!() };
         Event::Message(Message { key: Some(key), ..m })
     }
 }
 
-/// The outcome of an attempt.
-pub fn ended(id: u64, attempt: u32, outcome: Outcome, took_ms: u64) -> Event {
+/// Returns the event that an attempt ended with this outcome, without a load report.
+pub fn attempt_ended(id: u64, attempt: u32, outcome: Outcome, took_ms: u64) -> Event {
     let over = outcome == Outcome::Ok;
     Event::AttemptEnded(AttemptEnded {
         id: MessageId(id),
@@ -124,7 +126,7 @@
     })
 }
 
-/// Messages and endpoints of the sends among actions.
+/// Returns the message id and the endpoint id of each send among the actions.
 pub fn sends(actions: &[Action]) -> Vec<(u64, u32)> {
     let send = |a: &Action| match a {
         Action::Send { id, host, .. } => Some((id.0, host.0)),
@@ -133,12 +135,12 @@
     actions.iter().filter_map(send).collect()
 }
 
-/// Whether a message is rejected.
-pub fn rejected(actions: &[Action], id: u64) -> bool {
+/// Returns whether the actions reject this message.
+pub fn is_rejected(actions: &[Action], id: u64) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { id: i, .. } if i.0 == id))
 }
 
-/// Whether a message is given up without a promise.
-pub fn failed(actions: &[Action], id: u64) -> bool {
+/// Returns whether the actions fail this message, without a statement on whether it ran.
+pub fn is_failed(actions: &[Action], id: u64) -> bool {
     actions.contains(&Action::Fail(MessageId(id)))
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -35,15 +35,15 @@
 impl Endpoint {
     /// Counts a call against what a returning destination bears: cold at its return, warm after the slow
     /// start.
-    fn count_load(&mut self, now: u64, set: &Settings) {
-        let span = set.overload_window.secs();
+    fn count_load(&mut self, now: u64, settings: &Settings) {
+        let span = settings.overload_window.secs();
         self.window.push_back(now);
         while self.window.front().is_some_and(|at| now - at >= (span * 1000.0) as u64) {
             self.window.pop_front();
         }
-        let warm = (now.saturating_sub(self.outage.1) as f64 / 1000.0 / set.warm_up.secs()).min(1.0);
-        let share = set.cold_capacity_share + (1.0 - set.cold_capacity_share) * warm;
-        let bears = set.overload_multiple * share * self.limit as f64 * span;
+        let warm = (now.saturating_sub(self.outage.1) as f64 / 1000.0 / settings.warm_up.secs()).min(1.0);
+        let share = settings.cold_capacity_share + (1.0 - settings.cold_capacity_share) * warm;
+        let bears = settings.overload_multiple * share * self.limit as f64 * span;
         self.peak_load = self.peak_load.max(self.window.len() as f64 / (bears + 2.0 * bears.sqrt() + 2.0));
     }
 }
@@ -104,21 +104,21 @@
 }
 
 impl Fleet {
-    fn new(set: &Settings, endpoints: Vec<Endpoint>) -> Fleet {
+    fn new(settings: &Settings, endpoints: Vec<Endpoint>) -> Fleet {
         let entry = |(n, e): (usize, &Endpoint)| EndpointEntry {
             rate: e.listed,
             ..list_entry(n as u32, n as u64, 0, 0)
         };
         let list: Vec<EndpointEntry> = endpoints.iter().enumerate().map(entry).collect();
         let member = |n: usize| Member {
-            forwarder: Forwarder::seeded(set.clone(), list.clone(), 1 + 7919 * n as u64),
+            forwarder: Forwarder::with_seed(settings.clone(), list.clone(), 1 + 7919 * n as u64),
             idle: vec![Vec::new(); list.len()],
             used: vec![0; list.len()],
             in_flight: Vec::new(),
             attempts: BTreeMap::new(),
             wake: None,
         };
-        let members = (0..set.forwarders).map(member).collect();
+        let members = (0..settings.forwarders).map(member).collect();
         let (submitted_at, counts) = (BTreeMap::new(), Counts::default());
         Fleet {
             members,
@@ -148,14 +148,14 @@
     /// Restarts one member in so many: its connections and calls end, and it knows nothing but the list.
     fn restart_each(&mut self, nth: usize) {
         for n in (0..self.members.len()).step_by(nth) {
-            let set = self.members[n].forwarder.set.clone();
+            let settings = self.members[n].forwarder.settings.clone();
             let entry = |(i, e): (usize, &Endpoint)| EndpointEntry {
                 rate: e.listed,
                 ..list_entry(i as u32, i as u64, 0, 0)
             };
             let list: Vec<EndpointEntry> = self.endpoints.iter().enumerate().map(entry).collect();
             let endpoints = self.endpoints.len();
-            let forwarder = Forwarder::seeded(set, list, 2 + 104_729 * n as u64);
+            let forwarder = Forwarder::with_seed(settings, list, 2 + 104_729 * n as u64);
             let (idle, used) = (vec![Vec::new(); endpoints], vec![0; endpoints]);
             self.members[n] = Member {
                 forwarder,
@@ -217,7 +217,7 @@
                 m.idle[host].push(now);
                 self.counts.in_time += usize::from(now - self.submitted_at[&id] <= 2000);
             }
-            events.push(ended(id, attempt, outcome, CALL));
+            events.push(attempt_ended(id, attempt, outcome, CALL));
         }
         if m.wake.is_some_and(|at| at <= m.forwarder.now) {
             events.push(Event::Due);
@@ -250,7 +250,7 @@
         }
         let in_outage = (e.outage.0..e.outage.1).contains(&self.now);
         if self.now >= e.outage.1 && e.outage.1 > 0 {
-            e.count_load(self.now, &m.forwarder.set);
+            e.count_load(self.now, &m.forwarder.settings);
         }
         let (after, outcome) = if in_outage {
             (STEP, Outcome::ConnectFailed)
@@ -342,15 +342,15 @@
         [(0, 0.0), (1, -5.0), (1000, 10.0), (usize::MAX, 1e300), (3, f64::NAN), (3, f64::INFINITY)]
     {
         let list = vec![EndpointEntry { rate, ..list_entry(1, 10, 0, 0) }];
-        let mut r = Forwarder::new(many(forwarders), list);
-        let m = r.message(1, IDEMPOTENT, 10);
-        assert_eq!(sends(&r.step(0, &[m])).len(), 1);
+        let mut forwarder = Forwarder::new(many(forwarders), list);
+        let m = forwarder.message(1, IDEMPOTENT, 10);
+        assert_eq!(sends(&forwarder.step(0, &[m])).len(), 1);
         let mut again = 0;
-        r.step(5, &[ended(1, 0, Outcome::Rejected(None), 5)]);
+        forwarder.step(5, &[attempt_ended(1, 0, Outcome::Rejected(None), 5)]);
         for _ in 0..190 {
-            for (id, _) in sends(&r.step(100, &[Event::Due])) {
+            for (id, _) in sends(&forwarder.step(100, &[Event::Due])) {
                 again += 1;
-                r.step(5, &[ended(id, again, Outcome::Rejected(None), 5)]);
+                forwarder.step(5, &[attempt_ended(id, again, Outcome::Rejected(None), 5)]);
             }
         }
         assert!(again > 0, "{forwarders} forwarders, rate {rate}: it is retried in time");
--- a/tests/module/sources.rs
+++ b/tests/module/sources.rs
@@ -1,5 +1,5 @@
-//! The sources of the decision module.
-/// Files of the decision module: the roots, and one file for each concern.
+//! Checks of the decision module's source files.
+/// Returns the source files of the decision module: its root files and the files of their folders.
 fn module_sources() -> Vec<std::path::PathBuf> {
     let src = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let mut files = vec![src.join("logic.rs"), src.join("state.rs"), src.join("interface.rs")];
@@ -23,7 +23,7 @@
         assert!(widest <= 110, "{}: {widest} columns", file.display());
         assert!(text.starts_with("//! "), "{}: no module doc comment", file.display());
     }
-    // Who prints the decisions alone finds the types by the root's doc comment.
+    // The doc comment of the root names the file with the types, so that a reader of `logic` alone finds them.
     let root = include_str!("../../src/logic.rs");
     assert!(root.lines().take(3).any(|l| l.contains("interface.rs")));
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -43,16 +43,16 @@
 }
 
 impl Oracle {
-    fn check(&mut self, now: Nanos, actions: &[Action], set: &Settings) {
+    fn check(&mut self, now: Nanos, actions: &[Action], settings: &Settings) {
         for a in actions {
             match a {
-                Action::Send { id, host, .. } => self.sent(now, id.0, host.0, set),
+                Action::Send { id, host, .. } => self.sent(now, id.0, host.0, settings),
                 Action::Reject { id, .. } => {
                     let m = &self.seen[&id.0];
                     let may_have_run = m.first_possible_run.is_some() || m.in_flight.is_some();
                     assert!(
                         !may_have_run
-                            || match set.classes[m.class].effect {
+                            || match settings.classes[m.class].effect {
                                 Effect::Idempotent => true,
                                 Effect::IdempotentByKey { scope, .. } =>
                                     scope == IdempotencyScope::AllEndpoints,
@@ -67,8 +67,8 @@
             }
         }
         let out = self.seen.values().filter(|m| m.in_flight.is_some()).count();
-        let max_batch = set.kinds.iter().map(|k| k.max_batch).max().unwrap_or(1);
-        assert!(out <= set.slots * max_batch, "{out} in flight");
+        let max_batch = settings.kinds.iter().map(|k| k.max_batch).max().unwrap_or(1);
+        assert!(out <= settings.slots * max_batch, "{out} in flight");
     }
 
     fn end(&mut self, now: Nanos, id: u64) {
@@ -78,7 +78,7 @@
         m.ended = true;
     }
 
-    fn sent(&mut self, now: Nanos, id: u64, host: u32, set: &Settings) {
+    fn sent(&mut self, now: Nanos, id: u64, host: u32, settings: &Settings) {
         assert!(self.draining != Some(host), "sent to a draining endpoint");
         assert!(
             self.waits.get(&route(self.separate_routes, host)).is_none_or(|w| now >= *w),
@@ -93,9 +93,9 @@
             assert!(!paused || self.seen[&id].attempts > 0, "the key paused_until");
         }
         let m = self.seen.get_mut(&id).expect("a known message");
-        assert!(!m.ended && m.in_flight.is_none() && m.attempts < set.max_attempts && now < m.deadline);
+        assert!(!m.ended && m.in_flight.is_none() && m.attempts < settings.max_attempts && now < m.deadline);
         if let Some((first, zone)) = m.first_possible_run {
-            match set.classes[m.class].effect {
+            match settings.classes[m.class].effect {
                 Effect::Idempotent => {}
                 Effect::AtMostOnce => panic!("an at-most-once message is retried"),
                 Effect::IdempotentByKey { scope, window } => {
@@ -110,7 +110,7 @@
         m.in_flight = Some((host, now));
     }
 
-    fn outcome(&mut self, now: Nanos, id: u64, outcome: Outcome, set: &Settings) {
+    fn outcome(&mut self, now: Nanos, id: u64, outcome: Outcome, settings: &Settings) {
         let m = self.seen.get_mut(&id).expect("a known message");
         let (host, at) = m.in_flight.take().expect("in flight");
         let route = route(self.separate_routes, host);
@@ -126,7 +126,7 @@
         }
         m.ended |= outcome == Outcome::Ok;
         if matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
-            m.key.map(|k| self.paused_until.insert(k, now + set.ordering_pause));
+            m.key.map(|k| self.paused_until.insert(k, now + settings.ordering_pause));
         }
     }
 }
@@ -157,11 +157,11 @@
 }
 
 impl Run {
-    fn new(set: Settings, zones: usize, kind: usize) -> Run {
-        let separate_routes = set.kinds[kind].separate_routes;
+    fn new(settings: Settings, zones: usize, kind: usize) -> Run {
+        let separate_routes = settings.kinds[kind].separate_routes;
         let list = (0..6).map(|id| Run::entry(id, zones, kind)).collect();
         let oracle = Oracle { zones, separate_routes, ..Oracle::default() };
-        Run { forwarder: Forwarder::new(set, list), oracle, kind }
+        Run { forwarder: Forwarder::new(settings, list), oracle, kind }
     }
 
     fn entry(id: u32, zones: usize, kind: usize) -> EndpointEntry {
@@ -171,7 +171,7 @@
     /// Lets time pass, then feeds events and checks the actions.
     fn step(&mut self, later_ms: u64, events: &[Event]) {
         let actions = self.forwarder.step(later_ms, events);
-        self.oracle.check(self.forwarder.now, &actions, &self.forwarder.set);
+        self.oracle.check(self.forwarder.now, &actions, &self.forwarder.settings);
     }
 
     /// Time passes in short steps, or a short deadline could not be met.
@@ -196,14 +196,14 @@
         let outcome = outcome(code)?;
         let attempt = self.oracle.seen[&id].attempts - 1;
         let over = self.oracle.seen[&id].ended || outcome == Outcome::Ok;
-        let report = self.forwarder.set.limits_reported.then_some(LoadReport { left: 0.3, limit: 9.0 });
-        self.oracle.outcome(now, id, outcome, &self.forwarder.set);
+        let report = self.forwarder.settings.limits_reported.then_some(LoadReport { left: 0.3, limit: 9.0 });
+        self.oracle.outcome(now, id, outcome, &self.forwarder.settings);
         let (id, took) = (MessageId(id), now - sent_at);
         Some(Event::AttemptEnded(AttemptEnded { id, attempt, outcome, over, took, report }))
     }
 
     fn submit(&mut self, now: Nanos, id: u64, class: usize, dest: u64, key: u64) -> Event {
-        let settings = &self.forwarder.set.classes[class];
+        let settings = &self.forwarder.settings.classes[class];
         let key = Some(key).filter(|_| settings.fifo_by_key);
         let deadline = now + settings.deadline;
         let known = KnownMessage {
@@ -222,8 +222,8 @@
 }
 
 /// Plays the steps, and checks that every message ends.
-fn play(steps: &[Step], set: Settings, zones: usize, kind: usize) {
-    let mut run = Run::new(set, zones, kind);
+fn play(steps: &[Step], settings: Settings, zones: usize, kind: usize) {
+    let mut run = Run::new(settings, zones, kind);
     for (n, (later, class, dest, key, code)) in steps.iter().enumerate() {
         run.wait(later / 10);
         let later = later % 10;
@@ -233,11 +233,12 @@
             events.push(run.drain());
         }
         events.extend(run.end_oldest(now, *code));
-        let class = class % run.forwarder.set.classes.len();
+        let class = class % run.forwarder.settings.classes.len();
         events.push(run.submit(now, n as u64 + 1, class, *dest, *key));
         run.step(later, &events);
     }
-    let longest = run.forwarder.set.classes.iter().map(|c| c.deadline.0 / ms(10).0).max().unwrap_or_default();
+    let longest =
+        run.forwarder.settings.classes.iter().map(|c| c.deadline.0 / ms(10).0).max().unwrap_or_default();
     run.wait(longest + 50);
     assert!(run.oracle.seen.values().all(|m| m.ended), "every message ends");
 }
@@ -279,7 +280,7 @@
             zones,
             kind,
         )| {
-            let set = Settings {
+            let settings = Settings {
                 classes,
                 slots,
                 max_pending,
@@ -298,7 +299,7 @@
                 poll_interval: flags[5].then_some(ms(10_000)),
                 ..settings()
             };
-            (set, zones, kind)
+            (settings, zones, kind)
         },
     )
 }
@@ -311,8 +312,8 @@
     let step = (0u64..120, 0usize..6, 0u64..3, 0u64..3, 0u8..16);
     let all = (any_settings(), prop::collection::vec(step, 1..160));
     TestRunner::new_with_rng(config, rng)
-        .run(&all, |((set, zones, kind), steps)| {
-            play(&steps, set, zones, kind);
+        .run(&all, |((settings, zones, kind), steps)| {
+            play(&steps, settings, zones, kind);
             Ok(())
         })
         .expect("no rule is broken");
