--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -140,7 +140,7 @@
     actions.iter().any(|a| matches!(a, Action::Reject { id: i, .. } if i.0 == id))
 }
 
-/// Returns whether the actions fail this message, without a statement on whether it ran.
+/// Returns whether the actions fail this message, which may or may not have taken effect.
 pub fn is_failed(actions: &[Action], id: u64) -> bool {
     actions.contains(&Action::Fail(MessageId(id)))
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,40 +1,39 @@
-//! Many instances of the module against a few endpoints: what is harmless from one forwarder and harmful from
-//! a hundred. Time is stepped, arrivals and seeds are fixed; no test reads a clock.
+//! Simulation of many forwarders that share a few endpoints, for behaviour that is harmless in one forwarder and harmful in a
+//! hundred. Time advances in steps, arrivals and seeds are fixed, and no test reads a clock.
 mod common;
 use common::*;
 use micaladder::*;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Step of the simulation in ms, as long as a tick.
-const STEP: u64 = 5;
-/// Time of a call that is served, in ms.
-const CALL: u64 = 30;
-/// The client side closes a connection that has stood idle for so long (of the 10 s after which the endpoint
-/// would).
-const IDLE: u64 = 7000;
+/// Duration of a simulation step in ms, equal to a tick.
+const STEP_MS: u64 = 5;
+/// Duration of an answered call in ms.
+const CALL_MS: u64 = 30;
+/// Idle time in ms after which a forwarder closes a connection; an endpoint would close it after 10 s.
+const IDLE_TIMEOUT_MS: u64 = 7000;
 
-/// An endpoint, shared by all forwarders. That of index n has id n and destination n.
+/// An endpoint that all forwarders share. The endpoint at index n has id n and destination n.
 struct Endpoint {
-    /// Connections that it accepts, idle ones counted.
+    /// Maximum number of connections, including idle ones.
     max_connections: usize,
-    /// Calls that it takes in any second, rejected ones counted.
+    /// Maximum number of calls in any second, including rejected ones.
     limit: usize,
-    /// The limit that the list names.
+    /// The limit in the endpoint list.
     listed: f64,
-    /// When the calls of the last second came.
+    /// Arrival times of the calls of the last second.
     recent_calls: VecDeque<u64>,
     /// Start and end of its outage.
     outage: (u64, u64),
-    /// When the calls of the last `overload_window` reached it.
+    /// Arrival times of the calls of the last `overload_window`.
     window: VecDeque<u64>,
-    /// The most of them at any time, as a part of what would overload it: N + 2 x root of N + 2, N being what
-    /// the settings allow it then.
+    /// The maximum over time of the calls in `window` divided by the overload threshold N + 2√N + 2, where N is the number of
+    /// calls that the settings allow in such a window at that time.
     peak_load: f64,
 }
 
 impl Endpoint {
-    /// Counts a call against what a returning destination bears: cold at its return, warm after the slow
-    /// start.
+    /// Counts a call against the capacity of a recovering destination, which rises from the cold share to all of it during the
+    /// warm-up.
     fn count_load(&mut self, now: u64, settings: &Settings) {
         let span = settings.overload_window.secs();
         self.window.push_back(now);
@@ -43,8 +42,9 @@
         }
         let warm = (now.saturating_sub(self.outage.1) as f64 / 1000.0 / settings.warm_up.secs()).min(1.0);
         let share = settings.cold_capacity_share + (1.0 - settings.cold_capacity_share) * warm;
-        let bears = settings.overload_multiple * share * self.limit as f64 * span;
-        self.peak_load = self.peak_load.max(self.window.len() as f64 / (bears + 2.0 * bears.sqrt() + 2.0));
+        let allowed = settings.overload_multiple * share * self.limit as f64 * span;
+        self.peak_load =
+            self.peak_load.max(self.window.len() as f64 / (allowed + 2.0 * allowed.sqrt() + 2.0));
     }
 }
 
@@ -61,24 +61,25 @@
     }
 }
 
-/// A call in flight, and when it ends how.
+/// A call in flight, with its end time and outcome.
 struct Call {
-    until: u64,
+    ends_at: u64,
     id: u64,
     attempt: u32,
     host: usize,
     outcome: Outcome,
 }
 
-/// One forwarder, its connections to each endpoint, and its calls in flight.
+/// A forwarder, its connections to each endpoint and its calls in flight.
 struct Member {
     forwarder: Forwarder,
-    /// Since when each idle connection has stood idle.
+    /// The time since which each idle connection is idle, by endpoint.
     idle: Vec<Vec<u64>>,
-    used: Vec<usize>,
+    /// The number of connections with a call in flight, by endpoint.
+    busy: Vec<usize>,
     in_flight: Vec<Call>,
     attempts: BTreeMap<u64, u32>,
-    wake: Option<Nanos>,
+    wake_at: Option<Nanos>,
 }
 
 #[derive(Default)]
@@ -99,7 +100,7 @@
     random: u64,
     submitted_at: BTreeMap<u64, u64>,
     counts: Counts,
-    /// One member in ten gets half of the messages.
+    /// Whether one member in ten gets half of the messages.
     uneven: bool,
 }
 
@@ -113,10 +114,10 @@
         let member = |n: usize| Member {
             forwarder: Forwarder::with_seed(settings.clone(), list.clone(), 1 + 7919 * n as u64),
             idle: vec![Vec::new(); list.len()],
-            used: vec![0; list.len()],
+            busy: vec![0; list.len()],
             in_flight: Vec::new(),
             attempts: BTreeMap::new(),
-            wake: None,
+            wake_at: None,
         };
         let members = (0..settings.forwarders).map(member).collect();
         let (submitted_at, counts) = (BTreeMap::new(), Counts::default());
@@ -138,15 +139,15 @@
         (self.random >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Who gets the next message.
+    /// Returns the index of the member that gets the next message.
     fn receiver(&mut self) -> usize {
         let all = self.members.len();
         let candidates = if self.uneven && self.next_random() < 0.5 { all / 10 } else { all };
         (self.next_random() * candidates as f64) as usize
     }
 
-    /// Restarts one member in so many: its connections and calls end, and it knows nothing but the list.
-    fn restart_each(&mut self, nth: usize) {
+    /// Restarts every nth member, which loses its connections, its calls and all state but the endpoint list.
+    fn restart_every(&mut self, nth: usize) {
         for n in (0..self.members.len()).step_by(nth) {
             let settings = self.members[n].forwarder.settings.clone();
             let entry = |(i, e): (usize, &Endpoint)| EndpointEntry {
@@ -156,24 +157,24 @@
             let list: Vec<EndpointEntry> = self.endpoints.iter().enumerate().map(entry).collect();
             let endpoints = self.endpoints.len();
             let forwarder = Forwarder::with_seed(settings, list, 2 + 104_729 * n as u64);
-            let (idle, used) = (vec![Vec::new(); endpoints], vec![0; endpoints]);
+            let (idle, busy) = (vec![Vec::new(); endpoints], vec![0; endpoints]);
             self.members[n] = Member {
                 forwarder,
                 idle,
-                used,
+                busy,
                 in_flight: Vec::new(),
                 attempts: BTreeMap::new(),
-                wake: None,
+                wake_at: None,
             };
         }
     }
 
-    /// Connections at an endpoint, of all forwarders.
+    /// Counts the connections of all forwarders at an endpoint.
     fn connections(&self, host: usize) -> usize {
-        self.members.iter().map(|m| m.idle[host].len() + m.used[host]).sum()
+        self.members.iter().map(|m| m.idle[host].len() + m.busy[host]).sum()
     }
 
-    /// Lets time pass; `rate` messages a second come to all forwarders together.
+    /// Runs the simulation for `for_ms`, with `rate` messages a second for all forwarders together.
     fn run(&mut self, for_ms: u64, rate: f64) {
         let mut due: VecDeque<u64> = VecDeque::new();
         let mut at = self.now as f64;
@@ -183,7 +184,7 @@
         }
         let end = self.now + for_ms;
         while self.now < end {
-            self.now += STEP;
+            self.now += STEP_MS;
             let mut submitted: Vec<Vec<u64>> = vec![Vec::new(); self.members.len()];
             while due.front().is_some_and(|d| *d <= self.now) {
                 due.pop_front();
@@ -198,28 +199,29 @@
         }
     }
 
+    /// Ends the due calls of a member and lets the member handle all its events of this step.
     fn step(&mut self, n: usize, submitted: &[u64]) {
         let now = self.now;
         let dests = self.endpoints.len() as f64;
         let dests: Vec<u64> = submitted.iter().map(|_| (self.next_random() * dests) as u64).collect();
         let m = &mut self.members[n];
-        m.idle.iter_mut().for_each(|host| host.retain(|since| now - since < IDLE));
+        m.idle.iter_mut().for_each(|host| host.retain(|since| now - since < IDLE_TIMEOUT_MS));
         m.forwarder.now = ms(1_000_000 + now);
         let mut events: Vec<Event> = submitted
             .iter()
             .zip(dests)
             .map(|(id, dest)| m.forwarder.message(*id, IDEMPOTENT, dest))
             .collect();
-        for Call { id, attempt, host, outcome, .. } in m.in_flight.extract_if(.., |c| c.until <= now) {
+        for Call { id, attempt, host, outcome, .. } in m.in_flight.extract_if(.., |c| c.ends_at <= now) {
             if outcome == Outcome::Ok {
-                m.used[host] -= 1;
+                m.busy[host] -= 1;
                 self.counts.served += 1;
                 m.idle[host].push(now);
                 self.counts.in_time += usize::from(now - self.submitted_at[&id] <= 2000);
             }
-            events.push(attempt_ended(id, attempt, outcome, CALL));
+            events.push(attempt_ended(id, attempt, outcome, CALL_MS));
         }
-        if m.wake.is_some_and(|at| at <= m.forwarder.now) {
+        if m.wake_at.is_some_and(|at| at <= m.forwarder.now) {
             events.push(Event::Due);
         }
         if events.is_empty() {
@@ -229,13 +231,14 @@
             match action {
                 Action::Send { id, host, .. } => self.call(n, id.0, host.0 as usize),
                 Action::CloseIdle(host) => self.members[n].idle[host.0 as usize].clear(),
-                Action::WakeAt(at) => self.members[n].wake = Some(at),
+                Action::WakeAt(at) => self.members[n].wake_at = Some(at),
                 Action::Reject { .. } | Action::Fail(_) | Action::Cancel { .. } => {}
                 Action::WatchEndpointList | Action::Log { .. } => {}
             }
         }
     }
 
+    /// Starts a call of a member and decides its outcome.
     fn call(&mut self, n: usize, id: u64, host: usize) {
         let has_room = self.connections(host) < self.endpoints[host].max_connections;
         let m = &mut self.members[n];
@@ -252,42 +255,43 @@
         if self.now >= e.outage.1 && e.outage.1 > 0 {
             e.count_load(self.now, &m.forwarder.settings);
         }
-        let (after, outcome) = if in_outage {
-            (STEP, Outcome::ConnectFailed)
+        let (duration, outcome) = if in_outage {
+            (STEP_MS, Outcome::ConnectFailed)
         } else if !reused && !has_room {
             self.counts.connection_limited += 1;
-            (STEP, Outcome::ConnectionLimit)
+            (STEP_MS, Outcome::ConnectionLimit)
         } else {
             self.counts.handshakes += usize::from(!reused);
             e.recent_calls.push_back(self.now);
             if e.recent_calls.len() > e.limit {
                 self.counts.rejected += 1;
-                (STEP, Outcome::Rejected(None))
+                (STEP_MS, Outcome::Rejected(None))
             } else {
-                m.used[host] += 1;
-                (CALL, Outcome::Ok)
+                m.busy[host] += 1;
+                (CALL_MS, Outcome::Ok)
             }
         };
-        m.in_flight.push(Call { until: self.now + after, id, attempt, host, outcome });
+        m.in_flight.push(Call { ends_at: self.now + duration, id, attempt, host, outcome });
     }
 }
 
-fn many(forwarders: usize) -> Settings {
+/// Returns the settings of a fleet with listed rates.
+fn fleet_settings(forwarders: usize) -> Settings {
     Settings { forwarders, listed_rates: ListedRates::Nominal, ..settings() }
 }
 
-/// Found on the days of a large fleet: those that were served kept their connections, and all others tried to
+/// Found on recorded days of a large fleet: the forwarders that were served kept their connections, and all others tried to
 /// connect, 2,600 times a second, until each message had used up its attempts.
 #[test]
-fn a_hundred_share_endpoints_that_accept_twelve_connections() {
-    // At each endpoint 100 calls a second of 30 ms keep three connections busy.
+fn a_hundred_forwarders_share_endpoints_that_accept_twelve_connections() {
+    // At each endpoint, 100 calls a second of 30 ms each occupy three connections on average.
     let endpoints = (0..6).map(|_| endpoint(12, 1000)).collect();
-    let mut fleet = Fleet::new(&many(100), endpoints);
+    let mut fleet = Fleet::new(&fleet_settings(100), endpoints);
     fleet.run(20_000, 600.0);
     let counts = &fleet.counts;
     assert!(
         counts.connection_limited * 5 < counts.submitted,
-        "{} of {} calls",
+        "{} of {} calls met the connection limit",
         counts.connection_limited,
         counts.calls
     );
@@ -299,10 +303,10 @@
     );
 }
 
-/// Two forwarders reach no connection limit, and keep the connections that they use.
+/// Two forwarders do not reach the connection limit and keep the connections that they use.
 #[test]
-fn two_keep_their_connections() {
-    let mut fleet = Fleet::new(&many(2), vec![endpoint(12, 1000)]);
+fn two_forwarders_keep_their_connections() {
+    let mut fleet = Fleet::new(&fleet_settings(2), vec![endpoint(12, 1000)]);
     fleet.run(20_000, 40.0);
     let counts = &fleet.counts;
     assert_eq!((counts.connection_limited, counts.calls), (0, counts.submitted));
@@ -314,86 +318,95 @@
     );
 }
 
-/// Found on the days of a large fleet: after a limit had been lowered, or overrun once, each forwarder
-/// started again at an even share and rose by a tenth a second: for ten seconds more arrived than all of them
-/// sent.
+/// Found on recorded days of a large fleet: after a limit had been lowered, or exceeded once, each forwarder started again at an
+/// even share and raised its pace by a tenth a second, so for ten seconds more messages arrived than all forwarders sent.
 #[test]
-fn a_limit_that_rises_again_is_soon_used_again() {
-    let mut fleet = Fleet::new(&many(100), vec![endpoint(1000, 210)]);
-    let mut span = |limit: usize, secs: u64| {
+fn a_raised_limit_is_soon_used() {
+    let mut fleet = Fleet::new(&fleet_settings(100), vec![endpoint(1000, 210)]);
+    let mut run_with_limit = |limit: usize, secs: u64| {
         fleet.endpoints[0].limit = limit;
         let (served, rejected) = (fleet.counts.served, fleet.counts.rejected);
         fleet.run(secs * 1000, 160.0);
         (fleet.counts.served - served, fleet.counts.rejected - rejected)
     };
-    let (served, rejected) = span(210, 10);
-    assert!(served > 1500 && rejected == 0, "{served} served, {rejected} rejected before");
-    let (served, rejected) = span(130, 9);
+    let (served, rejected) = run_with_limit(210, 10);
+    assert!(
+        served > 1500 && rejected == 0,
+        "{served} served, {rejected} rejected before the limit was lowered"
+    );
+    let (served, rejected) = run_with_limit(130, 9);
     assert!(served * 2 > 130 * 9, "{served} served, {rejected} rejected");
     assert!(rejected < served, "{served} served, {rejected} rejected");
-    let (served, rejected) = span(210, 5);
-    assert!(served >= 160 * 5, "{served} served of {}, {rejected} rejected after", 160 * 5);
+    let (served, rejected) = run_with_limit(210, 5);
+    assert!(
+        served >= 160 * 5,
+        "{served} served of {}, {rejected} rejected after the limit was raised",
+        160 * 5
+    );
 }
 
-/// With a list or settings that name no limit, or an absurd one, a rejected message is still retried in time.
+/// If the list or the settings give no limit, or an impossible one, a rejected message is still retried in time.
 #[test]
-fn absurd_limits_and_fleets_give_bounded_paces() {
+fn impossible_rates_and_fleet_sizes_give_bounded_paces() {
     for (forwarders, rate) in
         [(0, 0.0), (1, -5.0), (1000, 10.0), (usize::MAX, 1e300), (3, f64::NAN), (3, f64::INFINITY)]
     {
         let list = vec![EndpointEntry { rate, ..list_entry(1, 10, 0, 0) }];
-        let mut forwarder = Forwarder::new(many(forwarders), list);
+        let mut forwarder = Forwarder::new(fleet_settings(forwarders), list);
         let m = forwarder.message(1, IDEMPOTENT, 10);
         assert_eq!(sends(&forwarder.step(0, &[m])).len(), 1);
-        let mut again = 0;
+        let mut retries = 0;
         forwarder.step(5, &[attempt_ended(1, 0, Outcome::Rejected(None), 5)]);
         for _ in 0..190 {
             for (id, _) in sends(&forwarder.step(100, &[Event::Due])) {
-                again += 1;
-                forwarder.step(5, &[attempt_ended(id, again, Outcome::Rejected(None), 5)]);
+                retries += 1;
+                forwarder.step(5, &[attempt_ended(id, retries, Outcome::Rejected(None), 5)]);
             }
         }
-        assert!(again > 0, "{forwarders} forwarders, rate {rate}: it is retried in time");
+        assert!(retries > 0, "{forwarders} forwarders, rate {rate}: the message is retried in time");
     }
 }
 
-/// How the members of a fleet differ.
+/// How messages and restarts are distributed over the members of a fleet.
 #[derive(Clone, Copy, PartialEq)]
 enum Mix {
     Even,
-    /// One in ten gets half of the messages, the others share the rest: most notice the return late.
+    /// One member in ten gets half of the messages and the others share the rest, so most notice the recovery late.
     Uneven,
-    /// The same, and one in five is restarted during the outage, and knows nothing of it.
+    /// As `Uneven`, and one member in five restarts during the outage and so has no record of it.
     Restarted,
 }
 
-/// After an outage, the calls of the whole fleet stay within what the returning destination bears, and no
-/// forwarder waits long after that.
+/// After an outage, the calls of the whole fleet stay within the capacity of the recovering destination, and no forwarder waits
+/// long once the capacity is back.
 #[rstest::rstest]
-fn a_returning_destination_is_not_overloaded_and_soon_used_by_all(
+fn a_recovering_destination_is_not_overloaded_and_soon_used_by_all(
     #[values(5000, 12_000)] outage: u64, #[values(20, 30, 100, 300)] forwarders: usize,
     #[values(Mix::Even, Mix::Uneven, Mix::Restarted)] mix: Mix,
 ) {
-    let mut fleet = Fleet::new(&many(forwarders), vec![endpoint(1000, 200)]);
+    let mut fleet = Fleet::new(&fleet_settings(forwarders), vec![endpoint(1000, 200)]);
     fleet.uneven = mix != Mix::Even;
     fleet.endpoints[0].outage = (10_000, 10_000 + outage);
     fleet.run(10_000 + outage / 2, 120.0);
     if mix == Mix::Restarted {
-        fleet.restart_each(5);
+        fleet.restart_every(5);
     }
     fleet.run(outage - outage / 2, 120.0);
-    let before = fleet.counts.served;
+    let served_before = fleet.counts.served;
     fleet.run(2000, 120.0);
-    assert!(fleet.counts.served > before, "it is tried in its first two seconds");
+    assert!(
+        fleet.counts.served > served_before,
+        "the destination is called in the first two seconds after the outage"
+    );
     fleet.run(10_000, 120.0);
     let peak = fleet.endpoints[0].peak_load;
-    assert!(peak <= 1.0, "{peak:.2} of what overloads it");
-    assert!(peak >= 0.15, "{peak:.2}: what it bears is used");
-    let before = fleet.counts.served;
+    assert!(peak <= 1.0, "the peak load is {peak:.2} of the overload threshold");
+    assert!(peak >= 0.15, "the peak load is only {peak:.2} of the overload threshold");
+    let served_before = fleet.counts.served;
     fleet.run(3000, 120.0);
     assert!(
-        fleet.counts.served - before >= 3 * 108,
+        fleet.counts.served - served_before >= 3 * 108,
         "{} served in three seconds",
-        fleet.counts.served - before
+        fleet.counts.served - served_before
     );
 }
--- a/tests/forwarder.rs
+++ b/tests/forwarder.rs
@@ -198,7 +198,7 @@
         daemon.wait_log(&format!("message=r{dest} outcome=Ok attempt=0"));
     }
     assert!(daemon.open_descriptors() >= before + many.len());
-    send_list.send(()).expect("it listens");
+    send_list.send(()).expect("a receiver");
     daemon.wait_log("retired host=s-0 dest=1");
     assert_eq!(daemon.submit("stats", "r21"), 202);
     daemon.wait_log("message=r21 outcome=Ok attempt=0");
--- a/tests/journal_compatibility.rs
+++ b/tests/journal_compatibility.rs
@@ -172,12 +172,12 @@
 #[case::extremes("extremes", extreme_records())]
 fn an_old_journal_is_read_and_can_be_continued(#[case] part: &str, #[case] written: Vec<Record>) {
     let folder = temporary_copy(part);
-    let (mut journal, records) = Journal::open(folder.path(), CAPACITY).expect("it opens");
+    let (mut journal, records) = Journal::open(folder.path(), CAPACITY).expect("the journal opens");
     assert_eq!(records, written);
     let appended = Record::AttemptEnded { id: 3, may_have_run: true };
     journal.append(&appended).expect("appended");
     drop(journal);
-    let (_, records) = Journal::open(folder.path(), CAPACITY).expect("it opens again");
+    let (_, records) = Journal::open(folder.path(), CAPACITY).expect("the journal opens again");
     assert_eq!(records, [written, vec![appended]].concat());
     let old = read_file(&fixture(part), "journal");
     assert_eq!(read_file(folder.path(), "journal")[..old.len()], old[..], "the old records are unchanged");
@@ -188,7 +188,7 @@
 #[case::extremes("extremes", extreme_records())]
 fn the_same_records_are_written_as_the_same_bytes(#[case] part: &str, #[case] records: Vec<Record>) {
     let folder = tempfile::tempdir().expect("a folder");
-    let (mut journal, _) = Journal::open(folder.path(), CAPACITY).expect("it opens");
+    let (mut journal, _) = Journal::open(folder.path(), CAPACITY).expect("the journal opens");
     records.iter().for_each(|record| journal.append(record).expect("appended"));
     assert!(read_file(folder.path(), "journal") == read_file(&fixture(part), "journal"), "appended");
     journal.compact(records.into_iter()).expect("compacted");
@@ -200,7 +200,7 @@
     let folder = temporary_copy("state");
     let old = read_file(folder.path(), "journal");
     std::fs::write(folder.path().join("journal"), &old[..old.len() - 1]).expect("written");
-    let (_, records) = Journal::open(folder.path(), CAPACITY).expect("it opens");
+    let (_, records) = Journal::open(folder.path(), CAPACITY).expect("the journal opens");
     let written = state_records();
     assert_eq!(records, written[..written.len() - 1]);
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,6 +1,6 @@
-//! Generated events against an oracle that is independent of the module: every message ends exactly once and
-//! in time, and the rules on effects, Retry-After, draining, order, attempts and slots hold. It makes event
-//! sequences, no servers.
+//! Property tests of the decision module: generated event sequences are checked against an oracle that is independent of the
+//! module. Each message completes exactly once and in time, and the rules on effects, Retry-After, draining, order, attempts and
+//! slots hold. No servers take part.
 mod common;
 use common::*;
 use micaladder::*;
@@ -8,32 +8,38 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
 
-/// What the oracle knows of one message.
-struct KnownMessage {
+/// The state of one message in the oracle.
+struct MessageState {
     class: usize,
     key: Option<u64>,
     deadline: Nanos,
     attempts: u32,
     in_flight: Option<(u32, Nanos)>,
     first_possible_run: Option<(Nanos, usize)>,
-    ended: bool,
+    completed: bool,
 }
 
+/// Checks the actions of a module against the rules.
 #[derive(Default)]
 struct Oracle {
     zones: usize,
     separate_routes: bool,
-    seen: BTreeMap<u64, KnownMessage>,
-    waits: BTreeMap<u64, Nanos>,
+    /// The state of each message, by its id.
+    messages: BTreeMap<u64, MessageState>,
+    /// When the Retry-After of a route has passed, by the route.
+    retry_after_until: BTreeMap<u64, Nanos>,
+    /// When the ordering pause of a key ends, by the key.
     paused_until: BTreeMap<u64, Nanos>,
+    /// The id of the draining endpoint.
     draining: Option<u32>,
 }
 
+/// Returns the destination of an endpoint.
 fn dest_of(host: u32) -> u64 {
     u64::from(host % 3)
 }
 
-/// The route that a Retry-After of an endpoint binds.
+/// Returns the route to which a Retry-After of this endpoint applies.
 fn route(separate_routes: bool, host: u32) -> u64 {
     if separate_routes {
         u64::from(host)
@@ -43,12 +49,13 @@
 }
 
 impl Oracle {
+    /// Checks the actions of one step and records them.
     fn check(&mut self, now: Nanos, actions: &[Action], settings: &Settings) {
         for a in actions {
             match a {
-                Action::Send { id, host, .. } => self.sent(now, id.0, host.0, settings),
+                Action::Send { id, host, .. } => self.record_send(now, id.0, host.0, settings),
                 Action::Reject { id, .. } => {
-                    let m = &self.seen[&id.0];
+                    let m = &self.messages[&id.0];
                     let may_have_run = m.first_possible_run.is_some() || m.in_flight.is_some();
                     assert!(
                         !may_have_run
@@ -58,51 +65,61 @@
                                     scope == IdempotencyScope::AllEndpoints,
                                 Effect::AtMostOnce => false,
                             },
-                        "rejected, though it may have run"
+                        "a message that may have run was rejected"
                     );
-                    self.end(now, id.0);
+                    self.complete(now, id.0);
                 }
-                Action::Fail(id) => self.end(now, id.0),
+                Action::Fail(id) => self.complete(now, id.0),
                 _ => {}
             }
         }
-        let out = self.seen.values().filter(|m| m.in_flight.is_some()).count();
+        let in_flight = self.messages.values().filter(|m| m.in_flight.is_some()).count();
         let max_batch = settings.kinds.iter().map(|k| k.max_batch).max().unwrap_or(1);
-        assert!(out <= settings.slots * max_batch, "{out} in flight");
+        assert!(in_flight <= settings.slots * max_batch, "{in_flight} messages in flight");
     }
 
-    fn end(&mut self, now: Nanos, id: u64) {
-        let m = self.seen.get_mut(&id).expect("a known message");
-        assert!(!m.ended, "{id} ends twice");
-        assert!(now <= m.deadline + ms(20), "{id} ends late");
-        m.ended = true;
+    /// Records that a message completed.
+    fn complete(&mut self, now: Nanos, id: u64) {
+        let m = self.messages.get_mut(&id).expect("a known message");
+        assert!(!m.completed, "message {id} completes twice");
+        assert!(now <= m.deadline + ms(20), "message {id} completes late");
+        m.completed = true;
     }
 
-    fn sent(&mut self, now: Nanos, id: u64, host: u32, settings: &Settings) {
-        assert!(self.draining != Some(host), "sent to a draining endpoint");
+    /// Checks a send and records it.
+    fn record_send(&mut self, now: Nanos, id: u64, host: u32, settings: &Settings) {
+        assert!(self.draining != Some(host), "a message was sent to a draining endpoint");
         assert!(
-            self.waits.get(&route(self.separate_routes, host)).is_none_or(|w| now >= *w),
-            "sent before a Retry-After was over"
+            self.retry_after_until.get(&route(self.separate_routes, host)).is_none_or(|until| now >= *until),
+            "a message was sent before the Retry-After had passed"
         );
-        if let Some(key) = self.seen[&id].key {
-            let earlier = |(i, m): (&u64, &KnownMessage)| {
-                m.key == Some(key) && (*i < id && !m.ended || m.in_flight.is_some())
+        if let Some(key) = self.messages[&id].key {
+            let comes_before = |(i, m): (&u64, &MessageState)| {
+                m.key == Some(key) && (*i < id && !m.completed || m.in_flight.is_some())
             };
-            assert!(!self.seen.iter().any(earlier), "out of order");
-            let paused = self.paused_until.get(&key).is_some_and(|r| now < *r);
-            assert!(!paused || self.seen[&id].attempts > 0, "the key paused_until");
+            assert!(!self.messages.iter().any(comes_before), "a message was sent out of order");
+            let paused = self.paused_until.get(&key).is_some_and(|until| now < *until);
+            assert!(
+                !paused || self.messages[&id].attempts > 0,
+                "a message was sent while its key was paused"
+            );
         }
-        let m = self.seen.get_mut(&id).expect("a known message");
-        assert!(!m.ended && m.in_flight.is_none() && m.attempts < settings.max_attempts && now < m.deadline);
+        let m = self.messages.get_mut(&id).expect("a known message");
+        assert!(
+            !m.completed && m.in_flight.is_none() && m.attempts < settings.max_attempts && now < m.deadline
+        );
         if let Some((first, zone)) = m.first_possible_run {
             match settings.classes[m.class].effect {
                 Effect::Idempotent => {}
-                Effect::AtMostOnce => panic!("an at-most-once message is retried"),
+                Effect::AtMostOnce => panic!("an at-most-once message was retried"),
                 Effect::IdempotentByKey { scope, window } => {
-                    assert!(now - first < window, "past the window");
-                    let zone_ok =
+                    assert!(now - first < window, "a message was retried after its window");
+                    let is_in_scope =
                         scope == IdempotencyScope::AllEndpoints || host as usize % self.zones == zone;
-                    assert!(zone_ok, "another zone does not drop the repeat");
+                    assert!(
+                        is_in_scope,
+                        "a message was retried in another zone, which does not drop the repeat"
+                    );
                 }
             }
         }
@@ -110,31 +127,33 @@
         m.in_flight = Some((host, now));
     }
 
-    fn outcome(&mut self, now: Nanos, id: u64, outcome: Outcome, settings: &Settings) {
-        let m = self.seen.get_mut(&id).expect("a known message");
-        let (host, at) = m.in_flight.take().expect("in flight");
+    /// Records the outcome of the attempt of a message that is in flight.
+    fn record_outcome(&mut self, now: Nanos, id: u64, outcome: Outcome, settings: &Settings) {
+        let m = self.messages.get_mut(&id).expect("a known message");
+        let (host, sent_at) = m.in_flight.take().expect("in flight");
         let route = route(self.separate_routes, host);
         match outcome {
-            Outcome::Rejected(Some(wait)) => {
-                let until = self.waits.entry(route).or_default();
-                *until = (*until).max(now + wait);
+            Outcome::Rejected(Some(retry_after)) => {
+                let until = self.retry_after_until.entry(route).or_default();
+                *until = (*until).max(now + retry_after);
             }
             Outcome::Rejected(None) | Outcome::ConnectFailed | Outcome::Skipped => {}
             _ => {
-                m.first_possible_run.get_or_insert((at, host as usize % self.zones));
+                m.first_possible_run.get_or_insert((sent_at, host as usize % self.zones));
             }
         }
-        m.ended |= outcome == Outcome::Ok;
+        m.completed |= outcome == Outcome::Ok;
         if matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
             m.key.map(|k| self.paused_until.insert(k, now + settings.ordering_pause));
         }
     }
 }
 
-/// One step: time that passes, a new message (class, destination, key), how the oldest attempt in flight
-/// ends.
+/// One step: the milliseconds that pass, the class, destination and key of a new message, and a code for the outcome of the
+/// oldest attempt in flight.
 type Step = (u64, usize, u64, u64, u8);
 
+/// Returns the outcome for a code, or `None` if the attempt stays in flight.
 fn outcome(code: u8) -> Option<Outcome> {
     Some(match code {
         0..=5 => Outcome::Ok,
@@ -149,7 +168,7 @@
     })
 }
 
-/// A forwarder with generated settings, and the oracle that watches it.
+/// A forwarder with generated settings and the oracle that checks it.
 struct Run {
     forwarder: Forwarder,
     oracle: Oracle,
@@ -168,20 +187,20 @@
         EndpointEntry { rate: 12.0, ..list_entry(id, dest_of(id), kind, id as usize % zones) }
     }
 
-    /// Lets time pass, then feeds events and checks the actions.
+    /// Advances the clock, handles the events and checks the actions.
     fn step(&mut self, later_ms: u64, events: &[Event]) {
         let actions = self.forwarder.step(later_ms, events);
         self.oracle.check(self.forwarder.now, &actions, &self.forwarder.settings);
     }
 
-    /// Time passes in short steps, or a short deadline could not be met.
+    /// Advances the clock in steps of 10 ms; longer steps could miss a short deadline.
     fn wait(&mut self, steps: u64) {
         for _ in 0..steps {
             self.step(10, &[Event::Due]);
         }
     }
 
-    /// Endpoint 1 drains.
+    /// Returns the event that endpoint 1 is draining.
     fn drain(&mut self) -> Event {
         self.oracle.draining = Some(1);
         let entry = Run::entry(1, self.oracle.zones, self.kind);
@@ -189,39 +208,41 @@
         Event::EndpointList { complete: false, entries: vec![draining] }
     }
 
-    /// The oldest attempt in flight ends, if there is one and the code is an outcome's.
+    /// Returns the event that ends the oldest attempt in flight, if there is one and the code stands for an outcome.
     fn end_oldest(&mut self, now: Nanos, code: u8) -> Option<Event> {
-        let in_flight = self.oracle.seen.iter().filter_map(|(id, m)| m.in_flight.map(|o| (o.1, *id)));
+        let in_flight =
+            self.oracle.messages.iter().filter_map(|(id, m)| m.in_flight.map(|(_, sent_at)| (sent_at, *id)));
         let (sent_at, id) = in_flight.min()?;
         let outcome = outcome(code)?;
-        let attempt = self.oracle.seen[&id].attempts - 1;
-        let over = self.oracle.seen[&id].ended || outcome == Outcome::Ok;
+        let attempt = self.oracle.messages[&id].attempts - 1;
+        let over = self.oracle.messages[&id].completed || outcome == Outcome::Ok;
         let report = self.forwarder.settings.limits_reported.then_some(LoadReport { left: 0.3, limit: 9.0 });
-        self.oracle.outcome(now, id, outcome, &self.forwarder.settings);
+        self.oracle.record_outcome(now, id, outcome, &self.forwarder.settings);
         let (id, took) = (MessageId(id), now - sent_at);
         Some(Event::AttemptEnded(AttemptEnded { id, attempt, outcome, over, took, report }))
     }
 
+    /// Returns the event of a new message and records the message.
     fn submit(&mut self, now: Nanos, id: u64, class: usize, dest: u64, key: u64) -> Event {
-        let settings = &self.forwarder.settings.classes[class];
-        let key = Some(key).filter(|_| settings.fifo_by_key);
-        let deadline = now + settings.deadline;
-        let known = KnownMessage {
+        let class_settings = &self.forwarder.settings.classes[class];
+        let key = Some(key).filter(|_| class_settings.fifo_by_key);
+        let deadline = now + class_settings.deadline;
+        let state = MessageState {
             class,
             key,
             deadline,
             attempts: 0,
             in_flight: None,
             first_possible_run: None,
-            ended: false,
+            completed: false,
         };
-        self.oracle.seen.insert(id, known);
+        self.oracle.messages.insert(id, state);
         let (id, dest) = (MessageId(id), DestinationId(dest));
         Event::Message(Message { id, class, tenant: 0, key, dest, deadline })
     }
 }
 
-/// Plays the steps, and checks that every message ends.
+/// Plays the steps and checks that every message completes.
 fn play(steps: &[Step], settings: Settings, zones: usize, kind: usize) {
     let mut run = Run::new(settings, zones, kind);
     for (n, (later, class, dest, key, code)) in steps.iter().enumerate() {
@@ -237,12 +258,13 @@
         events.push(run.submit(now, n as u64 + 1, class, *dest, *key));
         run.step(later, &events);
     }
-    let longest =
+    let longest_deadline =
         run.forwarder.settings.classes.iter().map(|c| c.deadline.0 / ms(10).0).max().unwrap_or_default();
-    run.wait(longest + 50);
-    assert!(run.oracle.seen.values().all(|m| m.ended), "every message ends");
+    run.wait(longest_deadline + 50);
+    assert!(run.oracle.messages.values().all(|m| m.completed), "every message completes");
 }
 
+/// Generates the settings of a class.
 fn class() -> impl Strategy<Value = Class> {
     let effect = (0..4u8, 300..30_000u64).prop_map(|(kind, window)| match kind {
         0 => Effect::Idempotent,
@@ -252,21 +274,15 @@
     });
     let times = (300..60_000u64, 0.05..1.0f64);
     (effect, any::<bool>(), times, 0.1..10.0f64, 0.0..1.0f64).prop_map(
-        |(effect, fifo_by_key, (deadline, aim), points, late_weight_share)| {
-            let (aim, deadline) = (ms((deadline as f64 * aim) as u64), ms(deadline));
-            Class {
-                latency_objective: aim,
-                deadline,
-                priority_weight: points,
-                late_weight_share,
-                effect,
-                fifo_by_key,
-            }
+        |(effect, fifo_by_key, (deadline, objective_share), priority_weight, late_weight_share)| {
+            let (latency_objective, deadline) =
+                (ms((deadline as f64 * objective_share) as u64), ms(deadline));
+            Class { latency_objective, deadline, priority_weight, late_weight_share, effect, fifo_by_key }
         },
     )
 }
 
-/// Settings within what the documents allow, a number of zones and a kind.
+/// Generates settings within the documented limits, a number of zones and an endpoint kind.
 fn any_settings() -> impl Strategy<Value = (Settings, usize, usize)> {
     let counts = (1..16usize, 1..200usize, 1..12u32, 1..300usize, 1..=10usize);
     let flags = prop::collection::vec(any::<bool>(), 6);
@@ -304,7 +320,7 @@
     )
 }
 
-/// Nothing in the module is fitted to one deployment: whatever its settings, it keeps the rules.
+/// The module keeps the rules with any settings, not only those of one deployment.
 #[test]
 fn generated_settings_break_no_rule() {
     let config = Config { cases: 32, failure_persistence: None, ..Config::default() };
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -142,7 +142,7 @@
     let full = (1..)
         .find(|id| journal.append(&at_most_once_record(*id, deadline.0)).is_err())
         .expect("a full journal");
-    assert!(full > 1000, "{full} messages fill it");
+    assert!(full > 1000, "{full} messages fill the journal");
     drop(journal);
     let started_at = Instant::now();
     daemon.restart();
--- a/tests/stand/mod.rs
+++ b/tests/stand/mod.rs
@@ -87,7 +87,7 @@
     /// Starts a server that calls `reply` with each request and its number, counted from 0.
     pub fn start(reply: impl Fn(&HttpMessage, usize) -> Reply + Send + Sync + 'static) -> Server {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let addr = listener.local_addr().expect("its address");
+        let addr = listener.local_addr().expect("a local address");
         let server = Server { addr, requests: Default::default() };
         let (accepting, reply) = (server.clone(), Arc::new(reply));
         thread::spawn(move || {
@@ -566,7 +566,7 @@
             socket.bind(([127, 0, 0, 1], 0).into()).expect("a port");
             socket.listen(0).and_then(|l| l.into_std()).expect("a backlog of one")
         });
-        let addr = listener.local_addr().expect("its address");
+        let addr = listener.local_addr().expect("a local address");
         FullBacklogEndpoint { addr, listener, fillers: Vec::new() }
     }
 
