--- a/src/fleet/node/inbound.rs
+++ b/src/fleet/node/inbound.rs
@@ -1,4 +1,4 @@
-//! Takes messages of other members in.
+//! Processes messages received from other members.
 use super::{Node, PeerReport};
 use crate::fleet::fault_injection::{is_injected, Defect};
 use crate::fleet::member::Member;
@@ -8,17 +8,18 @@
 use std::net::SocketAddr;
 
 impl Node {
+    /// Processes a message, notes the view that its header reports, and compares the views.
     pub(super) fn handle_message(&mut self, header: Header, message: Message) {
         let Some(sender) = self.dispatch(message) else { return };
         let now = self.clock.now();
-        self.table.mark_heard(now, sender);
+        self.table.mark_contact(now, sender);
         if self.table.get_present(sender).is_some() {
             self.peer_reports.insert(sender, PeerReport { header, received_at: now });
             self.compare_views(sender, header.digest);
         }
     }
 
-    /// Returns the sender; none where the message is not to count as one of its own.
+    /// Processes a message and returns its sender, or `None` if the message does not count as a contact with the sender.
     fn dispatch(&mut self, message: Message) -> Option<SocketAddr> {
         match message {
             Message::Swim(bytes) => {
@@ -43,14 +44,15 @@
     }
 
     fn handle_digests(&mut self, sender: SocketAddr, digests: &[u64], is_reply: bool) -> Option<SocketAddr> {
-        // Only members are answered: an answer is longer than the question, so a forged sender could flood somebody.
+        // Responds to members only: a response is larger than the request, so that requests with a forged sender address
+        // could flood another host.
         self.table.get_present(sender)?;
         if !is_reply && digests != self.table.bucket_digests() {
             self.send_digests(sender, true);
         }
         let first_bucket = self.random.random_range(0..DIGEST_BUCKETS);
         let records = self.table.differing_records(self.clock.now(), digests, first_bucket);
-        self.answer_with_records(sender, records);
+        self.send_response_records(sender, records);
         Some(sender)
     }
 
@@ -74,35 +76,35 @@
             self.apply_record_about_self(record);
             return;
         }
-        if self.is_news(record) {
+        if self.changes_membership(record) {
             self.apply_claim(record);
         }
         let address = record.member.address;
         if self.table.apply_record(self.clock.now(), record) {
-            self.spread_record(address);
+            self.queue_record(address);
         }
         if let Some(entry) = self.table.get(address).filter(|entry| entry.left_gracefully()) {
             self.partition.remove_departed(&entry.member.name);
         }
     }
 
-    /// Nobody else writes this member's entry: what others claim is overridden or refuted.
+    /// Refutes or overrides a record that contradicts this member's own entry, which no other member may change.
     fn apply_record_about_self(&mut self, record: &Record) {
-        let own = self.table.local_entry();
-        if record.member != own.member || record.departed {
+        let local_entry = self.table.local_entry();
+        if record.member != local_entry.member || record.departed {
             self.apply_claim(record);
             return;
         }
-        let differs = record.revision > own.revision
-            || record.revision == own.revision && record.attributes != own.attributes;
+        let differs = record.revision > local_entry.revision
+            || record.revision == local_entry.revision && record.attributes != local_entry.attributes;
         let is_forged = differs && record.attributes.is_some();
-        if is_forged && !is_injected(Defect::ForgedAttributesStand) {
+        if is_forged && !is_injected(Defect::ForgedAttributesKept) {
             self.publish_local_entry(record.revision);
         }
     }
 
-    /// Whether a record is news to membership: that an incarnation departed, or that there is a later one.
-    fn is_news(&self, record: &Record) -> bool {
+    /// Returns whether a record changes the membership: an incarnation departed, or a new or higher one is present.
+    fn changes_membership(&self, record: &Record) -> bool {
         match self.table.get(record.member.address) {
             Some(entry) if entry.member == record.member => record.departed && !entry.departed,
             Some(entry) => record.member.supersedes(&entry.member) && (!record.departed || !entry.departed),
--- a/src/fleet/view/tests.rs
+++ b/src/fleet/view/tests.rs
@@ -2,14 +2,14 @@
 use super::*;
 
 #[test]
-fn the_table_has_a_line_per_member_and_the_json_reads_back() {
-    let line = MemberView {
+fn the_table_has_a_line_per_member_and_the_json_round_trips() {
+    let member = MemberView {
         name: "n1".into(),
         address: "127.0.0.1:1".into(),
         incarnation: 7,
         state: MemberState::Superseded,
         state_age_secs: 300.0,
-        last_heard_secs_ago: Some(0.25),
+        last_contact_secs_ago: Some(0.25),
         counted: true,
         attributes_age_secs: None,
         zone: String::new(),
@@ -28,7 +28,7 @@
         counted: 2,
         out_of_reach: 3,
         last_agreed: 5,
-        members: vec![line],
+        members: vec![member],
     };
     let table = view.table();
     let lines: Vec<&str> = table.lines().collect();
--- a/tests/forwarder.rs
+++ b/tests/forwarder.rs
@@ -64,7 +64,7 @@
     let known = endpoint_list(1, &[(7, endpoint.addr)]);
     let disco = start_discovery("{\"rev\": what".into());
     let daemon = setup(&disco, known).start();
-    daemon.wait_log("ignored a value that is no endpoint list");
+    daemon.wait_log("ignored a value that is not an endpoint list");
     assert_eq!(daemon.submit("nothing", "c1"), 404);
     let text = String::from_utf8(message_request("stats", "c2", "20000m", "")).expect("text");
     let status = daemon.send_request(text.replace("dest=7", "dest=8").as_bytes()).map(|h| h.status());
@@ -435,7 +435,7 @@
     let mut daemon = setup(&disco, known).start();
     let mut connection = daemon.connect();
     daemon.terminate();
-    daemon.wait_log("told to end");
+    daemon.wait_log("SIGTERM received");
     assert_eq!(daemon.submit("stats", "e1"), 202);
     connection.write_all(&message_request("stats", "e2", "20000m", "")).expect("written");
     assert_eq!(read_http(&mut BufReader::new(connection)).map(|h| h.status()), Some(202));
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -41,10 +41,10 @@
 
 /// An invalid file leaves the old configuration in use, and so does an environment variable that overrides the changed key.
 #[rstest]
-#[case::invalid_json("{\"name\"", "{\"name", &[], "not reloaded, the old one stays")]
-#[case::invalid_address("\"discovery\":\"", "\"discovery\":\"nowhere at all ", &[], "not reloaded, the old one stays")]
+#[case::invalid_json("{\"name\"", "{\"name", &[], "not reloaded, the current one stays in force")]
+#[case::invalid_address("\"discovery\":\"", "\"discovery\":\"nowhere at all ", &[], "not reloaded, the current one stays in force")]
 #[case::overridden_by_variable("\"discovery\":\"", "\"discovery\":\"127.0.0.1:1\",\"was\":\"", &["RELAY_DISCOVERY"], "configuration reloaded")]
-#[case::needs_a_restart("\"disk_mb\":3", "\"disk_mb\":4", &[], "a new limits needs a restart")]
+#[case::needs_a_restart("\"disk_mb\":3", "\"disk_mb\":4", &[], "the change of limits takes effect only after a restart")]
 fn an_invalid_or_overridden_change_leaves_the_configuration_in_use(
     #[case] from: &str, #[case] to: &str, #[case] variables: &[&str], #[case] log_line: &str,
 ) {
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -59,7 +59,7 @@
     (0..6).for_each(|_| served_clients.recv_timeout(EVENT_TIMEOUT).expect("each client is served"));
     daemon.terminate();
     let terminated_at = Instant::now();
-    daemon.wait_log("told to end");
+    daemon.wait_log("SIGTERM received");
     let mut new_connections = 0;
     while terminated_at.elapsed() < NEW_CONNECTIONS_FOR {
         let status = submit(&daemon.connect(), "stats", &format!("new-{new_connections}"));
@@ -73,7 +73,7 @@
     assert!(sent.values().all(|s| matches!(s, Some(202 | 503) | None)), "{sent:?}");
     // A close may cross a request that the daemon has not read; its client sends the request again. Each request that the daemon
     // has read gets a response.
-    assert!(!log.contains("ended under a request"), "a connection was closed during a request");
+    assert!(!log.contains("closed during a request"), "a connection was closed during a request");
     let is_accepted = |id: &String| log.contains(&format!("message accepted message={id} "));
     let unanswered: Vec<&String> =
         sent.iter().filter(|(id, s)| s.is_none() && is_accepted(id)).map(|s| s.0).collect();
@@ -166,7 +166,7 @@
     let client = daemon.connect();
     assert_eq!(submit(&client, "payout", "before"), Some(202));
     signals.iter().for_each(|signal| daemon.signal(signal));
-    daemon.wait_log("told to end");
+    daemon.wait_log("SIGTERM received");
     let terminated_at = Instant::now();
     let sent = submit_until_closed(&client, "payout", "while");
     assert!(daemon.wait_exit(KILL_AFTER - terminated_at.elapsed()).success());
