--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -25,13 +25,14 @@
     let (old, new) = (Server::always("200 OK"), Server::always("200 OK"));
     let known = endpoint_list(1, &[(7, old.addr)]);
     let fresh = endpoint_list(2, &[(7, new.addr)]).replace("s-0", "s-1");
-    let disco = Server::start(move |request, number| match (request.start_line.starts_with("GET"), number) {
-        (true, 0..6) => failed_response(failure),
-        (true, _) => watch_response(&fresh),
-        (false, _) => respond("204 No Content", "", ""),
-    });
-    let daemon = setup(&disco, known).start();
-    disco.wait_until("a first poll", |all| !all.is_empty());
+    let discovery =
+        Server::start(move |request, number| match (request.start_line.starts_with("GET"), number) {
+            (true, 0..6) => failed_response(failure),
+            (true, _) => watch_response(&fresh),
+            (false, _) => respond("204 No Content", "", ""),
+        });
+    let daemon = setup(&discovery, known).start();
+    discovery.wait_until("a first poll", |all| !all.is_empty());
     assert_eq!(daemon.submit("stats", "meanwhile"), 202);
     old.wait_request("meanwhile");
     daemon.wait_log("upstream group: version 2");
@@ -55,8 +56,8 @@
 #[test]
 fn a_complete_list_without_endpoints_leaves_the_old_one_in_use() {
     let endpoint = Server::always("200 OK");
-    let disco = start_discovery(endpoint_list(3, &[]));
-    let daemon = setup(&disco, endpoint_list(1, &[(7, endpoint.addr)])).start();
+    let discovery = start_discovery(endpoint_list(3, &[]));
+    let daemon = setup(&discovery, endpoint_list(1, &[(7, endpoint.addr)])).start();
     daemon.wait_log("the current list stays in use");
     assert_eq!(daemon.submit("stats", "still"), 202);
     endpoint.wait_request("still");
@@ -72,13 +73,13 @@
 ) {
     let endpoint = Server::always("200 OK");
     let list_with_revision = |rev| endpoint_list(rev, &[(7, endpoint.addr)]);
-    let (disco, moved) = (start_discovery(list_with_revision(2)), start_discovery(list_with_revision(3)));
+    let (discovery, moved) = (start_discovery(list_with_revision(2)), start_discovery(list_with_revision(3)));
     let settings_replacements =
         vec![(r#""nInstances":1,"#, r#""nInstances":300,"#), (r#""registryMode":"pushed""#, mode)];
     let started_at = Instant::now();
-    let daemon = Setup { settings_replacements, ..setup(&disco, list_with_revision(1)) }.start();
+    let daemon = Setup { settings_replacements, ..setup(&discovery, list_with_revision(1)) }.start();
     daemon.wait_log("upstream group: version 2");
-    daemon.reload(&disco.addr.to_string(), &moved.addr.to_string());
+    daemon.reload(&discovery.addr.to_string(), &moved.addr.to_string());
     daemon.wait_log("upstream group: version 3");
     // With the seed of the test setup, the two delays add up to 3.2 s.
     let elapsed = started_at.elapsed();
@@ -98,7 +99,7 @@
     let known = endpoint_list(1, &[(7, old.addr)]);
     let fresh = endpoint_list(2, &[(7, new.addr)]).replace("s-0", "s-1");
     let first = known.clone();
-    let disco = Server::start(move |request, n| match (request.start_line.starts_with("GET"), n) {
+    let discovery = Server::start(move |request, n| match (request.start_line.starts_with("GET"), n) {
         (false, _) => respond("204 No Content", "", ""),
         (true, 0) => watch_response(&first),
         (true, n) if n <= further_silent => Reply::RespondAndHold(if text.is_empty() {
@@ -108,7 +109,7 @@
         }),
         (true, _) => watch_response(&fresh),
     });
-    let daemon = setup(&disco, known).start();
+    let daemon = setup(&discovery, known).start();
     daemon.wait_log("upstream group: version 1");
     let started_at = Instant::now();
     daemon.wait_log("upstream group: version 2");
@@ -133,12 +134,12 @@
     let change = indent(change.replacen("true", "false", 1));
     let texts = [&first[..], "\n", "  \"uid\": \"s-9\",\n}\n", &change];
     let response = chunked_response(texts.concat().as_bytes().chunks(37));
-    let disco = Server::start(move |request, n| match (request.start_line.starts_with("GET"), n) {
+    let discovery = Server::start(move |request, n| match (request.start_line.starts_with("GET"), n) {
         (true, 0) => Reply::RespondAndHold(response.clone()),
         (true, _) => Reply::RespondAndHold(String::new()),
         (false, _) => respond("204 No Content", "", ""),
     });
-    let daemon = setup(&disco, endpoint_list(1, &[(7, old.addr)])).start();
+    let daemon = setup(&discovery, endpoint_list(1, &[(7, old.addr)])).start();
     daemon.wait_log("upstream group: version 2 lines=1");
     daemon.wait_log("upstream group: version 3 lines=2");
     for n in 0..3 {
@@ -156,12 +157,12 @@
     let oversized = format!("{{\"rev\":2,\"all\":true,\"targets\":[{}", " ".repeat(10 << 20));
     let oversized = chunked_response([oversized.as_bytes()]);
     let fresh = endpoint_list(3, &[(7, old.addr)]);
-    let disco = Server::start(move |request, n| match (request.start_line.starts_with("GET"), n) {
+    let discovery = Server::start(move |request, n| match (request.start_line.starts_with("GET"), n) {
         (true, 0..2) => Reply::Respond(oversized.clone()),
         (true, _) => watch_response(&fresh),
         (false, _) => respond("204 No Content", "", ""),
     });
-    let daemon = setup(&disco, known).start();
+    let daemon = setup(&discovery, known).start();
     daemon.wait_log("endpoint list longer than");
     assert_eq!(daemon.submit("stats", "meanwhile"), 202);
     old.wait_request("meanwhile");
--- a/tests/disk.rs
+++ b/tests/disk.rs
@@ -23,11 +23,11 @@
 }
 
 /// Starts a daemon whose disk faults a test can set.
-fn start(disco: &Server, known: String, disk_mb: f64) -> Daemon {
+fn start(discovery: &Server, known: String, disk_mb: f64) -> Daemon {
     let path =
         std::env::temp_dir().join(format!("micaladder-faults-{}-{}", std::process::id(), unique_number()));
     let env = vec![("MICALADDER_DISK_FAULTS".to_string(), path.to_string_lossy().into_owned())];
-    let daemon = Setup { disk_mb, env, ..setup(disco, known) }.start();
+    let daemon = Setup { disk_mb, env, ..setup(discovery, known) }.start();
     // The faults file lies in the daemon's folder, which is deleted with the daemon.
     std::os::unix::fs::symlink(daemon.folder.join("faults"), path).expect("a link");
     daemon
@@ -44,8 +44,8 @@
     let open = Arc::new(AtomicBool::new(false));
     let endpoint = endpoint_silent_until(&open);
     let known = endpoint_list(1, &[(7, endpoint.addr)]);
-    let disco = start_discovery(known.clone());
-    let mut daemon = start(&disco, known, 3.0);
+    let discovery = start_discovery(known.clone());
+    let mut daemon = start(&discovery, known, 3.0);
     let ids: Vec<String> = (0..60).map(|n| format!("p{n}")).collect();
     ids.iter().for_each(|id| assert_eq!(daemon.submit("payout", id), 202));
     endpoint.wait_until("calls in flight", |all| all.len() >= 3);
@@ -57,7 +57,7 @@
     set_disk_faults(&daemon, "");
     daemon.restart();
     let is_complete = |id: &str| {
-        let has_callback = disco.received().iter().any(|h| h.text().contains(&format!("\"{id}\"")));
+        let has_callback = discovery.received().iter().any(|h| h.text().contains(&format!("\"{id}\"")));
         has_callback || endpoint.received().iter().any(|h| h.request_id() == id)
     };
     let until = std::time::Instant::now() + EVENT_TIMEOUT;
@@ -78,8 +78,8 @@
 fn messages_are_accepted_again_once_the_journal_can_be_written() {
     let endpoint = Server::always("200 OK");
     let known = endpoint_list(1, &[(7, endpoint.addr)]);
-    let disco = start_discovery(known.clone());
-    let daemon = start(&disco, known, 3.0);
+    let discovery = start_discovery(known.clone());
+    let daemon = start(&discovery, known, 3.0);
     assert_eq!(daemon.submit("stats", "b1"), 202);
     endpoint.wait_request("b1");
     set_disk_faults(&daemon, "append");
@@ -104,8 +104,8 @@
 fn a_journal_that_cannot_be_compacted_stays_in_use_and_loses_nothing(#[case] faults: &str) {
     let endpoint = Server::always("200 OK");
     let known = endpoint_list(1, &[(7, endpoint.addr)]);
-    let disco = start_discovery(known.clone());
-    let mut daemon = start(&disco, known, 0.06);
+    let discovery = start_discovery(known.clone());
+    let mut daemon = start(&discovery, known, 0.06);
     set_disk_faults(&daemon, faults);
     let mut accepted = Vec::new();
     for n in 0..300 {
--- a/tests/forwarder.rs
+++ b/tests/forwarder.rs
@@ -14,8 +14,8 @@
 #[test]
 fn a_message_is_accepted_and_delivered_unchanged() {
     let endpoint = Server::always("200 OK");
-    let (disco, known) = discovery_with(&endpoint);
-    let daemon = setup(&disco, known).start();
+    let (discovery, known) = discovery_with(&endpoint);
+    let daemon = setup(&discovery, known).start();
     assert_eq!(daemon.submit("sync", "a1"), 202);
     let call = endpoint.wait_request("a1");
     assert_eq!(call.start_line.trim(), "POST /v1/messages HTTP/1.1");
@@ -24,7 +24,7 @@
     let remaining = call.header("x-deadline").and_then(|d| d.strip_suffix('m')).expect("in milliseconds");
     assert!((1..=20_000).contains(&remaining.parse::<u64>().expect("a number")), "{remaining}");
     assert!(
-        !disco.received().iter().any(|h| h.start_line.starts_with("POST")),
+        !discovery.received().iter().any(|h| h.start_line.starts_with("POST")),
         "a delivered message has no completion callback"
     );
 }
@@ -45,8 +45,8 @@
 #[case::body_too_large("Content-Length: 9", "Content-Length: 70000", 413)]
 fn rejects_an_invalid_request(#[case] from: &str, #[case] to: &str, #[case] status: u16) {
     let endpoint = Server::always("200 OK");
-    let (disco, known) = discovery_with(&endpoint);
-    let mut daemon = setup(&disco, known).start();
+    let (discovery, known) = discovery_with(&endpoint);
+    let mut daemon = setup(&discovery, known).start();
     let text = String::from_utf8(message_request("stats", "b", "20000m", "")).expect("text");
     assert!(text.contains(from));
     let mut bytes = text.replace(from, to).into_bytes();
@@ -62,8 +62,8 @@
 fn rejects_unknown_classes_and_destinations_and_ignores_invalid_endpoint_lists() {
     let endpoint = Server::always("200 OK");
     let known = endpoint_list(1, &[(7, endpoint.addr)]);
-    let disco = start_discovery("{\"rev\": what".into());
-    let daemon = setup(&disco, known).start();
+    let discovery = start_discovery("{\"rev\": what".into());
+    let daemon = setup(&discovery, known).start();
     daemon.wait_log("ignored a value that is not an endpoint list");
     assert_eq!(daemon.submit("nothing", "c1"), 404);
     let text = String::from_utf8(message_request("stats", "c2", "20000m", "")).expect("text");
@@ -87,26 +87,26 @@
             respond("200 OK", "", "")
         }
     });
-    let (disco, known) = discovery_with(&endpoint);
-    let daemon = setup(&disco, known).start();
+    let (discovery, known) = discovery_with(&endpoint);
+    let daemon = setup(&discovery, known).start();
     assert_eq!(daemon.submit("payout", "p1"), 202);
     endpoint.wait_request("p1");
     if callbacks > 0 {
-        disco.wait_text(r#"{"id":"p1","status":"undeliverable"}"#);
+        discovery.wait_text(r#"{"id":"p1","status":"undeliverable"}"#);
     }
     assert_eq!(daemon.submit("payout", "p2"), 202);
     endpoint.wait_request("p2");
     assert_eq!(endpoint.received().iter().filter(|h| h.request_id() == "p1").count(), 1);
-    assert_eq!(disco.count_distinct_bodies("p1"), callbacks);
+    assert_eq!(discovery.count_distinct_bodies("p1"), callbacks);
 }
 
 #[test]
 fn an_at_most_once_message_whose_call_breaks_without_a_response_is_undeliverable() {
     let endpoint = Server::start(|_, _| Reply::Close);
-    let (disco, known) = discovery_with(&endpoint);
-    let daemon = setup(&disco, known).start();
+    let (discovery, known) = discovery_with(&endpoint);
+    let daemon = setup(&discovery, known).start();
     assert_eq!(daemon.submit("payout", "r1"), 202);
-    disco.wait_text(r#"{"id":"r1","status":"undeliverable"}"#);
+    discovery.wait_text(r#"{"id":"r1","status":"undeliverable"}"#);
     assert_eq!(endpoint.received().len(), 1);
 }
 
@@ -123,15 +123,15 @@
         Server::start(
             move |_, n| if n == 0 { respond(status, headers, "") } else { respond("200 OK", "", "") },
         );
-    let (disco, known) = discovery_with(&endpoint);
-    let daemon = setup(&disco, known).start();
+    let (discovery, known) = discovery_with(&endpoint);
+    let daemon = setup(&discovery, known).start();
     let start = std::time::Instant::now();
     assert_eq!(daemon.submit("payout", "w1"), 202);
     endpoint.wait_until("a second call", |all| all.len() == 2);
     assert!(start.elapsed() >= Duration::from_millis(wait_ms));
     daemon.wait_log("message=w1 outcome=Ok attempt=1");
     assert!(
-        !disco.received().iter().any(|h| h.text().contains("w1")),
+        !discovery.received().iter().any(|h| h.text().contains("w1")),
         "a delivered message has no completion callback"
     );
 }
@@ -143,7 +143,7 @@
     let (old, new) = (Server::always("200 OK"), Server::always("200 OK"));
     let known = endpoint_list(1, &[(7, old.addr)]);
     let change = endpoint_list(5, &[(7, old.addr), (7, new.addr)]).replacen("Ready", "Terminating", 1) + "\n";
-    let disco = Server::start(move |_, n| {
+    let discovery = Server::start(move |_, n| {
         let (a, b) = change.split_at(70);
         let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
         match n {
@@ -151,14 +151,14 @@
             _ => Reply::RespondAndHold(head.into()),
         }
     });
-    let daemon = setup(&disco, known).start();
+    let daemon = setup(&discovery, known).start();
     daemon.wait_log("upstream group: version 5 lines=2");
     for id in ["g1", "g2", "g3"] {
         assert_eq!(daemon.submit("stats", id), 202);
         new.wait_request(id);
     }
     assert!(old.received().is_empty(), "the old endpoint is draining");
-    let watches = disco
+    let watches = discovery
         .wait_until("a watch after the one that ended and another after the silent one", |all| {
             all.len() >= 3
         });
@@ -179,7 +179,7 @@
     let (send_list, signal) = std::sync::mpsc::channel();
     let (signal, updated) =
         (std::sync::Mutex::new(signal), endpoint_list(2, &[(7, endpoint.addr)]).replace("s-0", "s-new"));
-    let disco = Server::start(move |request, _| {
+    let discovery = Server::start(move |request, _| {
         let line: String =
             signal.lock().expect("lock").recv().map(|()| updated.clone() + "\n").unwrap_or_default();
         assert!(request.start_line.starts_with("GET"), "{}", request.start_line);
@@ -188,7 +188,7 @@
             line.len()
         ))
     });
-    let daemon = setup(&disco, known).start();
+    let daemon = setup(&discovery, known).start();
     let before = daemon.open_descriptors();
     for (dest, _) in &many {
         let text =
@@ -214,8 +214,8 @@
 #[test]
 fn a_message_submitted_twice_is_attempted_once() {
     let endpoint = Server::start(|_, _| Reply::RespondAndHold(String::new()));
-    let (disco, known) = discovery_with(&endpoint);
-    let daemon = setup(&disco, known).start();
+    let (discovery, known) = discovery_with(&endpoint);
+    let daemon = setup(&discovery, known).start();
     assert_eq!((daemon.submit("payout", "t1"), daemon.submit("payout", "t1")), (202, 202));
     assert_eq!(daemon.submit("payout", "t2"), 202);
     // Each message is sent on its own connection, so t2 may arrive before t1.
@@ -227,8 +227,8 @@
 #[test]
 fn messages_over_the_limit_of_pending_messages_are_rejected_with_a_retry_after() {
     let endpoint = Server::start(|_, _| Reply::RespondAndHold(String::new()));
-    let (disco, known) = discovery_with(&endpoint);
-    let daemon = Setup { max_pending: 4, ..setup(&disco, known) }.start();
+    let (discovery, known) = discovery_with(&endpoint);
+    let daemon = Setup { max_pending: 4, ..setup(&discovery, known) }.start();
     let submit = |n| {
         daemon.send_request(&message_request("payout", &format!("o{n}"), "20000m", "")).expect("an answer")
     };
@@ -251,8 +251,8 @@
         Server::start(
             |_, n| if n == 0 { Reply::RespondAndHold(String::new()) } else { respond("200 OK", "", "") },
         );
-    let (disco, known) = discovery_with(&endpoint);
-    let mut daemon = setup(&disco, known).start();
+    let (discovery, known) = discovery_with(&endpoint);
+    let mut daemon = setup(&discovery, known).start();
     assert_eq!(daemon.submit(class, "k1"), 202);
     endpoint.wait_request("k1");
     daemon.kill();
@@ -260,7 +260,7 @@
     if is_retried {
         endpoint.wait_until("a second call", |all| all.len() == 2);
     } else {
-        disco.wait_text(r#"{"id":"k1","status":"undeliverable"}"#);
+        discovery.wait_text(r#"{"id":"k1","status":"undeliverable"}"#);
         assert_eq!(endpoint.received().len(), 1);
     }
 }
@@ -271,8 +271,8 @@
         Server::start(
             |_, n| if n == 0 { Reply::RespondAndHold(String::new()) } else { respond("200 OK", "", "") },
         );
-    let (disco, known) = discovery_with(&endpoint);
-    let mut daemon = setup(&disco, known).start();
+    let (discovery, known) = discovery_with(&endpoint);
+    let mut daemon = setup(&discovery, known).start();
     for id in ["q1", "q2", "q3"] {
         assert_eq!(
             daemon.send_request(&message_request("sync", id, "20000m", "X-Key: 5\r\n")).map(|h| h.status()),
@@ -302,14 +302,14 @@
         }
     });
     let known = endpoint_list(1, &[(7, endpoint.addr)]);
-    let disco = Server::start(|h, n| match h.start_line.starts_with("POST") {
+    let discovery = Server::start(|h, n| match h.start_line.starts_with("POST") {
         true if n < 3 => Reply::Close,
         true => respond("204 No Content", "", ""),
         false => {
             Reply::RespondAndHold("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n1\r\n\n\r\n".into())
         }
     });
-    let daemon = setup(&disco, known).start();
+    let daemon = setup(&discovery, known).start();
     // All six attempts of n1 fail, so it is undeliverable. n2, of the same key, is sent after the callback for n1 is
     // acknowledged.
     assert_eq!(
@@ -321,7 +321,7 @@
         Some(202)
     );
     endpoint.wait_request("n2");
-    assert!(disco.received().iter().filter(|h| h.text().contains("n1")).count() >= 2);
+    assert!(discovery.received().iter().filter(|h| h.text().contains("n1")).count() >= 2);
 }
 
 /// A completion callback must arrive within 300 ms of its message's deadline, even where a connection has fallen silent.
@@ -329,18 +329,18 @@
 fn a_completion_callback_without_a_response_is_soon_sent_again() {
     let endpoint = Server::always("500 Oops");
     let known = endpoint_list(1, &[(7, endpoint.addr)]);
-    let disco = Server::start(|request, _| match request.start_line.starts_with("POST") {
+    let discovery = Server::start(|request, _| match request.start_line.starts_with("POST") {
         true if request.text().contains("s1") => Reply::RespondAndHold(String::new()),
         true => respond("204 No Content", "", ""),
         false => {
             Reply::RespondAndHold("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n1\r\n\n\r\n".into())
         }
     });
-    let daemon = setup(&disco, known).start();
+    let daemon = setup(&discovery, known).start();
     assert_eq!(daemon.submit("payout", "s1"), 202);
     let wait_for_callbacks = |n: usize| {
         let posts = |all: &[HttpMessage]| all.iter().filter(|h| h.text().contains("s1")).count();
-        disco.wait_until("a completion callback", |all| posts(all) >= n);
+        discovery.wait_until("a completion callback", |all| posts(all) >= n);
         std::time::Instant::now()
     };
     let first = wait_for_callbacks(1);
@@ -351,16 +351,16 @@
 fn a_completion_callback_without_a_response_does_not_delay_others() {
     let endpoint = Server::always("500 Oops");
     let known = endpoint_list(1, &[(7, endpoint.addr)]);
-    let disco = Server::start(|request, _| match request.start_line.starts_with("POST") {
+    let discovery = Server::start(|request, _| match request.start_line.starts_with("POST") {
         true if request.text().contains("h1") => Reply::RespondAndHold(String::new()),
         true => respond("204 No Content", "", ""),
         false => {
             Reply::RespondAndHold("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n1\r\n\n\r\n".into())
         }
     });
-    let daemon = setup(&disco, known).start();
+    let daemon = setup(&discovery, known).start();
     assert_eq!(daemon.submit("payout", "h1"), 202);
-    disco.wait_text("h1");
+    discovery.wait_text("h1");
     assert_eq!(daemon.submit("payout", "h2"), 202);
     daemon.wait_log("callback acknowledged for h2");
     assert!(!daemon.log().contains("callback acknowledged for h1"));
@@ -373,7 +373,7 @@
     let endpoint = Server::always("500 Oops");
     let known = endpoint_list(1, &[(7, endpoint.addr)]);
     let served = std::sync::Mutex::new(std::collections::BTreeSet::new());
-    let disco = Server::start(move |request, _| match request.start_line.starts_with("POST") {
+    let discovery = Server::start(move |request, _| match request.start_line.starts_with("POST") {
         true if served.lock().expect("lock").insert(request.client_address) => {
             respond("204 No Content", "", "")
         }
@@ -382,12 +382,12 @@
             Reply::RespondAndHold("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n1\r\n\n\r\n".into())
         }
     });
-    let daemon = setup(&disco, known).start();
+    let daemon = setup(&discovery, known).start();
     for id in ["o1", "o2", "o3"] {
         assert_eq!(daemon.submit("payout", id), 202);
         daemon.wait_log(&format!("callback acknowledged for {id}"));
     }
-    let posts: Vec<_> = disco.received().into_iter().filter(|h| h.text().contains("o2")).collect();
+    let posts: Vec<_> = discovery.received().into_iter().filter(|h| h.text().contains("o2")).collect();
     assert_eq!(posts.len(), 2, "once on the silent connection, once on a new one");
     assert_ne!(posts[0].client_address, posts[1].client_address);
 }
@@ -395,8 +395,8 @@
 #[test]
 fn a_repeated_delivered_message_is_answered_as_delivered_even_after_a_kill() {
     let endpoint = Server::always("200 OK");
-    let (disco, known) = discovery_with(&endpoint);
-    let mut daemon = setup(&disco, known).start();
+    let (discovery, known) = discovery_with(&endpoint);
+    let mut daemon = setup(&discovery, known).start();
     assert_eq!(daemon.submit("sync", "d1"), 202);
     daemon.wait_log("message=d1 outcome=Ok attempt=0");
     assert_eq!(daemon.submit("sync", "d1"), 200);
@@ -411,8 +411,8 @@
 #[test]
 fn a_full_journal_rejects_messages_and_stays_within_its_size_limit() {
     let endpoint = Server::start(|_, _| Reply::RespondAndHold(String::new()));
-    let (disco, known) = discovery_with(&endpoint);
-    let daemon = Setup { disk_mb: 0.2, ..setup(&disco, known) }.start();
+    let (discovery, known) = discovery_with(&endpoint);
+    let daemon = Setup { disk_mb: 0.2, ..setup(&discovery, known) }.start();
     let large_message = |id: &str| {
         let text = String::from_utf8(message_request("payout", id, "20000m", "")).expect("text");
         let (headers, _) = text.split_once("Content-Length").expect("header lines");
@@ -431,8 +431,8 @@
 #[test]
 fn after_sigterm_it_answers_requests_finishes_its_calls_and_exits_in_time() {
     let endpoint = Server::always("200 OK");
-    let (disco, known) = discovery_with(&endpoint);
-    let mut daemon = setup(&disco, known).start();
+    let (discovery, known) = discovery_with(&endpoint);
+    let mut daemon = setup(&discovery, known).start();
     let mut connection = daemon.connect();
     daemon.terminate();
     daemon.wait_log("SIGTERM received");
@@ -447,8 +447,8 @@
 #[test]
 fn completed_messages_leave_journal_space_for_new_ones() {
     let endpoint = Server::always("200 OK");
-    let (disco, known) = discovery_with(&endpoint);
-    let daemon = Setup { disk_mb: 0.2, ..setup(&disco, known) }.start();
+    let (discovery, known) = discovery_with(&endpoint);
+    let daemon = Setup { disk_mb: 0.2, ..setup(&discovery, known) }.start();
     for n in 0..400 {
         assert_eq!(daemon.submit("stats", &format!("m{n}")), 202);
         endpoint.wait_request(&format!("m{n}"));
@@ -465,8 +465,8 @@
         together.wait();
         respond("200 OK", "", "")
     });
-    let (disco, known) = discovery_with(&endpoint);
-    let daemon = setup(&disco, known).start();
+    let (discovery, known) = discovery_with(&endpoint);
+    let daemon = setup(&discovery, known).start();
     daemon.wait_log("upstream group: version 1");
     let before = daemon.open_descriptors();
     (0..4).for_each(|n| assert_eq!(daemon.submit("stats", &format!("i{n}")), 202));
@@ -497,8 +497,8 @@
         connections.lock().expect("lock").remove(&client);
         respond("200 OK", "Connection: close\r\n", "")
     });
-    let (disco, known) = discovery_with(&endpoint);
-    let daemon = setup(&disco, known).start();
+    let (discovery, known) = discovery_with(&endpoint);
+    let daemon = setup(&discovery, known).start();
     for n in 0..60 {
         assert_eq!(daemon.submit("payout", &format!("c{n}")), 202);
     }
@@ -512,5 +512,8 @@
     );
     let rejected = log.matches("outcome=ConnectionLimit").count();
     assert!((1..40).contains(&rejected), "{rejected} calls rejected for 60 messages");
-    assert!(!disco.received().iter().any(|h| h.start_line.starts_with("POST")), "all messages are delivered");
+    assert!(
+        !discovery.received().iter().any(|h| h.start_line.starts_with("POST")),
+        "all messages are delivered"
+    );
 }
--- a/tests/journal_compatibility.rs
+++ b/tests/journal_compatibility.rs
@@ -254,8 +254,8 @@
 fn a_daemon_started_on_an_old_state_folder_continues_the_work_of_the_old_process() {
     let endpoint = Server::always("200 OK");
     let known = endpoint_list(1, &[(7, endpoint.addr)]);
-    let disco = start_discovery(known.clone());
-    let mut daemon = setup(&disco, known).start();
+    let discovery = start_discovery(known.clone());
+    let mut daemon = setup(&discovery, known).start();
     daemon.kill();
     copy_files("state", &daemon.folder.join("state"));
     daemon.restart();
@@ -263,17 +263,17 @@
         endpoint.wait_request(id);
     }
     for id in ["undeliverable", "late-may-have-run"] {
-        disco.wait_text(&format!(r#"{{"id":"{id}","status":"undeliverable"}}"#));
+        discovery.wait_text(&format!(r#"{{"id":"{id}","status":"undeliverable"}}"#));
     }
-    disco.wait_text(r#"{"id":"deferred","status":"deferred"}"#);
-    disco.wait_text(r#"{"id":"deferred-again","status":"deferred","again_ms":1500}"#);
+    discovery.wait_text(r#"{"id":"deferred","status":"deferred"}"#);
+    discovery.wait_text(r#"{"id":"deferred-again","status":"deferred","again_ms":1500}"#);
     assert_eq!(daemon.submit("payout", "past-delivered"), 200);
     for id in
         ["late-delivered", "late-may-have-run", "late-final", "delivered", "withdrawn", "past-delivered"]
     {
         assert!(endpoint.received().iter().all(|h| h.request_id() != id), "{id} was sent again");
     }
-    assert_eq!(disco.count_distinct_bodies(r#""id":"undeliverable-heard""#), 0);
+    assert_eq!(discovery.count_distinct_bodies(r#""id":"undeliverable-heard""#), 0);
     let long = endpoint.wait_request("pending-long");
     assert_eq!(long.body, long_body());
 }
--- a/tests/late.rs
+++ b/tests/late.rs
@@ -14,8 +14,9 @@
 fn a_retry_after_that_comes_during_a_connect_is_respected() {
     let mut endpoint = FullBacklogEndpoint::start();
     let known = endpoint_list(1, &[(7, endpoint.addr)]);
-    let disco = start_discovery(known.clone());
-    let daemon = Setup { settings_replacements: vec![LONG_CONNECT_TIMEOUT], ..setup(&disco, known) }.start();
+    let discovery = start_discovery(known.clone());
+    let daemon =
+        Setup { settings_replacements: vec![LONG_CONNECT_TIMEOUT], ..setup(&discovery, known) }.start();
     let first = start_hanging_connect(&daemon, &mut endpoint);
     let sent_at = Instant::now();
     let second = retry_after_during_connect(&daemon, first, &mut endpoint);
@@ -76,8 +77,9 @@
     let known = endpoint_list(1, &[(7, endpoint.addr)]);
     let change = endpoint_list(5, &[(7, endpoint.addr), (7, other.addr)]).replacen("Ready", state, 1);
     let (signal, signal_received) = channel();
-    let disco = delayed_discovery(change.replacen("true", "false", 1), signal_received);
-    let daemon = Setup { settings_replacements: vec![LONG_CONNECT_TIMEOUT], ..setup(&disco, known) }.start();
+    let discovery = delayed_discovery(change.replacen("true", "false", 1), signal_received);
+    let daemon =
+        Setup { settings_replacements: vec![LONG_CONNECT_TIMEOUT], ..setup(&discovery, known) }.start();
     let first = start_hanging_connect(&daemon, &mut endpoint);
     signal.send(()).expect("discovery waits");
     daemon.wait_log("upstream group: version 5 lines=2");
@@ -96,9 +98,9 @@
 fn an_at_most_once_message_whose_connect_hung_at_a_kill_is_sent_after_the_restart() {
     let mut endpoint = FullBacklogEndpoint::start();
     let known = endpoint_list(1, &[(7, endpoint.addr)]);
-    let disco = start_discovery(known.clone());
+    let discovery = start_discovery(known.clone());
     let mut daemon =
-        Setup { settings_replacements: vec![LONG_CONNECT_TIMEOUT], ..setup(&disco, known) }.start();
+        Setup { settings_replacements: vec![LONG_CONNECT_TIMEOUT], ..setup(&discovery, known) }.start();
     let first = start_hanging_connect(&daemon, &mut endpoint);
     daemon.kill();
     drop(first);
@@ -113,6 +115,6 @@
         }
     };
     assert_eq!(call_b.request_id(), "b");
-    disco.wait_text(r#"{"id":"a","status":"undeliverable"}"#);
+    discovery.wait_text(r#"{"id":"a","status":"undeliverable"}"#);
     daemon.wait_log("attempt ended message=b outcome=Ok");
 }
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -50,18 +50,18 @@
 ) {
     let endpoint = Server::always("200 OK");
     let known = endpoint_list(1, &[(7, endpoint.addr)]);
-    let disco = start_discovery(known.clone());
-    let env = variables.iter().map(|name| (name.to_string(), disco.addr.to_string())).collect();
+    let discovery = start_discovery(known.clone());
+    let env = variables.iter().map(|name| (name.to_string(), discovery.addr.to_string())).collect();
     let elsewhere = Server::always("200 OK");
-    let configured = if variables.is_empty() { &disco } else { &elsewhere };
+    let configured = if variables.is_empty() { &discovery } else { &elsewhere };
     let mut daemon = Setup { env, ..setup(configured, known) }.start();
     // The watches are counted below, and a daemon that is ready may not have opened its first one yet.
-    disco.wait_until("the first watch", |all| all.iter().any(|h| h.start_line.starts_with("GET")));
+    discovery.wait_until("the first watch", |all| all.iter().any(|h| h.start_line.starts_with("GET")));
     daemon.reload(from, to);
     daemon.wait_log(log_line);
     assert_eq!(daemon.submit("stats", "h1"), 202);
     endpoint.wait_request("h1");
     assert!(daemon.is_running());
-    assert_eq!(disco.received().iter().filter(|h| h.start_line.starts_with("GET")).count(), 1);
+    assert_eq!(discovery.received().iter().filter(|h| h.start_line.starts_with("GET")).count(), 1);
     assert!(elsewhere.received().is_empty());
 }
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -42,8 +42,8 @@
 fn at_a_planned_restart_each_request_is_answered_and_each_accepted_message_completes_once() {
     let endpoint = Server::always("200 OK");
     let known = endpoint_list(1, &[(7, endpoint.addr)]);
-    let disco = start_discovery(known.clone());
-    let mut daemon = setup(&disco, known).start();
+    let discovery = start_discovery(known.clone());
+    let mut daemon = setup(&discovery, known).start();
     let (client_served, served_clients) = channel();
     let threads: Vec<_> = (0..6)
         .map(|n| {
@@ -84,9 +84,9 @@
     assert!(accepted.len() > 12, "clients kept sending after SIGTERM: {accepted:?}");
     let is_delivered = |all: &[HttpMessage], id: &str| all.iter().any(|h| h.request_id() == id);
     let all = endpoint.wait_until("all accepted messages", |all| {
-        accepted
-            .iter()
-            .all(|id| is_delivered(all, id) || disco.count_distinct_bodies(&format!(r#""id":"{id}""#)) > 0)
+        accepted.iter().all(|id| {
+            is_delivered(all, id) || discovery.count_distinct_bodies(&format!(r#""id":"{id}""#)) > 0
+        })
     });
     for id in accepted.iter().filter(|id| ["c1", "c3", "c5"].iter().any(|c| id.starts_with(c))) {
         assert!(
@@ -132,8 +132,8 @@
 fn a_start_with_a_full_journal_is_ready_in_time_and_attempts_each_message_once(#[case] silent: bool) {
     let endpoint = Server::always("200 OK");
     let enabled = Arc::new(AtomicBool::new(false));
-    let disco = late_discovery(endpoint_list(2, &[(7, endpoint.addr)]), silent, enabled.clone());
-    let mut daemon = Setup { max_pending: 100_000, ..setup(&disco, endpoint_list(1, &[])) }.start();
+    let discovery = late_discovery(endpoint_list(2, &[(7, endpoint.addr)]), silent, enabled.clone());
+    let mut daemon = Setup { max_pending: 100_000, ..setup(&discovery, endpoint_list(1, &[])) }.start();
     daemon.kill();
     let state = daemon.folder.join("state");
     let (mut journal, records) = Journal::open(&state, 3_000_000).expect("a journal");
@@ -161,8 +161,8 @@
 fn further_signals_do_not_change_a_shutdown(#[case] signals: &[&str]) {
     let endpoint = Server::always("200 OK");
     let known = endpoint_list(1, &[(7, endpoint.addr)]);
-    let disco = start_discovery(known.clone());
-    let mut daemon = setup(&disco, known).start();
+    let discovery = start_discovery(known.clone());
+    let mut daemon = setup(&discovery, known).start();
     let client = daemon.connect();
     assert_eq!(submit(&client, "payout", "before"), Some(202));
     signals.iter().for_each(|signal| daemon.signal(signal));
--- a/tests/sites.rs
+++ b/tests/sites.rs
@@ -57,9 +57,9 @@
         false => respond("503 Later", "", ""),
     });
     let known = endpoint_list(1, &[(7, endpoint.addr)]);
-    let disco = start_discovery(known.clone());
+    let discovery = start_discovery(known.clone());
     let settings = Some(site.settings.clone());
-    let mut daemon = Setup { settings, ..setup(&disco, known) }.start();
+    let mut daemon = Setup { settings, ..setup(&discovery, known) }.start();
     let submit = |daemon: &Daemon, suffix: &str| -> Vec<String> {
         let submit_class = |(class, deadline): &(String, u64)| {
             let id = format!("{class}-{suffix}");
@@ -117,11 +117,11 @@
     let site = read_site("quayside-alerts");
     let (endpoint, arrivals) = closing_endpoint();
     let known = endpoint_list(1, &[(7, endpoint.addr)]);
-    let disco = start_discovery(known.clone());
-    let daemon = Setup { settings: Some(site.settings.clone()), ..setup(&disco, known) }.start();
+    let discovery = start_discovery(known.clone());
+    let daemon = Setup { settings: Some(site.settings.clone()), ..setup(&discovery, known) }.start();
     let (class, deadline) = &site.classes[0];
     assert_eq!(daemon.send_request(&request(&site, class, *deadline, "m1")).map(|h| h.status()), Some(202));
-    disco.wait_text(r#""id":"m1""#);
+    discovery.wait_text(r#""id":"m1""#);
     let times = arrival_times(&arrivals, "m1");
     assert!(times.len() > 1, "the message is retried: {times:?}");
     assert!(times.iter().all(|t| *t < DEDUPLICATION_WINDOW), "{times:?}");
@@ -147,8 +147,8 @@
         false => respond("200 OK", "", ""),
     });
     let known = endpoint_list(1, &[(7, endpoint.addr)]);
-    let disco = start_discovery(known.clone());
-    let mut daemon = Setup { settings: Some(site.settings.clone()), ..setup(&disco, known) }.start();
+    let discovery = start_discovery(known.clone());
+    let mut daemon = Setup { settings: Some(site.settings.clone()), ..setup(&discovery, known) }.start();
     let (class, deadline) = &site.classes[0];
     assert_eq!(daemon.send_request(&request(&site, class, *deadline, "m1")).map(|h| h.status()), Some(202));
     endpoint.wait_request("m1");
@@ -159,6 +159,6 @@
         endpoint.wait_until("a retry inside the window", |all| all.len() == 2);
         return;
     }
-    disco.wait_text(r#""id":"m1""#);
+    discovery.wait_text(r#""id":"m1""#);
     assert_eq!(endpoint.received().len(), 1, "no retry after the window");
 }
