--- a/tests/module/pacing.rs
+++ b/tests/module/pacing.rs
@@ -34,7 +34,7 @@
 /// Found on herd+mass: a Retry-After arrived for a message that had ended before the outcome of its attempt was known.
 #[rstest::rstest]
 #[case::known_endpoint(1)]
-#[case::removed_endpoint(99)]
+#[case::unknown_endpoint(99)]
 fn a_retry_after_without_an_outcome_is_respected(#[case] host: u32) {
     let mut forwarder = one_endpoint();
     serve_messages(&mut forwarder, 100, 10, 3);
