--- a/tests/batch.rs
+++ b/tests/batch.rs
@@ -48,8 +48,8 @@
     release: Sender<()>,
 }
 
-/// Starts the daemon. `reply` gets the messages of a batch and the batch's index, from 0.
-fn fixture(reply: impl Fn(&[BatchedMessage], usize) -> Reply + Send + Sync + 'static) -> Fixture {
+/// Starts the daemon. `respond_to_batch` gets the messages of a batch and the batch's index, from 0.
+fn fixture(respond_to_batch: impl Fn(&[BatchedMessage], usize) -> Reply + Send + Sync + 'static) -> Fixture {
     let (release, released) = channel::<()>();
     let released = Mutex::new(released);
     let batch_count = Mutex::new(0);
@@ -62,7 +62,7 @@
         }
         let mut batch_count = batch_count.lock().expect("lock");
         *batch_count += 1;
-        reply(&parse_batch(call), *batch_count - 1)
+        respond_to_batch(&parse_batch(call), *batch_count - 1)
     });
     let endpoints = endpoint_list(1, &[(7, endpoint.addr)]);
     let discovery = start_discovery(endpoints.clone());
