--- a/src/backoff.rs
+++ b/src/backoff.rs
@@ -60,7 +60,8 @@
     }
 
     /// Returns the delay after a failed connect, at most `max_delay`. Such a poll costs the server nothing while it is down.
-    /// Once the server is up again, all forwarders find it within `max_delay`, spread over at least half of their window.
+    /// Once the server is up again, all forwarders find it within `max_delay`. The delays are uniformly distributed over the
+    /// upper half of the window, which spreads the polls over at least that time.
     pub fn probe_delay(&mut self, max_delay: Duration) -> Duration {
         let window = self.shared_window.min(max_delay);
         self.shared_window = (window * 2).min(max_delay);
--- a/src/callbacks.rs
+++ b/src/callbacks.rs
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Sends the batch to the platform's new address immediately, after a reload of the configuration.
+    /// Schedules an immediate attempt at the platform's new address, after a reload of the configuration.
     fn address_changed(&mut self) {
         self.current_address = Arc::new(self.address.borrow_and_update().clone());
         self.retry_delay = INITIAL_RETRY_DELAY;
--- a/src/client/connection.rs
+++ b/src/client/connection.rs
@@ -95,8 +95,8 @@
     }
 }
 
-/// Waits until connections are being closed and this one is not in the middle of receiving a request, or the time for
-/// receiving that request is over.
+/// Waits until connections are being closed and this one is not in the middle of receiving a request head, or the time
+/// for receiving that head is over.
 async fn may_close(mut connections: watch::Receiver<ClientConnections>, state: Arc<ConnectionState>) {
     reached(&mut connections, ClientConnections::Draining).await;
     tokio::select! {
@@ -105,7 +105,8 @@
     }
 }
 
-/// Waits until the process is about to exit and no longer waits for the rest of a partly received request.
+/// Waits until `ClientConnections::Closing` has been set for [`CLOSING_GRACE`]. After that, the rest of a partly received
+/// request is not awaited any longer, because the process is about to exit.
 async fn closing_grace_over(mut connections: watch::Receiver<ClientConnections>) {
     reached(&mut connections, ClientConnections::Closing).await;
     tokio::time::sleep(CLOSING_GRACE).await;
--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -74,7 +74,8 @@
 }
 
 /// Accepts and serves connections until `connections` reaches `NotAccepted`, then serves the connections that the kernel
-/// has queued by that time. Returns once the process has no open client connection.
+/// has queued by that time, so that each request that has arrived gets its response. Returns once the process has no open
+/// client connection.
 pub async fn serve(
     front: Front, limiter: Arc<ConnectionLimiter>, connections: watch::Receiver<ClientConnections>,
 ) {
--- a/src/client/socket.rs
+++ b/src/client/socket.rs
@@ -124,9 +124,9 @@
         self.limit_write_time(cx, flushed)
     }
 
-    /// Closes the connection: shuts down the write side, then reads and discards input until the client has closed its side
-    /// or [`DISCARD_TIMEOUT`] is over. A close with unread input would reset the connection, and the client could lose the
-    /// last response (RFC 9112, section 9.6).
+    /// Closes the connection: shuts down the write side, then reads and discards input until the client has closed its
+    /// side, [`DISCARD_TIMEOUT`] is over or [`DISCARD_LIMIT`] is reached. A close with unread input would reset the
+    /// connection, and the client could lose the last response (RFC 9112, section 9.6).
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         if matches!(self.close, CloseState::Open) {
             let shut = Pin::new(&mut self.io).poll_shutdown(cx);
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -74,8 +74,8 @@
     }
 }
 
-/// A runtime and its signal handlers. Each period in which the process waits for the journal or owns it has its own, and
-/// the tasks of the period end with the runtime.
+/// A runtime and its signal handlers. The process creates one for each period in which it waits for the journal or owns
+/// it. The tasks of the period end with the runtime.
 struct Generation {
     runtime: Runtime,
     terminate: Terminate,
--- a/src/daemon/released.rs
+++ b/src/daemon/released.rs
@@ -9,8 +9,8 @@
 use crate::takeover::{LockName, SharedFolder};
 use tokio::time::Instant;
 
-/// Runs until the takeover state machine resets, or, after SIGTERM, until the process may exit or [`SHUTDOWN_TIMEOUT`] has
-/// passed.
+/// Runs until the takeover's state machine returns [`Action::Reset`]. After SIGTERM, also returns once the process may exit
+/// or [`SHUTDOWN_TIMEOUT`] has passed.
 ///
 /// The process still accepts clients and rejects their requests, because no other process listens until the successor does.
 /// Where the kernel prefers the successor's listener, this one stays open in case the successor dies.
--- a/src/daemon/serving.rs
+++ b/src/daemon/serving.rs
@@ -92,7 +92,8 @@
         &self.parts.limiter
     }
 
-    /// Waits until all clients have received their responses and disconnected, or [`client::FINAL_RESPONSES`] has passed.
+    /// Waits until all clients have received their responses and disconnected, or
+    /// [`client::FINAL_RESPONSE_TIMEOUT`] has passed.
     pub(super) async fn close_clients(self) {
         self.exchange().set_client_connections(ClientConnections::Closing);
         let _ = timeout(client::FINAL_RESPONSE_TIMEOUT, self.accept_task).await;
--- a/src/daemon/standby.rs
+++ b/src/daemon/standby.rs
@@ -31,7 +31,7 @@
         Ok(Standby { accept_task, connections })
     }
 
-    /// Stops accepting, and waits until all clients have their responses or [`client::FINAL_RESPONSES`] has passed.
+    /// Stops accepting, and waits until all clients have their responses or [`client::FINAL_RESPONSE_TIMEOUT`] has passed.
     pub(super) async fn close(mut self) {
         self.connections.send_replace(ClientConnections::Closing);
         let _ = timeout(client::FINAL_RESPONSE_TIMEOUT, &mut self.accept_task).await;
--- a/src/deduplication.rs
+++ b/src/deduplication.rs
@@ -50,7 +50,7 @@
     }
 
     /// Returns the result of the message with this name or, if the cache has none, of the delivered message with this
-    /// idempotency key.
+    /// idempotency key. Returns `None` if the cache has neither.
     pub fn get(&self, name: &str, idempotency_key: &str) -> Option<PriorResult> {
         let expiry = self.by_name.get(name).or_else(|| self.by_idempotency_key.get(idempotency_key))?;
         let message = self.by_expiry.get(expiry)?;
--- a/src/flags.rs
+++ b/src/flags.rs
@@ -25,7 +25,8 @@
 #[command(
     name = "micaladder",
     version,
-    after_help = "Without a command, run is executed with the given flags. Exit codes: 0 success, 1 error, 2 invalid flags."
+    after_help = "Without a command, run is executed with the given flags. Exit codes: 0 success, 1 cannot start or continue \
+        (check: errors in the files), 2 invalid flags."
 )]
 struct CommandLine {
     #[command(subcommand)]
@@ -99,7 +100,7 @@
         requires = "neighbours-listen"
     )]
     pub advertise: Option<SocketAddr>,
-    /// Peer addresses of other members, through which this forwarder joins the fleet.
+    /// Peer addresses of some other members, through which this forwarder joins the fleet.
     #[arg(
         id = "neighbours-seeds",
         long,
--- a/src/fleet/membership.rs
+++ b/src/fleet/membership.rs
@@ -22,8 +22,8 @@
 const MAX_LEAVE_MESSAGES: usize = 64;
 /// Maximum size of a foca message, in bytes: with the header it fits into one datagram.
 const MAX_PACKET_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES;
-/// How long foca remembers departed members, so that delayed messages do not add them again: longer than any message
-/// about such an incarnation is delayed.
+/// How long foca remembers departed members, so that delayed messages do not add them again. No message about a departed
+/// incarnation is delayed for longer.
 const REMEMBER_DEPARTED: Duration = Duration::from_secs(3600);
 /// Interval between two probes. Probes detect failures only: a member that restarts announces itself.
 pub const PROBE_PERIOD: Duration = Duration::from_millis(500);
--- a/src/fleet/node/bounds.rs
+++ b/src/fleet/node/bounds.rs
@@ -15,7 +15,7 @@
     until_probe + probe_duration + MIN_TIMEOUT + dissemination_bound(others)
 }
 
-/// Returns the time until all `others` know of a change: each member sends it to three members, ten times a second.
+/// Returns the time until all `others` know of a change: each member sends it to three members, ten times per second.
 pub fn dissemination_bound(others: usize) -> Duration {
     let rounds = (others.max(2) as f64).log(4.0).ceil() as u32 + 2;
     GOSSIP_INTERVAL * rounds
--- a/src/fleet/node/dissemination.rs
+++ b/src/fleet/node/dissemination.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Minimum time between two gossip rounds. The first round after a change starts at once.
+/// Minimum time between two gossip rounds. If the last round was longer ago, a change is gossiped at once.
 pub(super) const GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
 /// Number of rounds that gossip foca's updates after a member became present or departed.
 const MEMBERSHIP_ROUNDS: u32 = 3;
--- a/src/fleet/node/inbound.rs
+++ b/src/fleet/node/inbound.rs
@@ -44,8 +44,8 @@
     }
 
     fn handle_digests(&mut self, sender: SocketAddr, digests: &[u64], is_reply: bool) -> Option<SocketAddr> {
-        // Responds to members only: a response is larger than the request, so that requests with a forged sender address
-        // could flood another host.
+        // Responds to members only: a response is larger than the request, so a forged sender address could direct a flood
+        // of responses at another host.
         self.table.get_present(sender)?;
         if !is_reply && digests != self.table.bucket_digests() {
             self.send_digests(sender, true);
--- a/src/fleet/snapshot.rs
+++ b/src/fleet/snapshot.rs
@@ -166,8 +166,8 @@
             bytes = encode(&self.snapshot);
         }
         if !self.fits(&bytes) {
-            // Drops the agreed fleet as a whole: with only a part of it, this member could wrongly count itself to a
-            // majority.
+            // Drops the agreed fleet as a whole: a part of it would be a smaller fleet, of which the present members could
+            // wrongly be the majority.
             bytes = encode(&Snapshot { incarnation: self.snapshot.incarnation, ..Snapshot::default() });
         }
         self.fits(&bytes).then_some(bytes)
--- a/src/fleet/suspicion.rs
+++ b/src/fleet/suspicion.rs
@@ -76,7 +76,8 @@
 #[derive(Default)]
 pub struct SuspicionTracker {
     suspicions: BTreeMap<SocketAddr, Suspicion>,
-    /// 0 while probes succeed, higher while they fail (Lifeguard's local health multiplier).
+    /// One less than the factor for probe intervals and timeouts (Lifeguard's local health multiplier): 0 while probes
+    /// succeed, higher while they fail.
     local_health_score: u32,
     /// Whether a probe of the current round has failed.
     has_probe_failed: bool,
--- a/src/fleet/view.rs
+++ b/src/fleet/view.rs
@@ -44,7 +44,8 @@
     /// member that never sent one.
     #[serde(rename = "heard_secs_ago")]
     pub last_contact_secs_ago: Option<f64>,
-    /// Whether the member has presented a valid certificate to the observer and so counts for a majority.
+    /// Whether the member counts for a majority: it is present, has presented a valid certificate to the observer and is not
+    /// superseded.
     #[serde(rename = "counts")]
     pub counted: bool,
     /// Minimum time since the member published its attributes; `None` if they are not known.
@@ -57,7 +58,7 @@
     /// Digest of the member's settings, in hexadecimal.
     #[serde(rename = "config")]
     pub settings_digest: String,
-    /// Number of settings that this incarnation has loaded, from 1 on.
+    /// Version of the settings that this incarnation uses: 1 at its start, incremented by each change.
     #[serde(rename = "epoch")]
     pub settings_epoch: u64,
     /// Version of the endpoint list that the member uses.
--- a/src/fleet/wire.rs
+++ b/src/fleet/wire.rs
@@ -6,7 +6,7 @@
 //! | --- | --- |
 //! | 1 | format version |
 //! | 4 | group tag, which separates fleets that reach each other by mistake |
-//! | 8 | digest of the sender's view, so that each datagram compares views |
+//! | 8 | digest of the sender's view, so that the receiver of each datagram compares views |
 //! | 1 | side of a network partition that the sender reports |
 //! | 1 | kind of the message |
 //!
@@ -40,7 +40,7 @@
     pub version: String,
     /// Digest of the member's settings.
     pub settings_digest: u64,
-    /// Number of settings that this incarnation has loaded, from 1 on.
+    /// Version of the settings that this incarnation uses: 1 at its start, incremented by each change.
     pub settings_epoch: u64,
     /// Version of the endpoint list that the member uses.
     pub list_version: u64,
--- a/src/logger.rs
+++ b/src/logger.rs
@@ -1,5 +1,6 @@
 //! Logger: writes lines to standard error, as text or as JSON, with the key-value fields of the `log` macros. Beyond a
-//! burst, each call site is limited to one line per second, which holds the number of suppressed lines.
+//! burst, each call site is limited to one line per second. The next line that it writes contains the number of lines that
+//! were suppressed.
 #![warn(missing_docs)]
 use crate::clock;
 use crate::interface::Nanos;
--- a/src/peers/aggregation.rs
+++ b/src/peers/aggregation.rs
@@ -4,7 +4,7 @@
 //!
 //! | observation | valid for | effective observation where peers disagree |
 //! | --- | --- | --- |
-//! | outage | the duration of the outage when it was observed, between 2 s and 60 s | the latest; of two within a second of each other, the worse state |
+//! | outage | its duration when observed, between 2 s and 60 s | the latest; of two within a second, the worse state |
 //! | recovery | 30 s, because it only reduces the sending rate | as for an outage; of two recoveries, the later start |
 //! | health | 1 s | as for an outage |
 //! | Retry-After | until the time that the partner requested | the latest end |
--- a/src/peers/attributes.rs
+++ b/src/peers/attributes.rs
@@ -21,8 +21,8 @@
 
 /// Publishes the attributes now and after each change.
 pub async fn publish_changes(fleet: FleetHandle, mut attributes: Attributes, mut changes: LocalChanges) {
-    // All other settings are fixed until a restart. The digest XORs the address digest into theirs, so that a new
-    // discovery address replaces only its own part.
+    // The published digest is the XOR of the address digest and the digest of all other settings, which are fixed until a
+    // restart. A new discovery address changes only the address digest.
     let other_settings_digest =
         attributes.settings_digest ^ address_digest(&changes.discovery_address.borrow_and_update());
     loop {
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -120,8 +120,8 @@
         }
         let mut snapshots = SnapshotStore::open(disk, config.disk_limit);
         let started = clock::now();
-        // Increments the stored incarnation. Only without a stored one does the incarnation start from the clock, which is
-        // above the incarnation of an earlier process whose state folder was lost.
+        // Increments the stored incarnation. Without a stored one, the incarnation starts from the clock, which is above the
+        // incarnation of an earlier process whose state folder was lost.
         let incarnation = snapshots.begin_incarnation(started.0 / NANOS_PER_MILLI);
         let advertised = flags.advertise.unwrap_or(listen);
         let local = Member { address: advertised, name: config.name.clone(), incarnation };
--- a/src/peers/publish.rs
+++ b/src/peers/publish.rs
@@ -7,7 +7,7 @@
 /// Minimum time before an unchanged finding that was observed again is published again, in seconds. Subscribers prefer
 /// recent observations; a shorter interval costs bandwidth for little benefit.
 const REFRESH_SECS: f64 = 1.0;
-/// Minimum time before a healthy endpoint is published again, in seconds: it is of less use to a subscriber.
+/// The same for the unchanged finding of a healthy endpoint, in seconds: it is of less use to a subscriber.
 const HEALTHY_REFRESH_SECS: f64 = 5.0;
 /// Rates, latencies and capacities that differ by at most this fraction of the published value are unchanged.
 const RELATIVE_TOLERANCE: f64 = 0.2;
@@ -16,7 +16,7 @@
 /// Starts of an outage or recovery, and ends of a wait, that differ by at most this many seconds are the same: spans are
 /// sampled at slightly different times.
 const TIME_TOLERANCE_SECS: f64 = 0.05;
-/// Number of published entries above twice the number of local observations at which stale entries are removed.
+/// Stale entries are removed once the table has this many entries more than twice the number of local observations.
 const MAX_EXCESS_ENTRIES: usize = 64;
 
 /// A published finding, with times on this forwarder's clock.
--- a/src/request.rs
+++ b/src/request.rs
@@ -7,9 +7,9 @@
 /// A request for delivery, as a client submitted it.
 #[derive(Debug)]
 pub struct RequestContext {
-    /// Message id that the client assigned.
+    /// Name of the message: the id that the client assigned.
     pub name: String,
-    /// Data that the accepting client front-end needs to report the completion. If set, the front-end is notified of every
+    /// Data that the accepting client front needs to report the completion. If set, the front is notified of every
     /// completion, including a delivery. Empty for requests of the platform.
     pub origin: String,
     /// Index of the class in the settings.
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -6,8 +6,8 @@
 
 /// Minimum of `limits.disk_mb`: less has no room for one message of 64 KiB beside the journal's reserve.
 const MIN_DISK_MB: f64 = 0.2;
-/// Minimum of `limits.sockets`: clients get a third of the descriptors, and discovery, the endpoints and the files need the
-/// rest. Fewer would leave hardly any for clients.
+/// Minimum of `limits.sockets`: a third of the descriptors is for clients, the rest for discovery, the endpoints and the
+/// files. With fewer, hardly any would be left for clients.
 const MIN_SOCKETS: u32 = 16;
 
 /// Keys of the platform's file that this program does not use, with `[]` for any index.
--- a/src/settings/file.rs
+++ b/src/settings/file.rs
@@ -17,7 +17,7 @@
     /// Seed of the random number generator, up to 16 hexadecimal digits.
     pub(super) seed: String,
     pub(super) limits: ProcessLimits,
-    /// The address for operators, `IP:PORT`; if absent, there is no management listener.
+    /// The management address, `IP:PORT`; if absent, there is no management listener.
     pub(super) mgmt: Option<String>,
     /// The endpoint list at the start.
     pub(super) known: EndpointListUpdate,
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -35,7 +35,7 @@
     pub listen: SocketAddr,
     /// The discovery service, `HOST:PORT`.
     pub discovery: String,
-    /// The address for operators; `None` disables the management listener.
+    /// The management address; `None` disables the management listener.
     pub mgmt: Option<SocketAddr>,
     /// The state folder, which persists across restarts.
     pub state_dir: PathBuf,
@@ -53,7 +53,7 @@
     overrides: CommandLineOverrides,
 }
 
-/// The settings that all forwarders of a deployment share: those of the decision module, and the names that stand for its
+/// The settings that all forwarders of a deployment share: those of the decision module, and the names that replace its
 /// indices on the wire.
 #[derive(PartialEq)]
 pub struct DeploymentSettings {
--- a/src/takeover/lock.rs
+++ b/src/takeover/lock.rs
@@ -15,7 +15,7 @@
 /// A file lock, held until this value is dropped or the process ends, even if it is killed.
 pub struct FolderLock(File);
 
-/// A role in the takeover, each with a lock file of its own.
+/// A role in the takeover. Each role has its own lock file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LockName {
     /// The owner of the journal.
--- a/src/takeover/state.rs
+++ b/src/takeover/state.rs
@@ -43,7 +43,7 @@
     pub lock_acquired: bool,
     /// Another process holds the owner's lock.
     pub owned_by_other: bool,
-    /// The request of another process that wants to take over and does not serve yet.
+    /// The request of another process that is to take over and does not serve yet.
     pub request: Option<RequestId>,
     /// Client connections are open.
     pub clients_connected: bool,
@@ -156,7 +156,8 @@
 
     fn transition(&self, now: Nanos, observed: Observed) -> Option<(State, Action)> {
         let is_requested = observed.request.is_some() && observed.request != self.expired_request;
-        // A journal that cannot be written is not released, because its pending records would be lost.
+        // A blocked release does not start: if the journal cannot be written, for instance, its pending records would be
+        // lost.
         let may_release = is_requested && !observed.release_blocked;
         match self.state {
             State::WaitingForLock => observed.lock_acquired.then_some((State::Serving, Action::StartServing)),
