--- a/src/check.rs
+++ b/src/check.rs
@@ -4,7 +4,7 @@
 use crate::peers::credentials::CredentialFiles;
 use crate::{as2, flags, plugins, settings};
 
-/// Checks the configuration, the AS2 settings, the scripts and the peers' certificates, in this order, and returns all
+/// Checks the configuration, the AS2 settings, the plug-in scripts and the peers' certificates, in this order, and returns all
 /// errors. Does not start the daemon or write files.
 pub fn check_files(files: &flags::FileFlags) -> Vec<ConfigError> {
     let (mut errors, deployment) = settings::check::check_file(&files.config);
