--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -196,7 +196,7 @@
     })
 }
 
-/// A xorshift generator of random numbers.
+/// An xorshift generator of random numbers.
 struct Rng(u64);
 
 impl Rng {
@@ -222,7 +222,7 @@
     connecting: Vec<(Nanos, Attempt)>,
     /// Attempts in flight, with the time and the outcome of their end.
     in_flight: Vec<(Nanos, MessageId, u32, Outcome)>,
-    /// Callbacks that the client will acknowledge, with the time of the acknowledgement.
+    /// Completion callbacks in flight, with the time at which the core receives the acknowledgement.
     acknowledgements: Vec<(Nanos, MessageId)>,
     /// Classes of the accepted messages, by name.
     accepted: BTreeMap<String, usize>,
@@ -453,7 +453,7 @@
             .is_some_and(|c| c.iter().any(|c| matches!(c, Completion::Deferred(_))));
         assert!(
             !deferred || attempt.context.class != AT_MOST_ONCE_CLASS,
-            "seed {}: {name} was deferred",
+            "seed {}: {name} is sent although it was deferred",
             self.seed
         );
         let (outcome, runs, took) = match self.rng.below(10) {
@@ -675,8 +675,8 @@
     simulation.check_guarantees();
 }
 
-/// Guards against a message whose completion is never reported: its endpoint confirmed the delivery in the millisecond of
-/// its deadline, when the client had already given it up.
+/// Found on roll+brink: an endpoint confirmed a delivery in the millisecond of the message's deadline, and the completion was
+/// never reported to the client.
 #[test]
 fn delivery_confirmed_at_the_deadline_is_reported_as_undeliverable() {
     for (seconds_before_deadline, is_reported) in [(0.2, false), (0.01, true), (0.0, true), (-0.004, true)] {
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -177,8 +177,8 @@
     }
 }
 
-/// A watch falls silent immediately or after 13 s, and up to two further polls get no response either. The list that the watch
-/// missed is still applied within the staleness bound.
+/// A watch falls silent right after its list, or right after a keep-alive about 13 s after the start. Up to two further polls get
+/// no response either. The list that the watch missed is still applied within the staleness bound.
 #[rstest]
 #[case::at_once(Duration::ZERO)]
 #[case::after_13_s(Duration::from_secs(13))]
@@ -271,9 +271,10 @@
 /// The list is applied within the staleness bound after an outage, also by one of 300 forwarders that poll the same server.
 ///
 /// Guards against two faults. When the delay doubled up to 30 s after each refused connect, a forwarder noticed the recovered
-/// server up to 30 s late. When the delay was short after every kind of failure, each 503 was followed by a poll within 0.2 s,
-/// and a hundred forwarders on the bench received 1,756 responses of 503. The watcher therefore handles refused connects and
-/// overload responses differently. The module `capacity` tests 20 to 900 forwarders with a server of limited capacity.
+/// server up to 30 s late, and this test failed on every run. When the delay was short after every kind of failure, each 503 was
+/// followed by a poll within 0.2 s, and a hundred forwarders on the bench received 1,756 responses of 503. The watcher therefore
+/// handles refused connects and overload responses differently. The module `capacity` tests 20 to 900 forwarders with a server of
+/// limited capacity.
 #[tokio::test(start_paused = true)]
 async fn after_an_outage_one_of_many_forwarders_applies_the_list_in_time() {
     let down = Duration::from_secs(20);
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -54,7 +54,8 @@
     assert_eq!(discovery.received().iter().any(|h| h.text().contains("g1")), outcome == "UnreadableAnswer");
 }
 
-/// All endpoints (here one) send malformed responses alike, so none is ejected. A message that may run twice is retried.
+/// An endpoint must not be ejected for malformed responses that all endpoints (here one) send. A message that may run twice is
+/// retried.
 #[test]
 fn keeps_using_an_endpoint_after_malformed_responses() {
     let endpoint = Server::start(|_, n| reply_with(if n < 10 { "%%%%\r\n" } else { OK_RESPONSE }));
--- a/tests/as2.rs
+++ b/tests/as2.rs
@@ -337,7 +337,7 @@
         assert!(part.contains(&format!("Received-Content-MIC: {mic}, sha-256")), "{part}");
         assert_eq!(endpoint.wait_until("the payout", |all| !all.is_empty())[0].text(), "pay the creator");
         fixture.daemon.wait_log("outcome=Ok");
-        // A repeated message gets the same MDN and is not forwarded again.
+        // A repeated message gets an MDN with the same disposition and is not forwarded again.
         let repeated = fixture.submit_as(from, signer, "");
         let part = fixture.keys.decrypt_and_verify(&repeated).expect("a valid signature");
         assert!(part.contains(disposition));
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -255,7 +255,8 @@
     assert_eq!(accepted["level"], "DEBUG");
 }
 
-/// After its burst, a call site logs at most one line per second, so that a flood of messages does not flood the log.
+/// After its burst, a call site logs at most one line per second, which states the number of suppressed lines, so that a flood of
+/// messages does not flood the log.
 #[test]
 fn the_log_lines_of_a_call_site_are_rate_limited() {
     let endpoint = Server::always("200 OK");
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -24,11 +24,11 @@
 fn failing_discovery_is_polled_with_backoff_while_the_known_list_is_used(#[case] failure: Failure) {
     let (old, new) = (Server::always("200 OK"), Server::always("200 OK"));
     let known = endpoint_list(1, &[(7, old.addr)]);
-    let fresh = endpoint_list(2, &[(7, new.addr)]).replace("s-0", "s-1");
+    let new_list = endpoint_list(2, &[(7, new.addr)]).replace("s-0", "s-1");
     let discovery =
         Server::start(move |request, number| match (request.start_line.starts_with("GET"), number) {
             (true, 0..6) => failed_response(failure),
-            (true, _) => watch_response(&fresh),
+            (true, _) => watch_response(&new_list),
             (false, _) => respond("204 No Content", "", ""),
         });
     let daemon = setup(&discovery, known).start();
@@ -97,7 +97,7 @@
 fn a_watch_that_falls_silent_is_reopened_in_time(#[case] further_silent: usize, #[case] text: &'static str) {
     let (old, new) = (Server::always("200 OK"), Server::always("200 OK"));
     let known = endpoint_list(1, &[(7, old.addr)]);
-    let fresh = endpoint_list(2, &[(7, new.addr)]).replace("s-0", "s-1");
+    let new_list = endpoint_list(2, &[(7, new.addr)]).replace("s-0", "s-1");
     let first = known.clone();
     let discovery = Server::start(move |request, n| match (request.start_line.starts_with("GET"), n) {
         (false, _) => respond("204 No Content", "", ""),
@@ -107,7 +107,7 @@
         } else {
             chunked_response([text.as_bytes()])
         }),
-        (true, _) => watch_response(&fresh),
+        (true, _) => watch_response(&new_list),
     });
     let daemon = setup(&discovery, known).start();
     daemon.wait_log("upstream group: version 1");
@@ -149,17 +149,17 @@
     assert!(old.received().is_empty(), "the indented change marks the old endpoint as draining");
 }
 
-/// A list over the size limit is dropped and polled again, while the old list stays in use.
+/// A list that never ends is dropped once it exceeds the size limit, and polled again. The old list stays in use meanwhile.
 #[test]
 fn a_list_over_the_size_limit_is_dropped_and_polled_again() {
     let old = Server::always("200 OK");
     let known = endpoint_list(1, &[(7, old.addr)]);
     let oversized = format!("{{\"rev\":2,\"all\":true,\"targets\":[{}", " ".repeat(10 << 20));
     let oversized = chunked_response([oversized.as_bytes()]);
-    let fresh = endpoint_list(3, &[(7, old.addr)]);
+    let new_list = endpoint_list(3, &[(7, old.addr)]);
     let discovery = Server::start(move |request, n| match (request.start_line.starts_with("GET"), n) {
         (true, 0..2) => Reply::Respond(oversized.clone()),
-        (true, _) => watch_response(&fresh),
+        (true, _) => watch_response(&new_list),
         (false, _) => respond("204 No Content", "", ""),
     });
     let daemon = setup(&discovery, known).start();
--- a/tests/disk.rs
+++ b/tests/disk.rs
@@ -84,8 +84,8 @@
     endpoint.wait_request("b1");
     set_disk_faults(&daemon, "append");
     // The first message after the fault is rejected like all later ones.
-    let refused = daemon.send_request(&message_request("stats", "b2", "20000m", "")).expect("an answer");
-    assert_eq!((refused.status(), refused.header("retry-after").is_some()), (503, true));
+    let rejected = daemon.send_request(&message_request("stats", "b2", "20000m", "")).expect("an answer");
+    assert_eq!((rejected.status(), rejected.header("retry-after").is_some()), (503, true));
     assert_eq!(daemon.submit("payout", "b3"), 503);
     set_disk_faults(&daemon, "");
     daemon.wait_log("journal can be written again");
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -32,8 +32,8 @@
 }
 
 impl Endpoint {
-    /// Counts a call against the capacity of a recovering destination, which rises from the cold share to all of it during the
-    /// warm-up.
+    /// Counts a call against the capacity of a recovering destination, which rises from `cold_capacity_share` to all
+    /// of it during the warm-up.
     fn count_load(&mut self, now: u64, settings: &Settings) {
         let span = settings.overload_window.secs();
         self.window.push_back(now);
@@ -174,7 +174,7 @@
         self.members.iter().map(|m| m.idle[host].len() + m.busy[host]).sum()
     }
 
-    /// Runs the simulation for `for_ms`, with `rate` messages a second for all forwarders together.
+    /// Runs the simulation for `for_ms`, with `rate` messages per second for all forwarders together.
     fn run(&mut self, for_ms: u64, rate: f64) {
         let mut due: VecDeque<u64> = VecDeque::new();
         let mut at = self.now as f64;
@@ -281,10 +281,10 @@
 }
 
 /// Found on recorded days of a large fleet: the forwarders that were served kept their connections, and all others tried to
-/// connect, 2,600 times a second, until each message had used up its attempts.
+/// connect, 2,600 times per second, until each message had used up its attempts.
 #[test]
 fn a_hundred_forwarders_share_endpoints_that_accept_twelve_connections() {
-    // At each endpoint, 100 calls a second of 30 ms each occupy three connections on average.
+    // At each endpoint, 100 calls per second of 30 ms each occupy three connections on average.
     let endpoints = (0..6).map(|_| endpoint(12, 1000)).collect();
     let mut fleet = Fleet::new(&fleet_settings(100), endpoints);
     fleet.run(20_000, 600.0);
@@ -319,7 +319,7 @@
 }
 
 /// Found on recorded days of a large fleet: after a limit had been lowered, or exceeded once, each forwarder started again at an
-/// even share and raised its pace by a tenth a second, so for ten seconds more messages arrived than all forwarders sent.
+/// even share and raised its pace by a tenth per second, so for ten seconds more messages arrived than all forwarders sent.
 #[test]
 fn a_raised_limit_is_soon_used() {
     let mut fleet = Fleet::new(&fleet_settings(100), vec![endpoint(1000, 210)]);
--- a/tests/forwarder.rs
+++ b/tests/forwarder.rs
@@ -174,8 +174,8 @@
 #[test]
 fn a_removed_endpoint_is_retired_and_its_connections_are_closed() {
     let endpoint = Server::always("200 OK");
-    let many: Vec<_> = (1..=20).map(|dest| (dest, endpoint.addr)).collect();
-    let known = endpoint_list(1, &many);
+    let entries: Vec<_> = (1..=20).map(|dest| (dest, endpoint.addr)).collect();
+    let known = endpoint_list(1, &entries);
     let (send_list, signal) = std::sync::mpsc::channel();
     let (signal, updated) =
         (std::sync::Mutex::new(signal), endpoint_list(2, &[(7, endpoint.addr)]).replace("s-0", "s-new"));
@@ -190,14 +190,14 @@
     });
     let daemon = setup(&discovery, known).start();
     let before = daemon.open_descriptors();
-    for (dest, _) in &many {
+    for (dest, _) in &entries {
         let text =
             String::from_utf8(message_request("stats", &format!("r{dest}"), "20000m", "")).expect("text");
         let text = text.replace("dest=7", &format!("dest={dest}"));
         assert_eq!(daemon.send_request(text.as_bytes()).map(|h| h.status()), Some(202));
         daemon.wait_log(&format!("message=r{dest} outcome=Ok attempt=0"));
     }
-    assert!(daemon.open_descriptors() >= before + many.len());
+    assert!(daemon.open_descriptors() >= before + entries.len());
     send_list.send(()).expect("a receiver");
     daemon.wait_log("retired host=s-0 dest=1");
     assert_eq!(daemon.submit("stats", "r21"), 202);
@@ -207,7 +207,7 @@
         assert!(std::time::Instant::now() < until, "{} descriptors", daemon.open_descriptors());
         std::thread::yield_now();
     }
-    assert_eq!(daemon.log().matches("retired host=").count(), many.len());
+    assert_eq!(daemon.log().matches("retired host=").count(), entries.len());
 }
 
 /// A client that submits a message again because it missed the response refers to the same message.
--- a/tests/module/connections.rs
+++ b/tests/module/connections.rs
@@ -32,10 +32,10 @@
 }
 
 /// Found on north-plant-later and lahore-checkin: idle connections were dropped without notice, so the next call on such a
-/// connection was lost, and so were later ones; the module missed the pattern where lost calls were cancelled. Then found on
-/// reykjanes-labels: a hung endpoint or a late answer does not mean that an idle connection was dropped.
+/// connection was lost, and so were later ones. The module missed this pattern if the lost calls were cancelled. Then found on
+/// reykjanes-labels: neither a hung endpoint nor a late answer means that an idle connection was dropped.
 #[test]
-fn connections_idle_for_as_long_as_a_dropped_one_are_not_reused() {
+fn connections_idle_as_long_as_a_dropped_one_are_not_reused() {
     // Returns whether idle connections are closed after a call on a connection that was idle for two seconds ended with `first`,
     // and the next call, on a new connection, with `second`.
     let closes_idle = |first: Outcome, second: Outcome| {
--- a/tests/module/health.rs
+++ b/tests/module/health.rs
@@ -32,7 +32,7 @@
         first_second += ok.len();
         actions = forwarder.step(50, &ok);
     }
-    // The endpoint usually gets five calls a second. A fifth of its capacity is available, and twice that may be sent.
+    // The endpoint usually gets five calls per second. A fifth of its capacity is available, and twice that may be sent.
     assert!((1..=3).contains(&first_second), "sent {first_second}");
 }
 
@@ -215,7 +215,7 @@
     };
     let (unlisted, listed) = (sent_in_two_seconds(0.0), sent_in_two_seconds(40.0));
     assert!(listed > unlisted, "{listed} with the listed rate, {unlisted} without");
-    // With two forwarders, an even share is 20 calls a second. After three seconds a third of the ramp is over, so less than half
-    // of the capacity is available, and at most twice that may be sent.
+    // With two forwarders, an even share is 20 calls per second. After three seconds a third of the ramp is over, so less than
+    // half of the capacity is available, and at most twice that may be sent.
     assert!(f64::from(listed) <= 3.0 * 20.0 * 0.5 * 2.0, "{listed}");
 }
--- a/tests/module/pacing.rs
+++ b/tests/module/pacing.rs
@@ -63,12 +63,12 @@
         sent += outcomes.len();
         actions = forwarder.step(50, &outcomes);
     }
-    // The pace is about two calls a second, at most half of the last second's five, for two seconds. Without it all would be
-    // sent.
+    // The pace is about two calls per second for two seconds, at most half of the five calls of the last second. Without
+    // pacing, all messages would be sent.
     assert!((2..=9).contains(&sent), "sent {sent}");
 }
 
-/// Found on north-plant: several forwarders that each kept a minimum pace permanently exceeded a small limit.
+/// Found on north-plant: each of several forwarders kept a minimum pace, and together they exceeded a small limit permanently.
 #[test]
 fn consecutive_rejections_back_off_beyond_the_minimum_pace() {
     let mut forwarder = one_endpoint();
@@ -96,7 +96,7 @@
     }
     assert!(
         (1..=4).contains(&late),
-        "two forwarders must stay within one call a second: {late} calls in 8 s"
+        "two forwarders must stay within one call per second: {late} calls in 8 s"
     );
 }
 
@@ -139,8 +139,8 @@
     );
 }
 
-/// Found on the small variant of reykjanes-labels-later big-1: a forwarder with little traffic has few answered calls a second,
-/// and one rejection kept it far under its share of the limit.
+/// Found on the small variant of reykjanes-labels-later big-1: a forwarder with little traffic has few answered calls per
+/// second, and one rejection kept it far under its share of the limit.
 #[test]
 fn a_rejection_halves_the_pace_from_an_even_share_of_a_reported_limit_and_it_soon_recovers() {
     let sent = |forwarders| {
@@ -164,12 +164,12 @@
         }
         count
     };
-    assert!((8..=20).contains(&sent(2)), "from five a second to near ten: {}", sent(2));
-    assert!((2..=6).contains(&sent(20)), "about one a second: {}", sent(20));
+    assert!((8..=20).contains(&sent(2)), "from five calls per second to almost ten: {}", sent(2));
+    assert!((2..=6).contains(&sent(20)), "about one call per second: {}", sent(20));
 }
 
-/// Found on lima-central big-1 and lahore-checkin i650f3a: hundreds of forwarders each kept a minimum pace of one call a second
-/// where responses do not report the limit.
+/// Found on lima-central big-1 and lahore-checkin i650f3a: hundreds of forwarders each kept a minimum pace of one call per
+/// second where responses do not report the limit.
 #[test]
 fn without_a_reported_limit_the_listed_rate_bounds_the_minimum_pace() {
     let sent = |forwarders, listed_rates, kind| {
@@ -250,6 +250,6 @@
             sent_early += sends(&forwarder.step(100, &[Event::Due])).len();
         }
     }
-    // Each forwarder has one message to send, and a cold destination takes a fifth of its capacity.
+    // Each forwarder has one message to send, and a destination that has just recovered takes a fifth of its capacity.
     assert!(sent_early <= 12, "{sent_early} of 60 in the first half second");
 }
--- a/tests/module/slots.rs
+++ b/tests/module/slots.rs
@@ -79,7 +79,8 @@
     );
 }
 
-/// Departs from the design page.
+/// Departs from the design page: a destination whose own latency misses the objective would otherwise keep the highest priority
+/// permanently.
 #[test]
 fn a_slow_destination_does_not_gain_priority_by_its_own_latency() {
     let settings = Settings { slots: 8, max_pending: 2000, ..settings() };
--- a/tests/net/mod.rs
+++ b/tests/net/mod.rs
@@ -64,7 +64,7 @@
 }
 
 impl Fleet {
-    /// Starts all members at once. `seeds` holds the indices of the members that all others use as gossip seeds.
+    /// Starts all members at once. `seeds` holds the indices of the members that all members use as gossip seeds.
     pub fn start(seed: u64, count: usize, seeds: &[usize]) -> Fleet {
         let ips: Vec<IpAddr> = (0..count).map(|_| unique_address()).collect();
         let network = Arc::new(Network::new(seed, &ips));
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -21,7 +21,7 @@
     (Server::start(reply), fails)
 }
 
-/// Returns the number of calls that carry a message whose ID starts with `prefix`.
+/// Returns the number of calls that carry a message whose id starts with `prefix`.
 fn count_calls(server: &Server, prefix: &str) -> usize {
     server.received().iter().filter(|call| call.request_id().starts_with(prefix)).count()
 }
