--- a/tests/forwarder.rs
+++ b/tests/forwarder.rs
@@ -29,7 +29,7 @@
     );
 }
 
-/// A malformed or impossible request gets a 4xx, and the daemon keeps serving.
+/// An invalid request gets a 4xx, and the daemon keeps serving.
 #[rstest]
 #[case::no_id("X-Request-Id: b", "X-Other: b", 400)]
 #[case::no_deadline("X-Deadline", "X-Other", 400)]
@@ -366,8 +366,8 @@
     assert!(!daemon.log().contains("callback acknowledged for h1"));
 }
 
-/// The connection that carried the last callback may have fallen silent; the next callback is then sent again on a new
-/// connection.
+/// The connection that carried the last callback may have fallen silent. The next callback, which gets no response on it, is soon
+/// sent again on a new connection.
 #[test]
 fn a_completion_callback_is_sent_again_on_a_new_connection_after_a_silent_one() {
     let endpoint = Server::always("500 Oops");
--- a/tests/stand/mod.rs
+++ b/tests/stand/mod.rs
@@ -190,7 +190,8 @@
     format!("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n{chunks}")
 }
 
-/// Returns a complete endpoint list with this revision; endpoint `n` is named `s-n` and given as destination and address.
+/// Returns a complete endpoint list with this revision. `endpoints` holds the destination and the address of each endpoint; endpoint
+/// `n` gets the uid `s-n`.
 pub fn endpoint_list(rev: u64, endpoints: &[(u64, SocketAddr)]) -> String {
     let target = |(i, (dest, addr)): (usize, &(u64, SocketAddr))| {
         format!(
@@ -635,6 +636,7 @@
 }
 
 /// Submits two messages that may run at most once: `a` is in flight on the only open connection, and the connect for `b` hangs.
+/// Returns the connection of `a`.
 pub fn start_hanging_connect(daemon: &Daemon, endpoint: &mut FullBacklogEndpoint) -> TcpStream {
     assert_eq!(daemon.submit("payout", "a"), 202);
     let first = endpoint.accept();
@@ -645,7 +647,7 @@
     first
 }
 
-/// The Retry-After that `retry_after_during_connect` sends; shorter than an outage.
+/// The Retry-After that `retry_after_during_connect` sends; shorter than the time after which an endpoint counts as failed.
 pub const RETRY_AFTER: Duration = Duration::from_millis(2400);
 
 /// Answers `a` with a Retry-After, then lets the connect for `b` succeed. Returns the new connection, which stays unused.
