--- a/tests/net/mod.rs
+++ b/tests/net/mod.rs
@@ -258,7 +258,10 @@
             |line: &LogLine| format!("{:9.3} n{:<3} {}\n", line.at - began, line.member, line.text);
         let is_relevant = |line: &&LogLine| {
             let text = &line.text;
-            text.contains("neighbour") || text.contains("peer") || text.starts_with("TEST")
+            text.contains("neighbour")
+                || text.contains("peer")
+                || text.contains("leaving the fleet")
+                || text.starts_with("TEST")
         };
         let lines = all.iter().filter(is_relevant);
         format!("seed {}\n{}", self.seed, lines.map(format_line).collect::<String>())
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -182,7 +182,7 @@
     endpoint.wait_request("s1");
     let log = a.log();
     assert!(!log.contains("receiving observations from a peer"), "{log}");
-    a.wait_log("TLS handshake timed out");
+    a.wait_log("closed: TLS handshake timed out");
 }
 
 #[test]
