--- a/crates/lab/tests/takeover/liveness.rs
+++ b/crates/lab/tests/takeover/liveness.rs
@@ -1,20 +1,21 @@
-//! What comes to hold under any fair order: in each round every process polls once at least, and may poll several times
-//! before the other does.
+//! Checks liveness under every fair schedule: in each round every process polls at least once, and may poll several times
+//! before the other one does.
 //!
-//! Until the commit that ends issue 48's first point the first process took its own folder back: it tried the owner's lock
-//! at once after its release, while the successor looked every 20 ms, and the lock had no notion of whose turn it was. Its
-//! log had `handing over`, `handed over calls=0` and `ready` every 80 ms, up to 25 times, and the successor never served.
-//! Here that is the order in which the first process polls three times between two polls of the second, round after round.
+//! Guards against issue 48: the predecessor took the released journal back, because it tried the owner's lock immediately
+//! after the release while the successor polled every 20 ms, and the lock was not reserved for the successor. The
+//! predecessor released the journal and served again every 80 ms, up to 25 times, and the successor never served. In the
+//! model, that is the schedule in which the first process polls three times between two polls of the second in each round.
 use super::model::{Elapsed, InjectedFault, Outcome, Process, World};
 use micaladder::takeover::state::State;
 use std::collections::HashSet;
 
-/// Polls of one process in a round, at most.
+/// Maximum number of polls of one process in a round.
 const MAX_POLLS: usize = 4;
-/// Rounds in which a takeover is over: the first process hears of it, drains and releases, and the second one starts.
+/// Number of rounds within which a takeover completes: the first process sees the request, drains and releases the journal,
+/// and the second one starts to serve.
 const ROUNDS: usize = 4;
 
-/// A world, and how often each process has released the journal on the way to it.
+/// A state of the model, and how often each process has released the journal on the path to it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Run {
     fault: InjectedFault,
@@ -22,7 +23,7 @@
     releases: [u8; 2],
 }
 
-/// Polls of each process in a round so far.
+/// Number of polls of each process in a round so far.
 type Polls = [usize; 2];
 
 impl Run {
@@ -38,14 +39,14 @@
     }
 }
 
-/// All ways in which a round may end that begins at one of these. `live` are the processes that have to poll.
+/// Returns all runs in which a round may end that begins at one of `runs`. Each process in `live` must poll.
 fn after_round(runs: &HashSet<Run>, live: &[usize]) -> HashSet<Run> {
     let mut seen: HashSet<(Run, Polls)> = runs.iter().map(|run| (run.clone(), [0, 0])).collect();
     let mut unexplored: Vec<_> = seen.iter().cloned().collect();
-    let mut ends = HashSet::new();
+    let mut end_runs = HashSet::new();
     while let Some((run, polls)) = unexplored.pop() {
         if live.iter().all(|p| polls[*p] > 0) {
-            ends.insert(run.clone());
+            end_runs.insert(run.clone());
         }
         for p in live.iter().copied().filter(|p| polls[*p] < MAX_POLLS) {
             let mut next = (run.clone(), polls);
@@ -56,15 +57,16 @@
             }
         }
     }
-    ends
+    end_runs
 }
 
+/// Returns all runs in which a number of rounds may end.
 fn after_rounds(start: Run, rounds: usize, live: &[usize]) -> HashSet<Run> {
     (0..rounds).fold(HashSet::from([start]), |runs, _| after_round(&runs, live))
 }
 
-/// The first process serves, and the second one has just started.
-fn second_starts() -> World {
+/// Returns a state in which the first process serves and the second one has just started.
+fn with_starting_successor() -> World {
     let mut world = World::new();
     world.poll(InjectedFault::None, 0, Elapsed::Drain);
     assert!(world.processes[0].accepts());
@@ -73,17 +75,20 @@
 }
 
 #[test]
-fn a_successor_that_goes_on_asking_comes_to_serve_under_any_fair_order() {
-    for run in after_rounds(Run::starting_at(second_starts()), ROUNDS, &[0, 1]) {
-        assert!(run.world.processes[1].accepts(), "not after {ROUNDS} rounds: {run:#?}");
-        assert_eq!(run.releases, [1, 0], "the folder changes hands once: {run:#?}");
+fn a_successor_that_requests_the_folder_serves_under_every_fair_schedule() {
+    for run in after_rounds(Run::starting_at(with_starting_successor()), ROUNDS, &[0, 1]) {
+        assert!(
+            run.world.processes[1].accepts(),
+            "the successor does not serve after {ROUNDS} rounds: {run:#?}"
+        );
+        assert_eq!(run.releases, [1, 0], "the journal is released once: {run:#?}");
     }
 }
 
 #[test]
-fn a_predecessor_serves_again_under_any_fair_order_once_its_successor_is_gone() {
+fn a_predecessor_serves_again_under_every_fair_schedule_after_its_successor_is_killed() {
     for rounds in 0..=ROUNDS {
-        for mut run in after_rounds(Run::starting_at(second_starts()), rounds, &[0, 1]) {
+        for mut run in after_rounds(Run::starting_at(with_starting_successor()), rounds, &[0, 1]) {
             run.world.kill(1);
             for run in after_rounds(run, ROUNDS, &[0]) {
                 assert!(run.world.processes[0].accepts(), "killed after {rounds} rounds: {run:#?}");
@@ -92,26 +97,29 @@
     }
 }
 
-/// The same with a call out at the first process that ends only after the second one serves.
+/// The call of the first process ends only after the second one serves.
 #[test]
-fn a_successor_comes_to_serve_while_a_call_is_out_at_its_predecessor() {
-    let mut world = second_starts();
+fn a_successor_serves_while_its_predecessor_has_a_call_in_flight() {
+    let mut world = with_starting_successor();
     world.accept(0, 0);
     world.send(0, 0);
     for mut run in after_rounds(Run::starting_at(world), ROUNDS, &[0, 1]) {
         assert!(run.world.processes[1].accepts() && run.world.processes[0].has_calls_in_flight(), "{run:#?}");
-        run.world.finish(0, 0, Outcome::Delivered).expect("it is out");
+        run.world.finish(0, 0, Outcome::Delivered).expect("the call is in flight");
         for run in after_rounds(run, ROUNDS, &[0, 1]) {
-            assert!(run.world.processes[1].accepts(), "taken back from a successor that serves: {run:#?}");
+            assert!(
+                run.world.processes[1].accepts(),
+                "the predecessor took the journal back from a serving successor: {run:#?}"
+            );
             assert_eq!(run.releases, [1, 0], "{run:#?}");
         }
     }
 }
 
-/// The same where the successor dies while that call is out: the first process serves again beside it.
+/// The successor is killed while the call is in flight. The first process serves again without waiting for the call to end.
 #[test]
-fn a_predecessor_serves_again_while_a_call_of_its_earlier_time_is_out() {
-    let mut world = second_starts();
+fn a_predecessor_serves_again_while_a_call_from_before_its_release_is_in_flight() {
+    let mut world = with_starting_successor();
     world.accept(0, 0);
     world.send(0, 0);
     for rounds in 0..=ROUNDS {
@@ -125,8 +133,8 @@
 }
 
 #[test]
-fn a_predecessor_that_takes_the_journal_back_is_found() {
-    let fault = InjectedFault::ReleasedJournalTakenBack;
-    let runs = after_rounds(Run { fault, ..Run::starting_at(second_starts()) }, ROUNDS, &[0, 1]);
+fn a_predecessor_that_reacquires_the_released_journal_keeps_its_successor_from_serving() {
+    let fault = InjectedFault::ReleasedJournalReacquired;
+    let runs = after_rounds(Run { fault, ..Run::starting_at(with_starting_successor()) }, ROUNDS, &[0, 1]);
     assert!(runs.iter().any(|run| !run.world.processes[1].accepts()));
 }
--- a/crates/lab/tests/takeover/main.rs
+++ b/crates/lab/tests/takeover/main.rs
@@ -1,5 +1,5 @@
-//! Two processes with one folder, checked exhaustively: every interleaving of their polls of the locks, of what clients,
-//! partners and the disk do, of kills and starts.
+//! Model checks of the takeover: two processes share one state folder. The interleavings cover their polls of the locks, the
+//! actions of clients, partners and the disk, and kills and starts of the processes.
 mod liveness;
 mod model;
 mod safety;
--- a/crates/lab/tests/takeover/safety.rs
+++ b/crates/lab/tests/takeover/safety.rs
@@ -1,31 +1,33 @@
-//! What holds at any moment. Each property is shown to find a fault that is injected.
-use super::model::{FolderModel, InjectedFault};
+//! Checks safety: the model's properties hold in every state that can be reached, and injected faults violate them.
+use super::model::{
+    FolderModel, InjectedFault, AT_MOST_ONE_SERVES, NO_VIOLATION, SERVING_PROCESS_OWNS_JOURNAL,
+};
 use rstest::rstest;
 use stateright::{Checker, Model};
 
 #[test]
-fn two_processes_with_one_folder_keep_all_properties_in_every_interleaving() {
-    let done = FolderModel(InjectedFault::None).checker().threads(2).spawn_bfs().join();
-    println!("{} states", done.unique_state_count());
-    assert!(done.unique_state_count() > 10_000, "{} states", done.unique_state_count());
-    done.assert_properties();
+fn all_properties_hold_in_every_interleaving_of_two_processes() {
+    let checker = FolderModel(InjectedFault::None).checker().threads(2).spawn_bfs().join();
+    println!("{} states", checker.unique_state_count());
+    assert!(checker.unique_state_count() > 10_000, "{} states", checker.unique_state_count());
+    checker.assert_properties();
 }
 
 #[rstest]
 #[case(InjectedFault::OwnerLockReleasedFirst)]
-#[case(InjectedFault::OutcomeOfAnyAttempt)]
-#[case(InjectedFault::PredecessorForgotten)]
-#[case(InjectedFault::OrderingKeyForgotten)]
-#[case(InjectedFault::FullJournalReleased)]
+#[case(InjectedFault::OutcomeOfOtherAttemptAccepted)]
+#[case(InjectedFault::CallsOfPredecessorIgnored)]
+#[case(InjectedFault::OrderingKeyIgnored)]
+#[case(InjectedFault::UnwritableJournalReleased)]
 #[case(InjectedFault::AcceptsAfterRelease)]
-fn an_injected_fault_is_found(#[case] fault: InjectedFault) {
-    let done = FolderModel(fault)
+fn each_injected_fault_violates_a_safety_property(#[case] fault: InjectedFault) {
+    let checker = FolderModel(fault)
         .checker()
         .threads(2)
         .finish_when(stateright::HasDiscoveries::AnyFailures)
         .spawn_bfs()
         .join();
-    let rules = ["no rule is broken", "one serves at a time", "who serves owns the journal"];
-    let found = done.discoveries().into_keys().any(|name| rules.contains(&name));
-    assert!(found, "{fault:?} is not found in {} states", done.unique_state_count());
+    let safety_properties = [NO_VIOLATION, AT_MOST_ONE_SERVES, SERVING_PROCESS_OWNS_JOURNAL];
+    let is_violated = checker.discoveries().into_keys().any(|name| safety_properties.contains(&name));
+    assert!(is_violated, "{fault:?} violates no safety property in {} states", checker.unique_state_count());
 }
