--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -1,98 +1,100 @@
-//! The fleet's hard cases in virtual time.
+//! Runs the scenarios of `scenarios` in virtual time.
 mod scenarios;
 use rstest::rstest;
-use scenarios::End;
+use scenarios::Stop;
 
 #[rstest]
-fn each_change_is_known_within_its_bound(#[values(1, 2, 3)] seed: u64, #[values(3, 12, 40)] count: usize) {
-    scenarios::each_change_is_known_within_its_bound(seed, count);
+fn each_leave_start_and_crash_is_known_within_its_bound(
+    #[values(1, 2, 3)] seed: u64, #[values(3, 12, 40)] count: usize,
+) {
+    scenarios::each_leave_start_and_crash_is_known_within_its_bound(seed, count);
 }
 
 #[rstest]
-fn each_side_of_a_partition_knows_its_size(#[values(4, 5, 6)] seed: u64) {
-    scenarios::each_side_of_a_partition_knows_its_size(seed);
+fn each_side_of_a_partition_counts_present_and_unreachable_members(#[values(4, 5, 6)] seed: u64) {
+    scenarios::each_side_of_a_partition_counts_present_and_unreachable_members(seed);
 }
 
 #[rstest]
-#[case::killed(End::Killed)]
-#[case::terminated(End::Terminated)]
-fn a_restart_within_a_minority_founds_no_fleet(#[case] end: End) {
-    scenarios::a_restart_within_a_minority_founds_no_fleet(end);
+#[case::killed(Stop::Killed)]
+#[case::terminated(Stop::Terminated)]
+fn a_restart_within_a_minority_forms_no_majority(#[case] stop: Stop) {
+    scenarios::a_restart_within_a_minority_forms_no_majority(stop);
 }
 
 #[test]
-fn a_member_that_all_but_one_reach_is_not_declared_dead() {
-    scenarios::a_member_that_all_but_one_reach_is_not_declared_dead();
+fn a_member_that_one_peer_cannot_reach_is_not_declared_dead() {
+    scenarios::a_member_that_one_peer_cannot_reach_is_not_declared_dead();
 }
 
 #[rstest]
 #[case::lossy(0.15, 0)]
 #[case::slow(0.0, 300)]
-fn a_bad_link_is_no_crash_and_a_crash_is_one(#[case] loss: f64, #[case] delay_millis: u64) {
-    scenarios::a_bad_link_is_no_crash_and_a_crash_is_one(loss, delay_millis);
+fn a_crash_is_detected_and_a_bad_link_causes_no_false_death(#[case] loss: f64, #[case] delay_millis: u64) {
+    scenarios::a_crash_is_detected_and_a_bad_link_causes_no_false_death(loss, delay_millis);
 }
 
 #[rstest]
-fn a_suspended_process_blames_nobody(#[values(1, 2, 3, 4)] seed: u64) {
-    scenarios::a_suspended_process_blames_nobody(seed);
+fn resumed_members_do_not_declare_running_members_dead(#[values(1, 2, 3, 4)] seed: u64) {
+    scenarios::resumed_members_do_not_declare_running_members_dead(seed);
 }
 
 #[rstest]
-fn rolling_restarts_by_thirds_under_loss(#[values(11, 12)] seed: u64) {
-    scenarios::rolling_restarts_by_thirds_under_loss(seed);
+fn the_fleet_settles_after_rolling_restarts_under_loss(#[values(11, 12)] seed: u64) {
+    scenarios::the_fleet_settles_after_rolling_restarts_under_loss(seed);
 }
 
 #[test]
-fn all_restart_within_a_second_with_dead_seeds() {
-    scenarios::all_restart_within_a_second_with_dead_seeds();
+fn the_fleet_settles_after_a_full_restart_without_its_seeds() {
+    scenarios::the_fleet_settles_after_a_full_restart_without_its_seeds();
 }
 
 #[test]
-fn unreachable_seeds_keep_nobody_apart() {
-    scenarios::unreachable_seeds_keep_nobody_apart();
+fn a_restarted_member_rejoins_while_the_seeds_are_unreachable() {
+    scenarios::a_restarted_member_rejoins_while_the_seeds_are_unreachable();
 }
 
 #[test]
-fn a_member_with_an_earlier_incarnation_is_present_at_once() {
-    scenarios::a_member_with_an_earlier_incarnation_is_present_at_once();
+fn a_member_that_restarts_with_a_lower_incarnation_rejoins_with_a_higher_one() {
+    scenarios::a_member_that_restarts_with_a_lower_incarnation_rejoins_with_a_higher_one();
 }
 
 #[test]
-fn an_address_passes_to_another_name() {
-    scenarios::an_address_passes_to_another_name();
+fn a_member_with_another_name_replaces_a_dead_member_at_its_address() {
+    scenarios::a_member_with_another_name_replaces_a_dead_member_at_its_address();
 }
 
 #[test]
-fn a_name_that_two_claim_is_the_later_ones() {
-    scenarios::a_name_that_two_claim_is_the_later_ones();
+fn of_two_members_with_one_name_the_lower_incarnation_withdraws() {
+    scenarios::of_two_members_with_one_name_the_lower_incarnation_withdraws();
 }
 
 #[test]
-fn a_forged_departure_and_an_earlier_incarnation_change_nothing() {
-    scenarios::a_forged_departure_and_an_earlier_incarnation_change_nothing();
+fn a_member_refutes_forged_departures_and_earlier_incarnations() {
+    scenarios::a_member_refutes_forged_departures_and_earlier_incarnations();
 }
 
 #[test]
-fn forged_members_fill_a_bounded_table_and_do_not_count() {
-    scenarios::forged_members_fill_a_bounded_table_and_do_not_count();
+fn forged_members_stay_within_the_table_limit_and_do_not_count() {
+    scenarios::forged_members_stay_within_the_table_limit_and_do_not_count();
 }
 
 #[test]
-fn noise_changes_nothing() {
-    scenarios::noise_changes_nothing();
+fn random_datagrams_do_not_change_the_view() {
+    scenarios::random_datagrams_do_not_change_the_view();
 }
 
 #[test]
-fn two_groups_that_reach_each_other_stay_two() {
-    scenarios::two_groups_that_reach_each_other_stay_two();
+fn two_groups_that_reach_each_other_stay_separate() {
+    scenarios::two_groups_that_reach_each_other_stay_separate();
 }
 
 #[test]
-fn attributes_reach_all_and_only_their_owner_writes_them() {
-    scenarios::attributes_reach_all_and_only_their_owner_writes_them();
+fn attributes_reach_all_members_and_forged_ones_are_replaced() {
+    scenarios::attributes_reach_all_members_and_forged_ones_are_replaced();
 }
 
 #[test]
-fn a_goodbye_is_told_apart_from_silence() {
-    scenarios::a_goodbye_is_told_apart_from_silence();
+fn a_member_that_left_is_distinguished_from_a_silent_one() {
+    scenarios::a_member_that_left_is_distinguished_from_a_silent_one();
 }
--- a/crates/lab/tests/seeded.rs
+++ b/crates/lab/tests/seeded.rs
@@ -1,9 +1,10 @@
-//! Each injected defect is detected by a scenario, and without one all scenarios hold.
+//! Checks that at least one scenario fails with each injected defect, and that all scenarios pass without a defect.
 mod scenarios;
 use micaladder::fleet::fault_injection::{self, Defect};
-use scenarios::End;
+use scenarios::Stop;
 use std::panic::catch_unwind;
 
+/// A scenario and the name under which it is printed.
 struct Scenario {
     name: &'static str,
     run: fn(),
@@ -14,29 +15,49 @@
 }
 
 const SCENARIOS: [Scenario; 18] = [
-    scenario("bounds of 3", || scenarios::each_change_is_known_within_its_bound(1, 3)),
-    scenario("bounds of 12", || scenarios::each_change_is_known_within_its_bound(2, 12)),
-    scenario("sides of a partition", || scenarios::each_side_of_a_partition_knows_its_size(4)),
+    scenario("bounds with 3 members", || {
+        scenarios::each_leave_start_and_crash_is_known_within_its_bound(1, 3)
+    }),
+    scenario("bounds with 12 members", || {
+        scenarios::each_leave_start_and_crash_is_known_within_its_bound(2, 12)
+    }),
+    scenario("both sides of a partition", || {
+        scenarios::each_side_of_a_partition_counts_present_and_unreachable_members(4)
+    }),
     scenario("restart within a minority", || {
-        scenarios::a_restart_within_a_minority_founds_no_fleet(End::Terminated);
+        scenarios::a_restart_within_a_minority_forms_no_majority(Stop::Terminated);
+    }),
+    scenario("one unreachable pair", scenarios::a_member_that_one_peer_cannot_reach_is_not_declared_dead),
+    scenario("lossy links", || scenarios::a_crash_is_detected_and_a_bad_link_causes_no_false_death(0.15, 0)),
+    scenario("a slow member", || {
+        scenarios::a_crash_is_detected_and_a_bad_link_causes_no_false_death(0.0, 300)
     }),
-    scenario("all but one", scenarios::a_member_that_all_but_one_reach_is_not_declared_dead),
-    scenario("lossy links", || scenarios::a_bad_link_is_no_crash_and_a_crash_is_one(0.15, 0)),
-    scenario("a slow link", || scenarios::a_bad_link_is_no_crash_and_a_crash_is_one(0.0, 300)),
-    scenario("suspension", || scenarios::a_suspended_process_blames_nobody(1)),
-    scenario("rolling restarts", || scenarios::rolling_restarts_by_thirds_under_loss(11)),
-    scenario("restart with dead seeds", scenarios::all_restart_within_a_second_with_dead_seeds),
-    scenario("unreachable seeds", scenarios::unreachable_seeds_keep_nobody_apart),
-    scenario("an earlier incarnation", scenarios::a_member_with_an_earlier_incarnation_is_present_at_once),
-    scenario("a name twice", scenarios::a_name_that_two_claim_is_the_later_ones),
-    scenario("a forged departure", scenarios::a_forged_departure_and_an_earlier_incarnation_change_nothing),
-    scenario("a full table", scenarios::forged_members_fill_a_bounded_table_and_do_not_count),
-    scenario("two groups", scenarios::two_groups_that_reach_each_other_stay_two),
-    scenario("attributes", scenarios::attributes_reach_all_and_only_their_owner_writes_them),
-    scenario("goodbyes", scenarios::a_goodbye_is_told_apart_from_silence),
+    scenario("suspended members", || scenarios::resumed_members_do_not_declare_running_members_dead(1)),
+    scenario("rolling restarts", || scenarios::the_fleet_settles_after_rolling_restarts_under_loss(11)),
+    scenario(
+        "full restart without seeds",
+        scenarios::the_fleet_settles_after_a_full_restart_without_its_seeds,
+    ),
+    scenario("unreachable seeds", scenarios::a_restarted_member_rejoins_while_the_seeds_are_unreachable),
+    scenario(
+        "a lower incarnation",
+        scenarios::a_member_that_restarts_with_a_lower_incarnation_rejoins_with_a_higher_one,
+    ),
+    scenario(
+        "two members with one name",
+        scenarios::of_two_members_with_one_name_the_lower_incarnation_withdraws,
+    ),
+    scenario(
+        "forged records of a member",
+        scenarios::a_member_refutes_forged_departures_and_earlier_incarnations,
+    ),
+    scenario("many forged members", scenarios::forged_members_stay_within_the_table_limit_and_do_not_count),
+    scenario("two groups", scenarios::two_groups_that_reach_each_other_stay_separate),
+    scenario("attributes", scenarios::attributes_reach_all_members_and_forged_ones_are_replaced),
+    scenario("leave messages", scenarios::a_member_that_left_is_distinguished_from_a_silent_one),
 ];
 
-/// The scenarios that do not hold with a defect.
+/// Returns the names of the scenarios that fail with a defect.
 fn failing_scenarios(defect: Option<Defect>) -> Vec<&'static str> {
     fault_injection::inject(defect);
     let failing = SCENARIOS.iter().filter(|scenario| catch_unwind(scenario.run).is_err());
@@ -46,8 +67,8 @@
 }
 
 #[test]
-fn each_defect_is_detected_and_nothing_else_is() {
-    // The panics of failing scenarios are expected, and not for the reader of this test.
+fn each_defect_fails_a_scenario_and_all_scenarios_pass_without_a_defect() {
+    // Failing scenarios panic as expected, so their messages are suppressed.
     std::panic::set_hook(Box::new(|_| {}));
     let failing_without_defect = failing_scenarios(None);
     let mut undetected = Vec::new();
@@ -59,6 +80,9 @@
         }
     }
     let _ = std::panic::take_hook();
-    assert!(failing_without_defect.is_empty(), "without a defect: {failing_without_defect:?}");
-    assert!(undetected.is_empty(), "detected by no scenario: {undetected:?}");
+    assert!(
+        failing_without_defect.is_empty(),
+        "scenarios that fail without a defect: {failing_without_defect:?}"
+    );
+    assert!(undetected.is_empty(), "defects that no scenario detects: {undetected:?}");
 }
