--- a/crates/lab/src/error.rs
+++ b/crates/lab/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong in the lab.
+//! Errors of the lab.
 use std::io;
 use std::path::PathBuf;
 
@@ -6,28 +6,28 @@
 #[derive(Debug, thiserror::Error)]
 pub enum LabError {
     /// A file or folder of the output cannot be written.
-    #[error("{}: {source}", path.display())]
+    #[error("{} cannot be written: {source}", path.display())]
     Output {
         /// The file or folder.
         path: PathBuf,
-        /// Why.
+        /// The reason.
         source: io::Error,
     },
     /// A result cannot be serialized.
-    #[error("a result cannot be written as JSON: {0}")]
+    #[error("a result cannot be serialized as JSON: {0}")]
     Serialize(#[from] serde_json::Error),
-    /// A worker thread has panicked while it wrote a result: its message says at which seed.
-    #[error("a run has panicked while it wrote its result")]
+    /// A worker thread panicked while it wrote a result.
+    #[error("a worker thread panicked while it wrote a result; see the panic message above")]
     Poisoned,
     /// A plot cannot be drawn.
     #[error("the plot of {figure} cannot be drawn: {reason}")]
     Plot {
-        /// The figure.
+        /// Name of the figure.
         figure: String,
-        /// What the plotting library says.
+        /// Error message of the plotting library.
         reason: String,
     },
-    /// The report's template is wrong.
+    /// The report's template is invalid or cannot be rendered.
     #[error("the report cannot be rendered: {0}")]
     Template(#[from] minijinja::Error),
 }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,6 +1,6 @@
-//! The shipped fleet code on a simulated network in virtual time: the same faults as in the tests with real processes, at
-//! sizes that processes do not reach, reproducible from a seed. The network decides what happens between members; what a
-//! member does is `micaladder::fleet::node`.
+//! Runs the shipped fleet code on a simulated network in virtual time. It simulates the same faults as the tests with real
+//! processes, but in larger fleets, and each run is reproducible from its seed. The network simulates processes and links;
+//! the members run `micaladder::fleet::node`.
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
 pub mod error;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,10 +1,10 @@
-//! `micaladder-lab`: the shipped decisions in virtual time.
+//! `micaladder-lab`: runs the shipped fleet code in virtual time.
 #![forbid(unsafe_code)]
 use clap::{Parser, Subcommand};
 use indicatif::{ParallelProgressIterator, ProgressBar, ProgressStyle};
 use micaladder_lab::error::LabError;
 use micaladder_lab::report;
-use micaladder_lab::scenario::{play, Fault, QuietTime, RunConfig, RunResult, ALL_FAULTS};
+use micaladder_lab::scenario::{run, Fault, QuietTime, RunConfig, RunResult, ALL_FAULTS};
 use rayon::prelude::*;
 use std::fs::File;
 use std::io::Write;
@@ -12,10 +12,10 @@
 use std::process::ExitCode;
 use std::sync::Mutex;
 
-/// Exit code where the lab itself fails; 1 says that a fleet has not settled.
+/// Exit code if the lab itself fails. Exit code 1 means that a fleet has not settled.
 const LAB_FAILED: u8 = 2;
 
-/// Micaladder's shipped decisions in virtual time, at sizes that processes do not reach.
+/// Runs Micaladder's shipped fleet code in virtual time, in larger fleets than real processes allow.
 #[derive(Parser)]
 #[command(name = "micaladder-lab", version)]
 struct CommandLine {
@@ -25,42 +25,42 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays faults on fleets of several sizes, and writes records and a report.
+    /// Simulates faults in fleets of several sizes, and writes the results and a report.
     ///
-    /// Each run is one seed at one size and one loss: a fleet starts, then meets one fault after another, each once it
-    /// has settled; then a quiet time is counted.
+    /// Each run has one seed, one fleet size and one loss rate. A fleet starts, and each fault is injected once the fleet
+    /// has settled after the previous one. In the quiet time at the end, traffic and false deaths are measured.
     Fleet(FleetOptions),
 }
 
 #[derive(clap::Args)]
 struct FleetOptions {
-    /// Members, one fleet of each size (3 to 3000).
+    /// Sizes of the fleets, in members (3 to 3000).
     #[arg(long, value_delimiter = ',', default_value = "3,12,50", value_parser = clap::value_parser!(u64).range(3..=3000))]
     members: Vec<u64>,
-    /// Percent of the datagrams that are lost.
+    /// Percentages of the datagrams that are lost (0 to 90).
     #[arg(long, value_delimiter = ',', default_value = "0,5,15", value_parser = clap::value_parser!(u32).range(0..=90))]
     loss: Vec<u32>,
-    /// Seeds: 1 up to this one.
+    /// Number of seeds: each size and loss is run with the seeds from 1 to this number.
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(1..))]
     seeds: u64,
-    /// Play this seed alone: for a run that failed.
+    /// The only seed to run, for example to repeat a failed run.
     #[arg(long, conflicts_with = "seeds")]
     seed: Option<u64>,
-    /// Faults; all if none is named.
+    /// Faults to inject; all if none is given.
     #[arg(long, value_delimiter = ',')]
     faults: Vec<Fault>,
-    /// Quiet seconds at the end of each run.
+    /// Length of the quiet time at the end of each run, in seconds.
     #[arg(long, default_value_t = 300)]
     calm: u64,
-    /// In the quiet time one after another stands still for 2 s, and 8 s pass between.
+    /// Suspend one member after another for 2 s in the quiet time, with 8 s between suspensions.
     #[arg(long)]
     stops: bool,
-    /// Folder for `runs.jsonl` (a record a line), `report.html` and its plots.
+    /// Folder for `runs.jsonl` (one result per line), `report.html` and its plots.
     #[arg(long, default_value = "target/lab")]
     out: PathBuf,
 }
 
-/// Whether all fleets have settled after all faults.
+/// Whether all fleets settled after all faults.
 #[derive(PartialEq)]
 enum Verdict {
     AllSettled,
@@ -82,7 +82,7 @@
 fn run_fleets(options: &FleetOptions) -> Result<Verdict, LabError> {
     let folder = &options.out;
     std::fs::create_dir_all(folder).map_err(|e| output_error(folder, e))?;
-    let results = play_all(options)?;
+    let results = run_all(options)?;
     let rows = report::summarize(&results);
     print!("{}", report::table(&rows));
     for plot in report::plots(&rows)? {
@@ -93,22 +93,22 @@
     Ok(report_never_settled(&results))
 }
 
-/// Plays all runs in parallel, and writes each result as a line of `runs.jsonl` when it is there.
-fn play_all(options: &FleetOptions) -> Result<Vec<RunResult>, LabError> {
+/// Executes all runs in parallel, and writes each result to a line of `runs.jsonl` when its run ends.
+fn run_all(options: &FleetOptions) -> Result<Vec<RunResult>, LabError> {
     let path = options.out.join("runs.jsonl");
     let file = File::create(&path).map_err(|e| output_error(&path, e))?;
     let file = Mutex::new(file);
     let faults = if options.faults.is_empty() { ALL_FAULTS.to_vec() } else { options.faults.clone() };
     let configs = run_configs(options);
     let progress = progress_bar(configs.len());
-    let play_and_write = |config: RunConfig| -> Result<RunResult, LabError> {
-        let result = play(config, &faults);
+    let run_and_write = |config: RunConfig| -> Result<RunResult, LabError> {
+        let result = run(config, &faults);
         let line = serde_json::to_string(&result)? + "\n";
         let mut file = file.lock().map_err(|_| LabError::Poisoned)?;
         file.write_all(line.as_bytes()).map_err(|e| output_error(&path, e))?;
         Ok(result)
     };
-    configs.into_par_iter().progress_with(progress).map(play_and_write).collect()
+    configs.into_par_iter().progress_with(progress).map(run_and_write).collect()
 }
 
 fn run_configs(options: &FleetOptions) -> Vec<RunConfig> {
@@ -116,7 +116,7 @@
         Some(seed) => seed..=seed,
         None => 1..=options.seeds,
     };
-    // The longest runs first, so that none of them is left alone at the end.
+    // The longest runs come first, so that none of them runs alone at the end while other threads are idle.
     let mut sizes = options.members.clone();
     sizes.sort_unstable_by(|a, b| b.cmp(a));
     let mut configs = Vec::new();
@@ -139,13 +139,14 @@
 fn progress_bar(runs: usize) -> ProgressBar {
     let bar = ProgressBar::new(runs as u64);
     let template = "{elapsed_precise} {bar:40} {pos}/{len} runs, {eta} left";
-    // Without the template the bar has the library's own form.
+    // If the template is invalid, the bar keeps the library's default style.
     if let Ok(style) = ProgressStyle::with_template(template) {
         bar.set_style(style);
     }
     bar
 }
 
+/// Prints the options that repeat each run in which the fleet did not settle.
 fn report_never_settled(results: &[RunResult]) -> Verdict {
     let mut verdict = Verdict::AllSettled;
     for result in results {
--- a/crates/lab/src/network/inspection.rs
+++ b/crates/lab/src/network/inspection.rs
@@ -1,19 +1,19 @@
-//! Compares what the members know.
+//! Compares the members' views.
 use super::{address, name, Network};
 use micaladder::fleet::view::MemberState;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How often a run is checked for whether the fleet has settled: the resolution of the times that are measured.
+/// Interval at which a run checks whether the fleet has settled. It is the resolution of the measured times.
 const SETTLED_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Most members in a description.
+/// Maximum number of members in a description.
 const MAX_DESCRIBED: usize = 60;
-/// Most missing members that are named in a description.
+/// Maximum number of missing members that a description names for each member.
 const MAX_MISSING_NAMED: usize = 3;
 
 impl Network {
-    /// Whether these members all have one view, which consists of just these.
+    /// Returns whether all these members have equal views, which contain exactly these members.
     pub fn has_settled(&self, members: &[usize]) -> bool {
         let Some(first) = members.first() else { return true };
         let digest = self.node(*first).digest();
@@ -23,7 +23,7 @@
         self.available_to(*first) == addresses_of(members)
     }
 
-    /// Lets time pass until these members have settled. Returns how long that took, none if longer than `within`.
+    /// Runs until these members have settled. Returns the time taken, or `None` if it exceeds `within`.
     pub fn run_until_settled(&mut self, members: &[usize], within: Duration) -> Option<Duration> {
         let began = self.now;
         while !self.has_settled(members) {
@@ -35,7 +35,7 @@
         Some(self.now - began)
     }
 
-    /// The states of a member in the views of all other running members.
+    /// Returns the state of a member in the view of each other running member.
     pub fn states_of(&self, member: usize) -> Vec<Option<MemberState>> {
         let address = address(member).to_string();
         let others = self.running().into_iter().filter(|other| *other != member);
@@ -46,7 +46,7 @@
         others.map(state).collect()
     }
 
-    /// The history, and how the views of these members differ, for a run that fails.
+    /// Describes the history and the differences between the views of these members, for a run that fails.
     pub fn describe(&self, members: &[usize]) -> String {
         let history =
             self.history.iter().map(|entry| format!("{:9.3} {}", entry.at.as_secs_f64(), entry.action));
@@ -56,7 +56,7 @@
             let available = self.available_to(*member);
             let missing: Vec<&SocketAddr> = expected.difference(&available).collect();
             lines.push(format!(
-                "{:9.3} {} digest {:016x} lacks {}, has {} too many, first missing: {:?}",
+                "{:9.3} {} digest {:016x}, {} members missing, {} unexpected, first missing: {:?}",
                 self.now.as_secs_f64(),
                 name(*member),
                 self.node(*member).digest(),
@@ -68,7 +68,7 @@
         lines.join("\n")
     }
 
-    /// Addresses of available members as one of them sees them, itself included.
+    /// Returns the addresses of the members that are available in a member's view, and its own address.
     fn available_to(&self, member: usize) -> BTreeSet<SocketAddr> {
         let node = self.node(member);
         let mut addresses: BTreeSet<SocketAddr> =
--- a/crates/lab/src/network/links.rs
+++ b/crates/lab/src/network/links.rs
@@ -4,39 +4,39 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Delay of a datagram, as between two machines of one site.
+/// Minimum delay of a datagram, typical of two machines at one site.
 const BASE_DELAY: Duration = Duration::from_micros(300);
 
-/// Conditions of all links; blocked links come on top.
+/// Conditions that apply to all links that are not blocked.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LinkConditions {
-    /// Share of the datagrams that are lost, 0 to 1.
+    /// Fraction of the datagrams that are lost, 0 to 1.
     pub loss: f64,
-    /// Share of the datagrams that arrive twice, 0 to 1.
+    /// Fraction of the datagrams that arrive twice, 0 to 1.
     pub duplication: f64,
-    /// Most that is added to a datagram's delay at random.
+    /// Maximum random delay that is added to each datagram.
     pub jitter: Duration,
 }
 
-/// Extra delay of a member's datagrams.
+/// Extra delay of all datagrams to and from a member.
 #[derive(Clone, Copy, Debug)]
 pub struct Delay {
-    /// Added always.
+    /// Delay that is added to each datagram.
     pub base: Duration,
-    /// Most that is added at random.
+    /// Maximum random delay that is added on top.
     pub jitter: Duration,
 }
 
 impl Network {
-    /// Blocks all links between two groups of members.
-    pub fn partition(&mut self, one: &[usize], other: &[usize]) {
-        self.block(one, other);
-        self.block(other, one);
+    /// Blocks all links between two groups of members, in both directions.
+    pub fn partition(&mut self, first: &[usize], second: &[usize]) {
+        self.block(first, second);
+        self.block(second, first);
     }
 
-    /// Blocks the links from some members to others.
+    /// Blocks the links from the members `from` to the members `to`, in this direction only.
     pub fn block(&mut self, from: &[usize], to: &[usize]) {
-        self.record(format!("{} members are not heard by {}", from.len(), to.len()));
+        self.record(format!("links from {} members to {} members are blocked", from.len(), to.len()));
         for sender in from {
             for receiver in to.iter().filter(|receiver| *receiver != sender) {
                 self.blocked.insert((*sender, *receiver));
@@ -50,30 +50,32 @@
         self.blocked.clear();
     }
 
-    /// Sends a datagram `after` a time.
-    pub(super) fn send(&mut self, sender: usize, to: SocketAddr, bytes: Vec<u8>, after: Duration) {
+    /// Sends a datagram after a delay, subject to the conditions of the link.
+    pub(super) fn send(&mut self, sender: usize, to: SocketAddr, bytes: Vec<u8>, send_delay: Duration) {
         self.sent_bytes[sender] += bytes.len() as u64;
         let Some(receiver) = member_at(to) else { return };
         if receiver >= self.processes.len() || self.blocked.contains(&(sender, receiver)) {
             return;
         }
-        let is_duplicated = self.happens(self.links.duplication);
+        let is_duplicated = self.occurs(self.links.duplication);
         let copies = if is_duplicated { 2 } else { 1 };
         for _ in 0..copies {
-            if self.happens(self.links.loss) {
+            if self.occurs(self.links.loss) {
                 continue;
             }
-            let delay = after + self.random_delay(sender, receiver);
+            let delay = send_delay + self.random_delay(sender, receiver);
             let generation = self.generation(receiver);
             self.schedule(delay, receiver, generation, Event::Datagram(bytes.clone()));
         }
     }
 
-    /// Draws no random number for what never happens: runs of one seed then differ by their conditions alone.
-    fn happens(&mut self, share: f64) -> bool {
-        share > 0.0 && self.random.random_bool(share)
+    /// Returns `true` with the given probability. Draws no random number at probability 0, so that runs of one seed differ
+    /// only by their conditions.
+    fn occurs(&mut self, probability: f64) -> bool {
+        probability > 0.0 && self.random.random_bool(probability)
     }
 
+    /// Returns the delay of a datagram, with the extra delays of its sender and receiver.
     fn random_delay(&mut self, sender: usize, receiver: usize) -> Duration {
         let mut delay = BASE_DELAY;
         for member in [sender, receiver] {
--- a/crates/lab/src/network/mod.rs
+++ b/crates/lab/src/network/mod.rs
@@ -1,5 +1,5 @@
-//! A simulated network: members that start, end, are suspended and come back (`processes`), and links that lose, delay,
-//! duplicate and are cut (`links`). `inspection` compares what the members know.
+//! A simulated network: `processes` starts, stops, suspends and resumes members, `links` loses, delays, duplicates and blocks
+//! datagrams, and `inspection` compares the members' views.
 mod inspection;
 mod links;
 mod processes;
@@ -15,36 +15,37 @@
 
 pub use links::{Delay, LinkConditions};
 
-/// Numbers of members beyond the expected ones, for those that join later.
+/// Number of member slots beyond the expected members, for members that join later.
 const SPARE_MEMBERS: usize = 64;
-/// More events than this per second and member are a storm, which ends a run: a healthy fleet has some hundred in its
-/// worst second.
+/// Maximum number of events per second and expected member. Above this limit the run panics because of a datagram storm. A
+/// healthy fleet has a few hundred in its worst second.
 const MAX_EVENTS_PER_SEC: u64 = 5000;
 
+/// A simulated event of one process.
 enum Event {
     Datagram(Vec<u8>),
     Wakeup,
-    /// A member connects to others that are not authenticated.
+    /// The member connects to unauthenticated members.
     Authenticate,
     /// Two members have presented their certificates to each other.
     Authenticated(Member, Member),
 }
 
-/// When an event is due, and for whom. Ordered by time, then by the order in which the events were scheduled.
+/// The time and receiver of an event. Ordered by time, then by the order in which the events were scheduled.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledEvent {
     at: Duration,
     id: u64,
     member: usize,
-    /// The process that it is for: an event for an earlier process of the member is dropped.
+    /// Generation of the receiving process. An event for an earlier process of the member is dropped.
     generation: u64,
 }
 
-/// A step of a scenario, for the description of a run that fails.
+/// A step of a scenario, printed when a run fails.
 pub struct HistoryEntry {
-    /// When it was.
+    /// Time of the step.
     pub at: Duration,
-    /// What was done.
+    /// Description of the step.
     pub action: String,
 }
 
@@ -57,53 +58,55 @@
 
 /// Members, numbered from 0, and the links between them.
 pub struct Network {
-    /// The time.
+    /// The virtual time since the start of the run.
     pub now: Duration,
     /// Conditions of all links.
     pub links: LinkConditions,
-    /// The group of members that start.
+    /// The group of the members that are started from now on.
     pub group: String,
     /// Extra delay of all datagrams to and from a member.
     pub delays: HashMap<usize, Delay>,
-    /// Links that pass nothing, by sender and receiver.
+    /// Blocked links, by sender and receiver.
     pub blocked: HashSet<(usize, usize)>,
-    /// Bytes of datagrams that each member has sent.
+    /// Number of datagram bytes that each member has sent.
     pub sent_bytes: Vec<u64>,
-    /// Steps of the scenario so far.
+    /// The steps of the scenario so far.
     pub history: Vec<HistoryEntry>,
     processes: Vec<Option<Process>>,
-    /// What members that ended have on disk.
+    /// State on disk of each member that has stopped.
     persisted: HashMap<usize, PersistedState>,
     queue: BinaryHeap<Reverse<ScheduledEvent>>,
     events: HashMap<u64, Event>,
-    /// Rises with each event and each start of a process.
+    /// Last id; incremented for each event and each start of a process.
     last_id: u64,
     event_rate: EventRate,
     seed_addresses: Vec<SocketAddr>,
     expected_members: usize,
     random: StdRng,
-    /// How often processes that have ended were declared dead and came back.
+    /// Number of times that processes which have stopped were wrongly declared dead.
     past_false_deaths: u64,
 }
 
-/// A member's address.
+/// Returns the address of a member.
 pub fn address(member: usize) -> SocketAddr {
     ([10, 0, (member >> 8) as u8, member as u8], 7000).into()
 }
 
+/// Returns the number of the member with an address of the simulated network. The member need not exist.
 fn member_at(address: SocketAddr) -> Option<usize> {
     let SocketAddr::V4(address) = address else { return None };
     let [network, _, high, low] = address.ip().octets();
     (network == 10).then_some(usize::from(high) << 8 | usize::from(low))
 }
 
-/// A member's name.
+/// Returns the name of a member.
 pub fn name(member: usize) -> String {
     format!("n{member}")
 }
 
 impl Network {
-    /// A network without members. About `expected_members` will start, and all of them know the addresses of `seeds`.
+    /// Creates a network without running members. About `expected_members` are expected to start, with the addresses of
+    /// `seeds` as their seed addresses.
     pub fn new(random_seed: u64, expected_members: usize, seeds: &[usize]) -> Network {
         let capacity = expected_members + SPARE_MEMBERS;
         Network {
@@ -138,13 +141,13 @@
         self.queue.push(Reverse(scheduled));
     }
 
-    /// Delivers a forged datagram: noise, a replay or a lie.
+    /// Delivers a datagram from outside the fleet: random bytes, a replay or a forgery.
     pub fn inject(&mut self, receiver: usize, bytes: Vec<u8>) {
         let generation = self.generation(receiver);
         self.schedule(Duration::ZERO, receiver, generation, Event::Datagram(bytes));
     }
 
-    /// Lets the time pass up to a moment.
+    /// Advances the time to `until` and delivers the events that become due.
     pub fn run_until(&mut self, until: Duration) {
         while let Some(Reverse(scheduled)) = self.queue.peek().copied() {
             if scheduled.at > until {
@@ -160,7 +163,7 @@
         self.now = until;
     }
 
-    /// Lets a time pass.
+    /// Advances the time by `time` and delivers the events that become due.
     pub fn run_for(&mut self, time: Duration) {
         self.run_until(self.now + time);
     }
@@ -172,7 +175,11 @@
         }
         self.event_rate.count += 1;
         let limit = MAX_EVENTS_PER_SEC * self.expected_members as u64;
-        assert!(self.event_rate.count < limit, "a storm of datagrams at {:?}", self.now);
+        assert!(
+            self.event_rate.count < limit,
+            "datagram storm at {:?}: more than {MAX_EVENTS_PER_SEC} events per second and member",
+            self.now
+        );
     }
 
     fn deliver(&mut self, scheduled: ScheduledEvent, event: Event) {
@@ -191,7 +198,7 @@
         match event {
             Event::Datagram(bytes) => process.node.handle_datagram(now, &bytes),
             Event::Wakeup => {
-                // Another moment was asked for since.
+                // The wakeup was rescheduled since.
                 if process.wakeup_at != at {
                     return;
                 }
@@ -202,8 +209,8 @@
                 self.connect_to_unauthenticated(member, generation);
                 return;
             }
-            Event::Authenticated(one, other) => {
-                self.mark_authenticated(&one, &other);
+            Event::Authenticated(first, second) => {
+                self.mark_authenticated(&first, &second);
                 return;
             }
         }
--- a/crates/lab/src/network/processes.rs
+++ b/crates/lab/src/network/processes.rs
@@ -1,4 +1,4 @@
-//! The members' processes: start, end, suspension, and what is left on disk.
+//! The members' processes: starts, stops, suspensions, and the state that they leave on disk.
 use super::{address, member_at, name, Event, Network};
 use micaladder::fleet::member::{Member, MAX_MEMBERS};
 use micaladder::fleet::node::{Node, NodeConfig};
@@ -9,30 +9,34 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How often a member connects to others that are not authenticated, and to how many at a time: as the daemon's peers do.
+/// Interval at which a member connects to unauthenticated members.
 const CONNECT_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum number of connections per interval. The maximum rate is that of the daemon: 80 connections per second.
 const MAX_CONNECTIONS: usize = 20;
-/// Time until both sides of a connection have presented their certificates.
+/// Time from the start of a connection until both sides have presented their certificates.
 const HANDSHAKE_TIME: Duration = Duration::from_millis(5);
-/// A goodbye is sent this often, as in the daemon.
-const GOODBYE_ROUNDS: u32 = 4;
-const GOODBYE_INTERVAL: Duration = Duration::from_millis(30);
-/// Datagrams that the socket of a suspended process holds.
+/// Number of times that the leave messages are sent, as in the daemon.
+const LEAVE_ROUNDS: u32 = 4;
+/// Interval at which the leave messages are sent, as in the daemon.
+const LEAVE_INTERVAL: Duration = Duration::from_millis(30);
+/// Maximum number of datagrams in the socket buffer of a suspended process. Further datagrams are lost.
 const SOCKET_BUFFER_DATAGRAMS: usize = 512;
-/// A node that asks for a wakeup in the past gets it after this time, so that virtual time does not stand still.
+/// Minimum delay of a wakeup. Without it, a node that requests wakeups in the past would stop the virtual time.
 const MIN_WAKEUP_DELAY: Duration = Duration::from_millis(1);
 
+/// A running or suspended process of a member.
 pub(super) struct Process {
     pub(super) node: Node,
-    /// The incarnation that it started with.
+    /// The incarnation with which the process started.
     pub(super) first_incarnation: u64,
-    /// What its socket holds, while it is suspended.
+    /// The datagrams in the socket buffer while the process is suspended; `None` while it runs.
     suspended_socket: Option<Vec<Vec<u8>>>,
     pub(super) wakeup_at: Duration,
-    /// Rises with each start.
+    /// Unique for each start; later starts have higher numbers.
     pub(super) generation: u64,
-    /// What it found on disk at its start, besides the incarnation.
+    /// Addresses of remembered members that were on disk at the start.
     remembered: Vec<SocketAddr>,
+    /// The fleet last agreed on that was on disk at the start.
     agreed_fleet: BTreeSet<String>,
 }
 
@@ -41,7 +45,7 @@
         self.suspended_socket.is_some()
     }
 
-    /// A datagram arrives while the process is suspended.
+    /// Stores a datagram that arrives while the process is suspended in the socket buffer.
     pub(super) fn buffer_datagram(&mut self, bytes: Vec<u8>) {
         if let Some(buffered) = &mut self.suspended_socket {
             if buffered.len() < SOCKET_BUFFER_DATAGRAMS {
@@ -50,7 +54,7 @@
         }
     }
 
-    /// What is on disk when it ends.
+    /// Returns the state that the process leaves on disk when it stops.
     fn persisted(&self) -> PersistedState {
         let present: Vec<SocketAddr> = self.node.available_members().iter().map(|m| m.address).collect();
         let absent = self.remembered.iter().filter(|address| !present.contains(address));
@@ -63,34 +67,35 @@
         PersistedState { incarnation: self.node.local_member().incarnation, remembered, agreed_fleet }
     }
 
+    /// Returns how many times this process was wrongly declared dead. Each time it raises its incarnation by one.
     fn false_deaths(&self) -> u64 {
         self.node.local_member().incarnation - self.first_incarnation
     }
 }
 
-/// What a member has on disk.
+/// The state of a member on disk.
 #[derive(Clone, Default)]
 pub(super) struct PersistedState {
-    /// Its last incarnation, 0 for none.
+    /// The last incarnation; 0 if the member never ran.
     incarnation: u64,
-    /// Addresses of members that it knew.
+    /// Addresses of the members that it knew.
     remembered: Vec<SocketAddr>,
     agreed_fleet: BTreeSet<String>,
 }
 
 impl Network {
-    /// Starts a member, for the first time or again with what it has on disk.
+    /// Starts a member with the state that its earlier process left on disk, if any.
     pub fn start(&mut self, member: usize) {
         let mut state = self.persisted.get(&member).cloned().unwrap_or_default();
         state.incarnation = match state.incarnation {
-            // A first incarnation is taken from the clock, as in the daemon.
+            // The first incarnation is the clock time, as in the daemon.
             0 => 1 + self.now.as_millis() as u64,
             last => last + 1,
         };
         self.start_process(member, &name(member), state);
     }
 
-    /// Starts a member with an empty disk, under another name or with an incarnation of the scenario's choice.
+    /// Starts a member with an empty disk, and with the given name and incarnation.
     pub fn start_as(&mut self, member: usize, name: &str, incarnation: u64) {
         self.start_process(member, name, PersistedState { incarnation, ..PersistedState::default() });
     }
@@ -130,36 +135,37 @@
         self.flush(member);
     }
 
-    fn end(&mut self, member: usize) -> Option<Process> {
+    /// Removes a member's process and stores the state that it leaves on disk.
+    fn stop(&mut self, member: usize) -> Option<Process> {
         let process = self.processes[member].take()?;
         self.past_false_deaths += process.false_deaths();
         self.persisted.insert(member, process.persisted());
         Some(process)
     }
 
-    /// Ends a member at once (SIGKILL).
+    /// Kills a member's process (SIGKILL).
     pub fn kill(&mut self, member: usize) {
         self.record(format!("{} is killed", name(member)));
-        self.end(member);
+        self.stop(member);
     }
 
-    /// Ends a member that has nothing in flight (SIGTERM): it says goodbye.
+    /// Terminates a member that has no messages in flight (SIGTERM). The member sends leave messages.
     pub fn terminate(&mut self, member: usize) {
         self.record(format!("{} is terminated", name(member)));
-        let Some(mut process) = self.end(member) else { return };
-        let goodbyes = process.node.leave(self.now);
-        for round in 0..GOODBYE_ROUNDS {
-            for goodbye in &goodbyes {
-                self.send(member, goodbye.to, goodbye.bytes.clone(), GOODBYE_INTERVAL * round);
+        let Some(mut process) = self.stop(member) else { return };
+        let leave_messages = process.node.leave(self.now);
+        for round in 0..LEAVE_ROUNDS {
+            for message in &leave_messages {
+                self.send(member, message.to, message.bytes.clone(), LEAVE_INTERVAL * round);
             }
         }
-        // A member that left counts nobody.
+        // A member that has left forgets the agreed fleet, so it counts no other member when it starts again.
         if let Some(state) = self.persisted.get_mut(&member) {
             state.agreed_fleet.clear();
         }
     }
 
-    /// Suspends a process (SIGSTOP).
+    /// Suspends a member's process (SIGSTOP).
     pub fn suspend(&mut self, member: usize) {
         self.record(format!("{} is suspended", name(member)));
         if let Some(process) = self.processes[member].as_mut() {
@@ -167,11 +173,11 @@
         }
     }
 
-    /// Resumes a process (SIGCONT): datagrams that came meanwhile wait in its socket.
+    /// Resumes a member's process (SIGCONT), which then processes the datagrams in its socket buffer.
     pub fn resume(&mut self, member: usize) {
         self.record(format!("{} is resumed", name(member)));
         let Some(process) = self.processes[member].as_mut() else { return };
-        // Which of its clock and its socket a resumed process looks at first is random.
+        // Whether a resumed process handles its wakeup or its datagrams first is random.
         let wakes_first = self.random.random_bool(0.5);
         if wakes_first {
             process.node.handle_wakeup(self.now);
@@ -185,30 +191,30 @@
         self.schedule(CONNECT_INTERVAL, member, generation, Event::Authenticate);
     }
 
-    /// Members whose processes run or are suspended.
+    /// Returns the members that run or are suspended.
     pub fn running(&self) -> Vec<usize> {
         (0..self.processes.len()).filter(|member| self.processes[*member].is_some()).collect()
     }
 
-    /// The node of a running member.
+    /// Returns the node of a running member.
     ///
     /// # Panics
     ///
-    /// Where the member does not run.
+    /// If the member does not run.
     pub fn node(&self, member: usize) -> &Node {
-        &self.processes[member].as_ref().expect("scenarios look at running members only").node
+        &self.processes[member].as_ref().expect("the member runs").node
     }
 
-    /// The view of a running member.
+    /// Returns the view of a running member.
     ///
     /// # Panics
     ///
-    /// Where the member does not run.
+    /// If the member does not run.
     pub fn view(&self, member: usize) -> FleetView {
         self.node(member).view(self.now)
     }
 
-    /// A member publishes new attributes.
+    /// Publishes new attributes of a member.
     pub fn publish_attributes(&mut self, member: usize, attributes: Attributes) {
         if let Some(process) = self.processes[member].as_mut() {
             process.node.publish_attributes(self.now, attributes);
@@ -216,23 +222,23 @@
         self.flush(member);
     }
 
-    /// How often live members were declared dead and had to rejoin, up to now.
+    /// Returns how many times live members were declared dead and had to rejoin.
     pub fn false_deaths(&self) -> u64 {
         let running = self.processes.iter().flatten();
         self.past_false_deaths + running.map(Process::false_deaths).sum::<u64>()
     }
 
-    /// How often running members have suspected anybody.
+    /// Returns how many suspicions the running members have raised.
     pub fn suspicion_count(&self) -> u64 {
         self.processes.iter().flatten().map(|process| process.node.suspicion_count()).sum()
     }
 
-    /// The generation of a running process, 0 for none.
+    /// Returns the generation of a member's process, or 0 if it does not run.
     pub(super) fn generation(&self, member: usize) -> u64 {
         self.processes[member].as_ref().map_or(0, |process| process.generation)
     }
 
-    /// Sends what a member has queued, and schedules its next wakeup.
+    /// Sends the datagrams that a member has queued, and schedules its next wakeup.
     pub(super) fn flush(&mut self, member: usize) {
         let Some(process) = self.processes[member].as_mut() else { return };
         let outgoing = process.node.take_outgoing();
@@ -249,7 +255,7 @@
         }
     }
 
-    /// A member connects to some of those that are not authenticated and can be reached.
+    /// Connects a member to some of the unauthenticated members that it can reach, and schedules the next connections.
     pub(super) fn connect_to_unauthenticated(&mut self, member: usize, generation: u64) {
         let Some(process) = self.processes[member].as_ref() else { return };
         let local = process.node.local_member().clone();
@@ -263,7 +269,7 @@
         self.schedule(CONNECT_INTERVAL, member, generation, Event::Authenticate);
     }
 
-    /// The member at an address as it is now, if a connection to it can be made.
+    /// Returns the current identity of the member at an address, if a connection from `from` can be established.
     fn reachable_member(&self, from: usize, address: SocketAddr) -> Option<Member> {
         let to = member_at(address)?;
         if self.blocked.contains(&(from, to)) || self.blocked.contains(&(to, from)) {
@@ -276,9 +282,9 @@
         Some(process.node.local_member().clone())
     }
 
-    /// Two members have presented their certificates to each other.
-    pub(super) fn mark_authenticated(&mut self, one: &Member, other: &Member) {
-        for (observer, peer) in [(one, other), (other, one)] {
+    /// Marks two members as authenticated to each other, after both have presented their certificates.
+    pub(super) fn mark_authenticated(&mut self, first: &Member, second: &Member) {
+        for (observer, peer) in [(first, second), (second, first)] {
             let Some(member) = member_at(observer.address) else { continue };
             let Some(process) = self.processes[member].as_mut() else { continue };
             if process.is_suspended() {
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,4 +1,4 @@
-//! Summarizes many runs: minimum, median and maximum of each figure, as a table, a page and plots.
+//! Summarizes runs as a table, an HTML page and plots, with the minimum, median and maximum of each figure.
 use crate::error::LabError;
 use crate::scenario::{Fault, RunResult};
 use plotters::prelude::*;
@@ -8,31 +8,32 @@
 
 /// Size of a plot in pixels.
 const PLOT_SIZE: (u32, u32) = (640, 400);
-/// Space above the largest value of a plot, and beside the largest size.
+/// Factor by which a plot extends beyond the largest value.
 const VALUE_HEADROOM: f64 = 1.1;
+/// Factor by which a plot extends beyond the largest fleet size.
 const SIZE_HEADROOM: f64 = 1.2;
-/// A plot reaches at least up to this value, so that one of zeros has an axis.
+/// Minimum upper end of the value axis, so that a plot of zeros has an axis.
 const MIN_PLOT_TOP: f64 = 0.1;
-/// Figures that are no fault's come behind those of faults, in this order.
+// Sort keys of the figures that belong to no fault; they follow the figures of the faults.
 const BYTES_ORDER: usize = 90;
 const MAX_BYTES_ORDER: usize = 91;
 const SUSPICIONS_ORDER: usize = 92;
 const FALSE_DEATHS_ORDER: usize = 93;
 
-/// One figure of all runs with one size and loss.
+/// One figure, summarized over all runs with one fleet size and loss.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ReportRow {
     /// Size of the fleet.
     pub members: usize,
-    /// Percent of the datagrams that are lost.
+    /// Percentage of the datagrams that are lost.
     pub loss_percent: u32,
-    /// The figure's name, with its unit.
+    /// Name and unit of the figure.
     pub figure: String,
     /// Number of runs.
     pub runs: usize,
-    /// Runs without this figure, as the fleet never settled.
+    /// Number of runs without a value, because the fleet never settled.
     pub never_settled: usize,
-    /// Smallest value; NaN where no run has one, as for the next two.
+    /// Smallest value. It, the median and the largest value are NaN if no run has a value.
     pub min: f64,
     /// Median of the values.
     pub median: f64,
@@ -40,7 +41,7 @@
     pub max: f64,
 }
 
-/// Orders figures as they are reported.
+/// Key of a figure. Its order is the order of the rows in the report.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct FigureKey {
     members: usize,
@@ -53,19 +54,19 @@
 pub fn summarize(results: &[RunResult]) -> Vec<ReportRow> {
     let mut values: BTreeMap<FigureKey, Vec<Option<f64>>> = BTreeMap::new();
     for result in results {
-        let mut add = |order: usize, figure: String, value: Option<f64>| {
+        let mut add_value = |order: usize, figure: String, value: Option<f64>| {
             let members = result.config.members;
             let key = FigureKey { members, loss_percent: result.config.loss_percent, order, figure };
             values.entry(key).or_default().push(value);
         };
         for (fault, secs) in &result.settle_secs {
-            add(*fault as usize, format!("{} (s)", fault_name(*fault)), *secs);
+            add_value(*fault as usize, format!("{} (s)", fault_name(*fault)), *secs);
         }
-        add(BYTES_ORDER, "bytes a second a member".into(), Some(result.bytes_per_sec));
+        add_value(BYTES_ORDER, "bytes a second a member".into(), Some(result.bytes_per_sec));
         let max_bytes = Some(result.max_bytes_per_sec);
-        add(MAX_BYTES_ORDER, "the same, the most of one member".into(), max_bytes);
-        add(SUSPICIONS_ORDER, "suspicions an hour".into(), Some(result.suspicions_per_hour));
-        add(FALSE_DEATHS_ORDER, "false deaths an hour".into(), Some(result.false_deaths_per_hour));
+        add_value(MAX_BYTES_ORDER, "the same, the most of one member".into(), max_bytes);
+        add_value(SUSPICIONS_ORDER, "suspicions an hour".into(), Some(result.suspicions_per_hour));
+        add_value(FALSE_DEATHS_ORDER, "false deaths an hour".into(), Some(result.false_deaths_per_hour));
     }
     values.into_iter().map(|(key, values)| summarize_figure(key, &values)).collect()
 }
@@ -73,20 +74,20 @@
 fn summarize_figure(key: FigureKey, values: &[Option<f64>]) -> ReportRow {
     let mut known: Vec<f64> = values.iter().flatten().copied().collect();
     known.sort_by(f64::total_cmp);
-    let at = |n: usize| known.get(n).copied().unwrap_or(f64::NAN);
+    let value_at = |index: usize| known.get(index).copied().unwrap_or(f64::NAN);
     ReportRow {
         members: key.members,
         loss_percent: key.loss_percent,
         figure: key.figure,
         runs: values.len(),
         never_settled: values.len() - known.len(),
-        min: at(0),
-        median: at(known.len() / 2),
-        max: at(known.len().saturating_sub(1)),
+        min: value_at(0),
+        median: value_at(known.len() / 2),
+        max: value_at(known.len().saturating_sub(1)),
     }
 }
 
-/// The fault's name on the command line and in results.
+/// Returns the fault's name on the command line and in results.
 fn fault_name(fault: Fault) -> String {
     match serde_json::to_value(fault) {
         Ok(serde_json::Value::String(name)) => name,
@@ -94,10 +95,10 @@
     }
 }
 
-/// The rows as a table for a terminal.
+/// Formats the rows as a table for a terminal.
 pub fn table(rows: &[ReportRow]) -> String {
     let mut text = String::new();
-    // Writing to memory cannot fail.
+    // Writing to a string cannot fail.
     let _ = writeln!(
         text,
         "{:>7} {:>4}  {:<34}{:>10}{:>10}{:>10}{:>6}{:>7}",
@@ -120,11 +121,11 @@
     text
 }
 
-/// A plot as a file.
+/// A plot as an SVG file.
 pub struct Plot {
     /// Name of the file.
     pub file_name: String,
-    /// Its content.
+    /// Content of the file.
     pub svg: String,
 }
 
@@ -133,14 +134,14 @@
     format!("{}.svg", plain.trim_matches('-'))
 }
 
-/// The rows of one figure, by loss in percent.
+/// The rows of one figure, by percentage of loss.
 type LinesByLoss<'a> = BTreeMap<u32, Vec<&'a ReportRow>>;
 
-/// A plot of each figure against the size of the fleet, with a line for each loss.
+/// Draws a plot of each figure against the fleet size, with one line for each loss.
 ///
 /// # Errors
 ///
-/// `LabError::Plot`, where the plotting library fails.
+/// `LabError::Plot` if the plotting library fails.
 pub fn plots(rows: &[ReportRow]) -> Result<Vec<Plot>, LabError> {
     let mut by_figure: BTreeMap<&str, LinesByLoss> = BTreeMap::new();
     for row in rows.iter().filter(|row| row.median.is_finite()) {
@@ -156,7 +157,7 @@
     Ok(plots)
 }
 
-/// The plotting library's errors are of a type for each backend; what counts of them is the text.
+/// Converts an error of the plotting library to text, because its type depends on the backend.
 fn reason(error: impl Display) -> String {
     error.to_string()
 }
@@ -203,7 +204,8 @@
 <style>body{font:15px sans-serif;margin:2em}td,th{padding:.2em .8em;text-align:right}td:nth-child(3){text-align:left}
 .never{color:#b00}</style>
 <h1>Fleet in virtual time</h1>
-<p>Time from the moment at which all could have one view again until they have it; least, middle and most of all seeds.</p>
+<p>Times count from the moment at which the members are able to settle until all have equal views. Each row has the minimum,
+median and maximum over all seeds.</p>
 {% for plot in plots %}<img src="{{ plot }}" alt="{{ plot }}">{% endfor %}
 <table><tr><th>members<th>lost<th><th>min<th>median<th>max<th>runs<th>never</tr>
 {% for r in rows %}<tr{% if r.never_settled %} class="never"{% endif %}><td>{{ r.members }}<td>{{ r.loss_percent }}%<td>{{ r.figure }}
@@ -211,11 +213,11 @@
 {% endfor %}</table></html>
 "#;
 
-/// A page with the rows, and with the plots that lie beside it.
+/// Renders an HTML page with the rows and with the plots, which are files in the same folder.
 ///
 /// # Errors
 ///
-/// `LabError::Template`, where the template is wrong.
+/// `LabError::Template` if the template is invalid or cannot be rendered.
 pub fn page(rows: &[ReportRow]) -> Result<String, LabError> {
     let plotted = rows.iter().filter(|row| row.median.is_finite());
     let plots: BTreeSet<String> = plotted.map(|row| plot_file_name(&row.figure)).collect();
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -1,33 +1,36 @@
-//! One run: a fleet starts and meets one fault after another, each once it has settled; measured is how long it takes to
-//! settle again. A run has one seed, one size and one loss.
+//! A run of the lab: starts a fleet, injects one fault after another, each once the fleet has settled, and measures how long
+//! the fleet takes to settle again. A run has one seed, one fleet size and one loss rate.
 use crate::network::{LinkConditions, Network};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Longer than a fleet may take to settle.
+/// Time limit for a fleet to settle.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(120);
-/// Duration of a partition: long enough that each side declares the other dead.
+/// Duration of a partition, long enough that each side declares the other one dead.
 const PARTITION_TIME: Duration = Duration::from_secs(20);
-/// Duration of a suspension in the fault of that name.
+/// Duration of the suspension in `Fault::Suspension`.
 const SUSPENSION_TIME: Duration = Duration::from_secs(8);
-/// All members start within this time.
+/// Time within which all members start at the start of a run.
 const START_TIME: Duration = Duration::from_secs(1);
-/// After a full restart all members but the seeds start within this time.
+/// Time within which all members except the seeds start in a full restart.
 const RESTART_TIME: Duration = Duration::from_millis(500);
-/// Restarted members are down for this time after a partition has healed.
+/// Time for which restarted members stay down after the partition has healed.
 const DOWN_TIME: Duration = Duration::from_millis(200);
-/// Between the last fault and the quiet time, so that the last fault's news is not counted.
+/// Pause between the last fault and the quiet time, so that traffic caused by the fault is not counted.
 const PAUSE_BEFORE_QUIET: Duration = Duration::from_secs(60);
-/// Suspensions in the quiet time, and the time between them.
+/// Duration of a suspension in the quiet time.
 const QUIET_SUSPENSION: Duration = Duration::from_secs(2);
+/// Time between suspensions in the quiet time.
 const QUIET_SUSPENSION_GAP: Duration = Duration::from_secs(8);
-/// Share of the datagrams that arrive twice.
+/// Fraction of the datagrams that arrive twice.
 const DUPLICATION: f64 = 0.01;
+/// Maximum random delay that is added to each datagram.
 const JITTER: Duration = Duration::from_millis(2);
-/// Members that all others are configured with.
+/// Members whose addresses are the seed addresses of all members.
 const SEEDS: [usize; 2] = [0, 1];
 
-/// What happens to a fleet that has settled. The names on the command line and in results are those of earlier versions.
+/// A fault that is injected into a fleet that has settled. On the command line and in results, faults keep the names of
+/// earlier versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, clap::ValueEnum)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
@@ -43,11 +46,11 @@
     #[serde(rename = "back")]
     #[value(name = "back")]
     Restart,
-    /// A partition into halves heals.
+    /// A partition into two halves heals.
     #[serde(rename = "cut")]
     #[value(name = "cut")]
     Partition,
-    /// A third receives from the others and is not received: healed.
+    /// A partition heals in which one third receives from the others, but the others receive nothing from it.
     #[serde(rename = "one-way")]
     #[value(name = "one-way")]
     OneWayPartition,
@@ -59,13 +62,13 @@
     #[serde(rename = "still")]
     #[value(name = "still")]
     Suspension,
-    /// All members are killed and start again within a second, without their seeds.
+    /// All members are killed, and all except the seeds start again within half a second. The seeds start later.
     #[serde(rename = "whole")]
     #[value(name = "whole")]
     FullRestart,
 }
 
-/// All faults, in the order in which a run has them.
+/// All faults, in the order in which a run injects them.
 pub const ALL_FAULTS: [Fault; 10] = [
     Fault::Start,
     Fault::Join,
@@ -104,55 +107,55 @@
     }
 }
 
-/// What a run consists of.
+/// Configuration of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunConfig {
     /// Size of the fleet.
     pub members: usize,
-    /// Percent of the datagrams that are lost.
+    /// Percentage of the datagrams that are lost.
     #[serde(rename = "loss")]
     pub loss_percent: u32,
-    /// Seed of all random choices.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Length of the quiet time in seconds, in which bytes and false deaths are counted.
+    /// Length of the quiet time in seconds, in which bytes, suspicions and false deaths are counted.
     #[serde(rename = "calm")]
     pub quiet_secs: u64,
-    /// What happens in the quiet time.
+    /// Whether members are suspended in the quiet time.
     #[serde(rename = "stops")]
     pub quiet_time: QuietTime,
 }
 
-/// What was measured in a run.
+/// Measurements of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunResult {
-    /// What the run consisted of.
+    /// Configuration of the run.
     #[serde(rename = "plan")]
     pub config: RunConfig,
-    /// For each fault the seconds until all had the same view again, none if they never had.
+    /// For each fault, the seconds until all members had equal views again; `None` if the fleet did not settle in time.
     #[serde(rename = "settled")]
     pub settle_secs: Vec<(Fault, Option<f64>)>,
-    /// Bytes per second that a member sent in the quiet time, mean of all.
+    /// Bytes per second that a member sent in the quiet time, as the mean of all members.
     #[serde(rename = "bytes")]
     pub bytes_per_sec: f64,
-    /// The same, of the member that sent most.
+    /// Bytes per second of the member that sent most in the quiet time.
     #[serde(rename = "bytes_most")]
     pub max_bytes_per_sec: f64,
-    /// Suspicions in the quiet time, by hour.
+    /// Suspicions per hour in the quiet time.
     #[serde(rename = "suspicions_an_hour")]
     pub suspicions_per_hour: f64,
-    /// Live members that were declared dead in the quiet time, by hour.
+    /// Declarations of live members as dead, per hour in the quiet time.
     #[serde(rename = "false_deaths_an_hour")]
     pub false_deaths_per_hour: f64,
 }
 
-/// Plays a run with these faults; the start is always one.
-pub fn play(config: RunConfig, faults: &[Fault]) -> RunResult {
+/// Executes a run with these faults. `Fault::Start` is always included.
+pub fn run(config: RunConfig, faults: &[Fault]) -> RunResult {
     let mut network = Network::new(config.seed, config.members, &SEEDS);
     let loss = f64::from(config.loss_percent) / 100.0;
     network.links = LinkConditions { loss, duplication: DUPLICATION, jitter: JITTER };
     let mut settle_secs = Vec::new();
     for fault in ALL_FAULTS.into_iter().filter(|f| *f == Fault::Start || faults.contains(f)) {
-        let took = cause(&mut network, config.members, fault);
+        let took = inject_fault(&mut network, config.members, fault);
         settle_secs.push((fault, took.map(|time| time.as_secs_f64())));
     }
     network.run_for(PAUSE_BEFORE_QUIET);
@@ -195,12 +198,12 @@
     }
 }
 
-/// Causes a fault and lets time pass until all members have one view again. The time counts from the moment from which
-/// they can; none if they have not settled in time.
-fn cause(network: &mut Network, size: usize, fault: Fault) -> Option<Duration> {
+/// Injects a fault and runs the network until it has settled. Returns the time taken, counted from the moment from which
+/// the members are able to settle, or `None` if they have not settled within the time limit.
+fn inject_fault(network: &mut Network, size: usize, fault: Fault) -> Option<Duration> {
     let all: Vec<usize> = (0..size).collect();
     let last = size - 1;
-    // The member that a crash has ended is back before any other fault.
+    // Restarts the member that `Fault::Crash` killed, before any later fault.
     if fault != Fault::Start && !network.running().contains(&last) {
         network.start(last);
         if fault != Fault::Restart {
@@ -215,7 +218,7 @@
             network.kill(last);
             return network.run_until_settled(&all[..last], SETTLE_TIMEOUT);
         }
-        // It was started above.
+        // The member was restarted above.
         Fault::Restart => {}
         Fault::Partition => partition(network, &all),
         Fault::OneWayPartition => one_way_partition(network, &all),
@@ -253,8 +256,8 @@
 }
 
 fn partition(network: &mut Network, all: &[usize]) {
-    let (one, other) = all.split_at(all.len() / 2);
-    network.partition(one, other);
+    let (first, second) = all.split_at(all.len() / 2);
+    network.partition(first, second);
     network.run_for(PARTITION_TIME);
     network.heal();
 }
@@ -267,8 +270,8 @@
 }
 
 fn partition_with_restarts(network: &mut Network, all: &[usize]) {
-    let (one, other) = all.split_at(all.len() / 2);
-    network.partition(one, other);
+    let (first, second) = all.split_at(all.len() / 2);
+    network.partition(first, second);
     network.run_for(PARTITION_TIME);
     let is_restarted = |member: &usize| member % 10 == 3 || all.len() < 10 && *member == 1;
     let restarted: Vec<usize> = all.iter().copied().filter(is_restarted).collect();
@@ -297,7 +300,7 @@
     for member in all {
         network.kill(*member);
     }
-    // The seeds stay dead until the others have found each other.
+    // The seeds stay down until the other members have settled.
     let (seeds, others) = all.split_at(SEEDS.len().min(all.len() - 1));
     start_gradually(network, others, RESTART_TIME / all.len() as u32);
     let took = network.run_until_settled(others, SETTLE_TIMEOUT);
