--- a/crates/lab/tests/takeover/model.rs
+++ b/crates/lab/tests/takeover/model.rs
@@ -175,17 +175,22 @@
             earlier_attempts: [None; MESSAGES],
         }
     }
+
     pub fn has_calls_in_flight(&self) -> bool {
         self.messages.iter().any(|state| matches!(state, MessageState::InFlight(_)))
     }
+
+    /// Returns whether the process has a call of one of these messages in flight, also from an earlier period as the owner.
     fn has_call_of(&self, range: std::ops::RangeTo<usize>) -> bool {
         let is_in_flight = |state: &MessageState| matches!(state, MessageState::InFlight(_));
         self.messages[range].iter().any(is_in_flight)
             || self.earlier_attempts[range].iter().any(Option::is_some)
     }
+
     fn waits_for_predecessor(&self) -> bool {
         self.messages.iter().any(|state| matches!(state, MessageState::AtPredecessor(_)))
     }
+
     pub fn accepts(&self) -> bool {
         self.alive && matches!(self.takeover.state, State::Serving | State::Draining { .. })
     }
@@ -297,7 +302,7 @@
         }
     }
 
-    /// Replays the journal. An attempt that a killed process started may have run, so its message is complete.
+    /// Replays the journal. An attempt that a killed process started may have run, so its message ends as undeliverable.
     fn replay_journal(&mut self, fault: InjectedFault, p: usize) {
         let has_predecessor = self.late_outcomes.is_some();
         for m in 0..MESSAGES {
