--- a/tests/net/mod.rs
+++ b/tests/net/mod.rs
@@ -64,7 +64,7 @@
 }
 
 impl Fleet {
-    /// Starts all members at once. `seeds` holds the indices of the members that all others use as gossip seeds.
+    /// Starts all members at once. `seeds` holds the indices of the members that all members use as gossip seeds.
     pub fn start(seed: u64, count: usize, seeds: &[usize]) -> Fleet {
         let ips: Vec<IpAddr> = (0..count).map(|_| unique_address()).collect();
         let network = Arc::new(Network::new(seed, &ips));
@@ -258,7 +258,10 @@
             |line: &LogLine| format!("{:9.3} n{:<3} {}\n", line.at - began, line.member, line.text);
         let is_relevant = |line: &&LogLine| {
             let text = &line.text;
-            text.contains("neighbour") || text.contains("peer") || text.starts_with("TEST")
+            text.contains("neighbour")
+                || text.contains("peer")
+                || text.contains("leaving the fleet")
+                || text.starts_with("TEST")
         };
         let lines = all.iter().filter(is_relevant);
         format!("seed {}\n{}", self.seed, lines.map(format_line).collect::<String>())
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -21,7 +21,7 @@
     (Server::start(reply), fails)
 }
 
-/// Returns the number of calls that carry a message whose ID starts with `prefix`.
+/// Returns the number of calls that carry a message whose id starts with `prefix`.
 fn count_calls(server: &Server, prefix: &str) -> usize {
     server.received().iter().filter(|call| call.request_id().starts_with(prefix)).count()
 }
@@ -182,7 +182,7 @@
     endpoint.wait_request("s1");
     let log = a.log();
     assert!(!log.contains("receiving observations from a peer"), "{log}");
-    a.wait_log("TLS handshake timed out");
+    a.wait_log("closed: TLS handshake timed out");
 }
 
 #[test]
