--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -60,7 +60,7 @@
     out: PathBuf,
 }
 
-/// Whether all fleets settled after all faults.
+/// Result of all runs: whether every fleet settled after every fault.
 #[derive(PartialEq)]
 enum Verdict {
     AllSettled,
@@ -146,7 +146,7 @@
     bar
 }
 
-/// Prints the options that repeat each run in which the fleet did not settle.
+/// Prints, for each run in which the fleet did not settle, the options that repeat it. Returns whether there was such a run.
 fn report_never_settled(results: &[RunResult]) -> Verdict {
     let mut verdict = Verdict::AllSettled;
     for result in results {
--- a/crates/lab/src/network/links.rs
+++ b/crates/lab/src/network/links.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Minimum delay of a datagram, typical of two machines at one site.
+/// Minimum delay of a datagram, as is typical between two machines at one site.
 const BASE_DELAY: Duration = Duration::from_micros(300);
 
 /// Conditions that apply to all links that are not blocked.
--- a/crates/lab/src/network/mod.rs
+++ b/crates/lab/src/network/mod.rs
@@ -17,8 +17,8 @@
 
 /// Number of member slots beyond the expected members, for members that join later.
 const SPARE_MEMBERS: usize = 64;
-/// Maximum number of events per second and expected member. Above this limit the run panics because of a datagram storm. A
-/// healthy fleet has a few hundred in its worst second.
+/// Maximum number of events per second and expected member. More events are a datagram storm, and the run panics. A healthy
+/// fleet has a few hundred per member in its worst second.
 const MAX_EVENTS_PER_SEC: u64 = 5000;
 
 /// A simulated event of one process.
@@ -60,7 +60,7 @@
 pub struct Network {
     /// The virtual time since the start of the run.
     pub now: Duration,
-    /// Conditions of all links.
+    /// Conditions of all links that are not blocked.
     pub links: LinkConditions,
     /// The group of the members that are started from now on.
     pub group: String,
@@ -198,7 +198,7 @@
         match event {
             Event::Datagram(bytes) => process.node.handle_datagram(now, &bytes),
             Event::Wakeup => {
-                // The wakeup was rescheduled since.
+                // The wakeup was rescheduled after this event was queued.
                 if process.wakeup_at != at {
                     return;
                 }
--- a/crates/lab/src/network/processes.rs
+++ b/crates/lab/src/network/processes.rs
@@ -21,7 +21,7 @@
 const LEAVE_INTERVAL: Duration = Duration::from_millis(30);
 /// Maximum number of datagrams in the socket buffer of a suspended process. Further datagrams are lost.
 const SOCKET_BUFFER_DATAGRAMS: usize = 512;
-/// Minimum delay of a wakeup. Without it, a node that requests wakeups in the past would stop the virtual time.
+/// Minimum delay of a wakeup. Without it, virtual time would not advance while a node requests wakeups in the past.
 const MIN_WAKEUP_DELAY: Duration = Duration::from_millis(1);
 
 /// A running or suspended process of a member.
@@ -34,9 +34,9 @@
     pub(super) wakeup_at: Duration,
     /// Unique for each start; later starts have higher numbers.
     pub(super) generation: u64,
-    /// Addresses of remembered members that were on disk at the start.
+    /// Addresses of known members that the process found on disk at its start.
     remembered: Vec<SocketAddr>,
-    /// The fleet last agreed on that was on disk at the start.
+    /// Names of the members of the fleet last agreed on, as the process found them on disk at its start.
     agreed_fleet: BTreeSet<String>,
 }
 
@@ -80,6 +80,7 @@
     incarnation: u64,
     /// Addresses of the members that it knew.
     remembered: Vec<SocketAddr>,
+    /// Names of the members of the fleet last agreed on; empty after the member has left.
     agreed_fleet: BTreeSet<String>,
 }
 
@@ -214,7 +215,7 @@
         self.node(member).view(self.now)
     }
 
-    /// Publishes new attributes of a member.
+    /// Publishes new attributes of a member. Does nothing if the member does not run.
     pub fn publish_attributes(&mut self, member: usize, attributes: Attributes) {
         if let Some(process) = self.processes[member].as_mut() {
             process.node.publish_attributes(self.now, attributes);
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -14,7 +14,7 @@
 const SIZE_HEADROOM: f64 = 1.2;
 /// Minimum upper end of the value axis, so that a plot of zeros has an axis.
 const MIN_PLOT_TOP: f64 = 0.1;
-// Sort keys of the figures that belong to no fault; they follow the figures of the faults.
+// Sort keys of the figures that are not measured for a single fault. They follow the figures of the faults.
 const BYTES_ORDER: usize = 90;
 const MAX_BYTES_ORDER: usize = 91;
 const SUSPICIONS_ORDER: usize = 92;
@@ -33,7 +33,7 @@
     pub runs: usize,
     /// Number of runs without a value, because the fleet never settled.
     pub never_settled: usize,
-    /// Smallest value. It, the median and the largest value are NaN if no run has a value.
+    /// Smallest value. `min`, `median` and `max` are NaN if no run has a value.
     pub min: f64,
     /// Median of the values.
     pub median: f64,
@@ -157,7 +157,7 @@
     Ok(plots)
 }
 
-/// Converts an error of the plotting library to text, because its type depends on the backend.
+/// Converts an error of the plotting library to text, because the error type depends on the backend.
 fn reason(error: impl Display) -> String {
     error.to_string()
 }
--- a/crates/lab/tests/scenarios/mod.rs
+++ b/crates/lab/tests/scenarios/mod.rs
@@ -181,6 +181,7 @@
     assert!(false_deaths <= 12, "at most 12 false deaths, those of the suspended members: {false_deaths}");
 }
 
+/// A third of the members restarts at a time, in five rounds. The fleet settles after each round.
 pub fn the_fleet_settles_after_rolling_restarts_under_loss(seed: u64) {
     let (mut network, all) = start_fleet(seed, 12, 0.15);
     for round in 0..5 {
@@ -196,6 +197,7 @@
     }
 }
 
+/// All members are killed, and all except the seeds start again within a second. They find each other from their snapshots.
 pub fn the_fleet_settles_after_a_full_restart_without_its_seeds() {
     let (mut network, all) = start_fleet(13, 12, 0.05);
     for member in &all {
--- a/crates/lab/tests/takeover/liveness.rs
+++ b/crates/lab/tests/takeover/liveness.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// Returns all runs in which a round may end that begins at one of `runs`. Each process in `live` must poll.
+/// Returns all runs that one further round can lead to from any of `runs`. Each process in `live` polls at least once.
 fn after_round(runs: &HashSet<Run>, live: &[usize]) -> HashSet<Run> {
     let mut seen: HashSet<(Run, Polls)> = runs.iter().map(|run| (run.clone(), [0, 0])).collect();
     let mut unexplored: Vec<_> = seen.iter().cloned().collect();
@@ -60,7 +60,7 @@
     end_runs
 }
 
-/// Returns all runs in which a number of rounds may end.
+/// Returns all runs that this number of rounds can lead to from `start`.
 fn after_rounds(start: Run, rounds: usize, live: &[usize]) -> HashSet<Run> {
     (0..rounds).fold(HashSet::from([start]), |runs, _| after_round(&runs, live))
 }
--- a/crates/lab/tests/takeover/model.rs
+++ b/crates/lab/tests/takeover/model.rs
@@ -7,8 +7,8 @@
 use micaladder::Nanos;
 use stateright::{Model, Property};
 
-/// Number of messages. They must not take effect twice, and they share an ordering key: the second is sent only after the
-/// first is complete.
+/// Number of messages. No message may run twice at the partner. The messages share an ordering key: the second one is sent
+/// only after the first one is complete.
 const MESSAGES: usize = 2;
 const MAX_KILLS: u8 = 2;
 const MAX_STARTS: u8 = 2;
@@ -75,14 +75,14 @@
     journal: [JournalState; MESSAGES],
     /// Content of the file `late`; `None` if it does not exist.
     late_outcomes: Option<Vec<LateOutcome>>,
-    /// Whether the message may have run at the partner.
+    /// For each message, whether it may have run at the partner.
     may_have_run: [bool; MESSAGES],
     attempts: [u8; MESSAGES],
     disk_full: bool,
     kills: u8,
     starts: u8,
     disk_changes: u8,
-    /// The last rule that a transition violated.
+    /// The last rule that a transition violated; `None` if no rule was violated.
     violation: Option<&'static str>,
 }
 
