--- a/src/acme.rs
+++ b/src/acme.rs
@@ -123,7 +123,7 @@
     }
 }
 
-/// Loads the saved certificate into `store`. Returns false if there is no usable certificate.
+/// Loads the saved certificate into `store`. Returns `false` if there is no usable certificate.
 fn load_saved(path: &FilePath, store: &CertificateStore) -> bool {
     let Ok(pem) = std::fs::read_to_string(path) else { return false };
     store.replace(&pem).is_ok()
--- a/src/client/as2/mod.rs
+++ b/src/client/as2/mod.rs
@@ -95,7 +95,7 @@
     let mdn = mdn_format::parse(&body).ok_or(ClientError::InvalidMdn)?;
     let content_type = format!("Content-Type: {}\r\n\r\n", header(&headers, "content-type"));
     let entity = [content_type.as_bytes(), &body[..]].concat();
-    front.exchange.receipt_received(mdn.original_message_id, entity.into());
+    front.exchange.mdn_received(mdn.original_message_id, entity.into());
     Ok(StatusCode::OK)
 }
 
--- a/src/client/listener.rs
+++ b/src/client/listener.rs
@@ -75,7 +75,7 @@
     }
 
     /// Returns whether the kernel gives all new connections to a process that listens at this address later, until that
-    /// process exits. Where the kernel does not support that, it spreads connections over both listeners, so this listener
+    /// process exits. If the kernel does not support that, it spreads connections over both listeners, so this listener
     /// must be closed once the successor listens.
     pub fn yields_to_later(&self) -> bool {
         self.yields_to_later
--- a/src/core/completions.rs
+++ b/src/core/completions.rs
@@ -62,8 +62,8 @@
     }
 
     /// Returns the completion to report while the journal cannot be written. If this process is killed now, the next one
-    /// resumes the message, so the client of an at-most-once message must not be told that a retry is harmless: the
-    /// message could run twice.
+    /// resumes the message. An at-most-once message is therefore reported as undeliverable instead of deferred: a client
+    /// may retry a deferred message, and the message could run twice.
     fn completion_without_journal(&self, context: &RequestContext, requested: Completion) -> Completion {
         let effect = self.settings.classes.get(context.class).map(|c| c.effect);
         let would_run_again = (context.deadline - self.now).secs() > DEADLINE_MARGIN_S;
--- a/src/core/takeover.rs
+++ b/src/core/takeover.rs
@@ -1,5 +1,5 @@
 //! Takeover of the journal by another process while calls are in flight. The process that releases the journal (the
-//! predecessor) reports the outcomes of its calls. The process that takes the journal over keeps back the messages of these
+//! predecessor) reports the outcomes of its calls. The process that takes the journal over holds back the messages of these
 //! calls, and all later messages with the same ordering key, until it has the outcomes.
 use super::in_flight::Stage;
 use super::messages::EndpointObservation;
@@ -31,7 +31,8 @@
     in_flight: BTreeSet<MessageId>,
     /// Messages whose call has ended without a delivery, and the time at which they resume.
     resume_at: BTreeMap<MessageId, Nanos>,
-    /// By ordering key, messages that wait for one of those above, in order. The decision module does not have them yet.
+    /// By ordering key, messages that wait for a message in `in_flight` or `resume_at`, in order. The decision module does not
+    /// have them yet.
     waiting: HashMap<u64, Vec<MessageId>>,
     /// Ordering keys of the messages in `in_flight` and `resume_at`.
     keys: HashMap<MessageId, u64>,
@@ -141,7 +142,7 @@
 
 /// Operations of the process that takes the journal over.
 impl Core {
-    /// Keeps back messages for which the predecessor may still have calls in flight.
+    /// Holds back messages for which the predecessor may still have calls in flight.
     pub(super) fn await_predecessor_calls(&mut self, ids: &[MessageId]) {
         self.predecessor_calls.in_flight.extend(ids);
         for id in ids {
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -1,5 +1,5 @@
 //! Simulation of a core on a disk whose operations may fail and whose process may be killed at any step. Checks attempts,
-//! callbacks and the journal's contents at each step. Virtual time, no network, and reproducible by seed.
+//! callbacks and the journal's contents at each step. Runs in virtual time without a network, and is reproducible by seed.
 use super::in_flight::{InFlight, Stage};
 use super::pending::PendingMessage;
 use super::*;
@@ -54,7 +54,7 @@
         let bytes = self.state().contents.get("journal").cloned().unwrap_or_default();
         journal::replay(&bytes).records
     }
-    /// Size of all files in whole blocks.
+    /// Returns the size of all files, each rounded up to whole blocks.
     fn size(&self) -> usize {
         self.state().contents.values().map(|f| f.len().next_multiple_of(512)).sum()
     }
@@ -615,7 +615,7 @@
 
 /// Guards against a core that calls a failing disk in every step.
 #[test]
-fn retries_a_failing_disk_once_a_second() {
+fn retries_a_failing_disk_once_per_second() {
     let mut simulation = Simulation::new(7);
     simulation.run(60);
     simulation.inject_faults(ALL_OPERATIONS, 0, u64::MAX, 0);
@@ -644,7 +644,7 @@
 }
 
 /// Guards against a message that is reported as deferred although the next process resumes it: its completion cannot be
-/// journalled while the disk fails, so after a kill its client must not have been told that a retry is harmless.
+/// journalled while the disk fails. After a kill, the resumed message and the client's retry could both run.
 #[test]
 fn at_most_once_message_shed_while_the_disk_fails_is_undeliverable() {
     let mut simulation = Simulation::with_capacity(2, 1 << 20);
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -144,7 +144,7 @@
     service.run(process, &folder, lock, terminate).await
 }
 
-/// Starts the management listener before any step that may take long. It answers "not ready" until this process serves.
+/// Starts the management listener before any step that may take long. It responds with "not ready" until this process serves.
 fn start_management(config: &Config, process: &mut Process) -> Result<(), DaemonError> {
     let Some(address) = config.mgmt else { return Ok(()) };
     if process.management.is_none() {
--- a/src/daemon/released.rs
+++ b/src/daemon/released.rs
@@ -13,7 +13,7 @@
 /// or [`SHUTDOWN_TIMEOUT`] has passed.
 ///
 /// The process still accepts clients and rejects their requests, because no other process listens until the successor does.
-/// Where the kernel prefers the successor's listener, this one stays open in case the successor dies.
+/// If the kernel prefers the successor's listener, this one stays open in case the successor dies.
 pub(super) async fn run(
     service: Service, process: &mut Process, folder: &SharedFolder, shutdown_requested_at: Option<Instant>,
     terminate: &mut Terminate,
--- a/src/daemon/startup.rs
+++ b/src/daemon/startup.rs
@@ -46,7 +46,7 @@
         now: clock::now(),
     });
     let (exchange, outputs) = Exchange::new(core);
-    let Outputs { upstream_commands, platform_callbacks, as2_receipts } = outputs;
+    let Outputs { upstream_commands, platform_callbacks, as2_completions } = outputs;
     let initial_endpoints = discovery::endpoints(&config.deployment, &config.initial_endpoints);
     exchange.update_endpoints(EndpointUpdate::Complete(initial_endpoints));
     if let Some(reader) = late_outcomes {
@@ -58,7 +58,7 @@
     tokio::spawn(callbacks::run(discovery.address, exchange.clone(), platform_callbacks));
     let limiter = ConnectionLimiter::new(config.socket_limit / CLIENT_SOCKETS_DIVISOR);
     if let Some(as2) = as2 {
-        start_as2_front(config, as2, &exchange, as2_receipts, &limiter).await?;
+        start_as2_front(config, as2, &exchange, as2_completions, &limiter).await?;
     }
     Ok(Parts { exchange, fleet: discovery.fleet, limiter })
 }
@@ -127,11 +127,11 @@
 /// Starts the front for AS2 partners, with TLS if the settings name a certificate authority.
 async fn start_as2_front(
     config: &Config, settings: Arc<As2Settings>, exchange: &Exchange,
-    receipts: mpsc::UnboundedReceiver<crate::core::Callback>, limiter: &Arc<ConnectionLimiter>,
+    completions: mpsc::UnboundedReceiver<crate::core::Callback>, limiter: &Arc<ConnectionLimiter>,
 ) -> Result<(), DaemonError> {
     let listener = listen_for_partners(config, &settings.listen).await.map_err(DaemonError::ClientAddress)?;
     log::info!("AS2 front listens on {}", settings.listen);
-    tokio::spawn(client::as2::send_mdns(settings.clone(), exchange.clone(), receipts));
+    tokio::spawn(client::as2::send_mdns(settings.clone(), exchange.clone(), completions));
     let authority = settings.acme.clone();
     let routes = client::as2::routes(client::as2::As2Front {
         deployment: config.deployment.clone(),
--- a/src/discovery/watcher.rs
+++ b/src/discovery/watcher.rs
@@ -1,6 +1,6 @@
 //! Follows the endpoint list. Keeps one watch open; when the watch falls silent, opens further watches in parallel and keeps the
-//! first one that receives data. Independent of the use of the list. A [`Connector`] opens the connections, so that tests can
-//! replace them.
+//! first one that receives data. Does not depend on how the list is used. A [`Connector`] opens the connections, so that tests
+//! can replace them.
 use super::list_parser::{ListParser, ListTooLong, WatchEvent};
 use super::timing::{Pollers, POLL_INTERVAL, POLL_TIMEOUT, SHARED_PROBE_DELAY, SILENCE_TIMEOUT};
 use crate::backoff::Backoff;
--- a/src/exchange/command.rs
+++ b/src/exchange/command.rs
@@ -12,10 +12,10 @@
     Submit { context: RequestContext, reply: oneshot::Sender<Answer> },
     /// Passes an input to the core.
     Input(Input),
-    /// Registers an attempt that waits for the asynchronous receipt of this AS2 message.
-    AwaitReceipt { message_id: String, reply: oneshot::Sender<Bytes> },
-    /// Delivers an asynchronous receipt that has arrived on a client connection.
-    ReceiptReceived { message_id: String, receipt: Bytes },
+    /// Registers an attempt that waits for the asynchronous MDN (AS2 receipt) of this message.
+    AwaitMdn { message_id: String, reply: oneshot::Sender<Bytes> },
+    /// Delivers an asynchronous MDN that has arrived on a client connection.
+    MdnReceived { message_id: String, mdn: Bytes },
     /// Shuts down gracefully. The reply is sent when the process may exit.
     ShutDown { reply: oneshot::Sender<()> },
     /// Returns this forwarder's local endpoint observations.
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -4,7 +4,7 @@
 //! - `command`: the commands to and from the exchange task
 //! - `task`: the task that drives the core
 //! - `core_handle`: the core behind a mutex
-//! - `receipts`: matches asynchronous AS2 receipts with the attempts that wait for them
+//! - `receipts`: matches asynchronous MDNs (AS2 receipts) with the attempts that wait for them
 //! - `shutdown`: the phases of a graceful shutdown
 #![warn(missing_docs)]
 mod command;
@@ -57,8 +57,8 @@
     pub upstream_commands: UnboundedReceiver<UpstreamCommand>,
     /// Completion callbacks to the platform.
     pub platform_callbacks: UnboundedReceiver<Callback>,
-    /// Completions of messages from AS2 partners, each due an asynchronous receipt (MDN).
-    pub as2_receipts: UnboundedReceiver<Callback>,
+    /// Completions of messages from AS2 partners, each of which requires an asynchronous MDN.
+    pub as2_completions: UnboundedReceiver<Callback>,
 }
 
 impl Exchange {
@@ -138,17 +138,17 @@
         self.core.lock().enable_metrics(clock::now())
     }
 
-    /// Registers an attempt that waits for the asynchronous AS2 receipt (MDN) of this message. The receipt arrives on a client
+    /// Registers an attempt that waits for the asynchronous MDN (AS2 receipt) of this message. The MDN arrives on a client
     /// connection and is delivered through the returned receiver.
-    pub fn await_receipt(&self, message_id: &str) -> oneshot::Receiver<Bytes> {
-        let (reply, receipt) = oneshot::channel();
-        self.send(Command::AwaitReceipt { message_id: message_id.to_string(), reply });
-        receipt
+    pub fn await_mdn(&self, message_id: &str) -> oneshot::Receiver<Bytes> {
+        let (reply, mdn) = oneshot::channel();
+        self.send(Command::AwaitMdn { message_id: message_id.to_string(), reply });
+        mdn
     }
 
-    /// Forwards an asynchronous AS2 receipt (MDN) to the attempt that waits for it.
-    pub fn receipt_received(&self, message_id: String, receipt: Bytes) {
-        self.send(Command::ReceiptReceived { message_id, receipt });
+    /// Forwards an asynchronous MDN (AS2 receipt) to the attempt that waits for it.
+    pub fn mdn_received(&self, message_id: String, mdn: Bytes) {
+        self.send(Command::MdnReceived { message_id, mdn });
     }
 
     /// Sets the state of client connections. Has no effect once the state is [`ClientConnections::Closing`].
--- a/src/exchange/task.rs
+++ b/src/exchange/task.rs
@@ -1,7 +1,7 @@
 //! The task that drives the core. It collects commands, runs at most one step of the core per tick, and executes the outputs.
 use super::command::{ClientConnections, Command, Suspension, UpstreamCommand};
 use super::core_handle::SharedCore;
-use super::receipts::PendingReceipts;
+use super::receipts::PendingMdns;
 use super::shutdown::{self, ShutdownPhase};
 use super::{AttemptId, Outputs};
 use crate::clock;
@@ -65,10 +65,10 @@
     tick: Duration,
     /// Reply channels of the clients that wait for an answer.
     answers: BTreeMap<MessageId, oneshot::Sender<Answer>>,
-    receipts: PendingReceipts,
+    pending_mdns: PendingMdns,
     upstream_commands: UnboundedSender<UpstreamCommand>,
     platform_callbacks: UnboundedSender<Callback>,
-    as2_receipts: UnboundedSender<Callback>,
+    as2_completions: UnboundedSender<Callback>,
     client_connections: watch::Sender<ClientConnections>,
     /// Set once the journal has been released to another process.
     released: Option<ReleasedJournal>,
@@ -88,17 +88,17 @@
     pub(super) fn new(core: SharedCore) -> (ExchangeTask, watch::Receiver<ClientConnections>, Outputs) {
         let (upstream_commands, upstream_commands_received) = unbounded_channel();
         let (platform_callbacks, platform_callbacks_received) = unbounded_channel();
-        let (as2_receipts, as2_receipts_received) = unbounded_channel();
+        let (as2_completions, as2_completions_received) = unbounded_channel();
         let (client_connections, client_connections_received) = watch::channel(ClientConnections::Open);
         let tick = Duration::from_nanos(core.lock().tick().0).min(MAX_TICK);
         let task = ExchangeTask {
             core,
             tick,
             answers: BTreeMap::new(),
-            receipts: PendingReceipts::default(),
+            pending_mdns: PendingMdns::default(),
             upstream_commands,
             platform_callbacks,
-            as2_receipts,
+            as2_completions,
             client_connections,
             released: None,
             suspensions: Vec::new(),
@@ -109,7 +109,7 @@
         let outputs = Outputs {
             upstream_commands: upstream_commands_received,
             platform_callbacks: platform_callbacks_received,
-            as2_receipts: as2_receipts_received,
+            as2_completions: as2_completions_received,
         };
         (task, client_connections_received, outputs)
     }
@@ -169,8 +169,8 @@
                 inputs.push(Input::Submitted { id, context });
             }
             Command::Input(input) => inputs.push(input),
-            Command::AwaitReceipt { message_id, reply } => self.receipts.register(message_id, reply),
-            Command::ReceiptReceived { message_id, receipt } => self.receipts.deliver(&message_id, receipt),
+            Command::AwaitMdn { message_id, reply } => self.pending_mdns.register(message_id, reply),
+            Command::MdnReceived { message_id, mdn } => self.pending_mdns.deliver(&message_id, mdn),
             Command::Observations { reply } => {
                 let observations = self.core.lock().observations(clock::now());
                 let _ = reply.send(observations);
@@ -315,9 +315,10 @@
     }
 
     fn send_callback(&self, callback: Callback) {
-        // Only messages that arrived by a transport other than the platform's have an origin.
-        let channel = if callback.origin.is_empty() { &self.platform_callbacks } else { &self.as2_receipts };
-        // The send fails if no AS2 transport is configured, since the receiver is dropped then.
+        // Only messages that arrived at a front other than the platform's have an origin.
+        let channel =
+            if callback.origin.is_empty() { &self.platform_callbacks } else { &self.as2_completions };
+        // The send fails if no AS2 front is configured, since the receiver is dropped then.
         let _ = channel.send(callback);
     }
 }
--- a/src/fleet/error.rs
+++ b/src/fleet/error.rs
@@ -1,7 +1,7 @@
-//! Errors of the fleet package.
+//! Errors of the fleet module.
 use std::io;
 
-/// An error of the fleet package.
+/// An error of the fleet module.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
     /// The node has left the fleet or its task has ended, so it no longer executes commands.
--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -45,7 +45,7 @@
 pub struct KnownMembers {
     /// This member; `None` before the node has started and after it has left.
     pub local: Option<Member>,
-    /// Present members, without this one and those that are draining.
+    /// Present members, without this member and without draining members.
     pub available: Vec<Member>,
     /// Present members that have sent datagrams and have not presented a certificate in their current incarnation.
     pub unauthenticated: Vec<Member>,
--- a/src/fleet/node/mod.rs
+++ b/src/fleet/node/mod.rs
@@ -192,7 +192,7 @@
     fn expire_suspicions(&mut self) {
         let others = self.membership.active_count();
         for expired in self.suspicions.remove_expired(self.clock.active(), others) {
-            // A suspect that has refuted the suspicion is not suspected any more, or in another SWIM incarnation.
+            // A suspect that has refuted the suspicion is no longer suspected, or is suspected in another SWIM incarnation.
             let suspected = self.membership.suspected_incarnation(&expired.suspect);
             if suspected != Some(expired.swim_incarnation) {
                 continue;
--- a/src/fleet/partition.rs
+++ b/src/fleet/partition.rs
@@ -1,8 +1,8 @@
 //! Partition detection: decides on which side of a network partition this member is. Does no I/O.
 //!
 //! The *quorum base* is the set of members of which a majority is required. It contains every member that was ever present,
-//! until the member announces that it leaves. Silence does not remove a member, as a stopped member and an unreachable one
-//! cannot be told apart; only a majority removes it, after `SILENT_MEMBER_TTL`.
+//! until the member announces that it leaves. Silence alone does not remove a member, as a stopped member cannot be
+//! distinguished from an unreachable one. Only a majority removes silent members, after `SILENT_MEMBER_TTL`.
 //!
 //! A side is the majority if more than half of the quorum base is present, and also more than half of the fleet last
 //! *agreed* on. The second condition prevents members that joined on one side only from outvoting the members on the other
--- a/src/fleet/view.rs
+++ b/src/fleet/view.rs
@@ -18,7 +18,7 @@
     Draining,
     /// The member departed after it announced that it leaves.
     Left,
-    /// The member is silent: stopped or unreachable, which the observer cannot tell apart.
+    /// The member is silent: stopped or unreachable, which the observer cannot distinguish.
     Dead,
     /// Another member of the same name has a higher incarnation.
     #[serde(rename = "shut-out")]
--- a/src/fleet/wire/tests.rs
+++ b/src/fleet/wire/tests.rs
@@ -5,7 +5,7 @@
 
 const HEADER: Header = Header { digest: 77, side: PartitionSide::Majority };
 
-/// One message of each kind.
+/// Returns one message of each kind.
 fn messages() -> Vec<Message> {
     let attributes =
         Attributes { zone: "z1".into(), version: "0.2.0".into(), settings_epoch: 1, ..Attributes::default() };
--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -1,4 +1,4 @@
-//! Actions that the decision module asks the forwarder to carry out.
+//! Actions that the decision module returns and the forwarder carries out.
 use super::{EndpointId, MessageId, Nanos};
 
 /// An action for the forwarder. Actions are carried out in the order in which they are emitted.
@@ -25,7 +25,7 @@
     Reject {
         /// The message.
         id: MessageId,
-        /// Retry-After for the client; `None` where the deployment sends none.
+        /// Retry-After for the client; `None` if the deployment sends none.
         after: Option<Nanos>,
     },
     /// Final answer: delivery is given up, and the message may or may not have taken effect.
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -67,8 +67,8 @@
     Resumed(Message, PriorAttempts),
     /// An attempt ended.
     AttemptEnded(AttemptEnded),
-    /// An endpoint sent a Retry-After. This event does not depend on what became of the call that it
-    /// answered; the outcome of that call, if it still counts, repeats the Retry-After.
+    /// An endpoint sent a Retry-After in its response to a call. The event is reported regardless of the
+    /// outcome of the call. If the outcome is `Rejected`, it contains the Retry-After too.
     RetryAfter {
         /// The endpoint.
         host: EndpointId,
--- a/src/interface/outcome.rs
+++ b/src/interface/outcome.rs
@@ -7,7 +7,7 @@
 pub enum Outcome {
     /// The message was delivered.
     Ok,
-    /// The destination answered with an error; the message may have run.
+    /// The destination responded with an error; the message may have run.
     Error,
     /// Rejected without being processed, with the Retry-After if one was sent; the message never ran.
     Rejected(Option<Nanos>),
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -116,10 +116,10 @@
     pub retry_after: Option<Nanos>,
     /// Attempts in flight may be cancelled.
     pub may_cancel: bool,
-    /// Maximum interval between requests for the endpoint list, where the list is only sent on request;
-    /// `None` where it is pushed.
+    /// Maximum interval between requests for the endpoint list, if the list is only sent on request;
+    /// `None` if it is pushed.
     pub poll_interval: Option<Nanos>,
-    /// Responses report the limit of their destination, where it has one.
+    /// Responses report the limit of their destination, if it has one.
     pub limits_reported: bool,
     /// Meaning of the rates in the endpoint list.
     pub listed_rates: ListedRates,
@@ -132,6 +132,6 @@
     pub overload_multiple: f64,
     /// Time for which a returning destination tolerates calls above `overload_multiple`.
     pub overload_window: Nanos,
-    /// Pause of an ordering key after an attempt that may still run; zero where no pause is needed.
+    /// Pause of an ordering key after an attempt that may still run; zero if no pause is needed.
     pub ordering_pause: Nanos,
 }
--- a/src/journal/codec.rs
+++ b/src/journal/codec.rs
@@ -155,7 +155,7 @@
     pub(crate) length: usize,
 }
 
-/// Reads a log up to the first incomplete or corrupt record. Data behind it cannot be told from garbage.
+/// Reads a log up to the first incomplete or corrupt record. Data behind it cannot be distinguished from garbage.
 pub(crate) fn replay(log: &[u8]) -> Replay {
     let mut replay = Replay { records: Vec::new(), length: 0 };
     while let Some(decoded) = decode_at(log, replay.length) {
--- a/src/journal/record.rs
+++ b/src/journal/record.rs
@@ -83,7 +83,7 @@
 pub enum LateOutcome {
     /// The endpoint confirmed delivery.
     Delivered,
-    /// The endpoint answered that the message needs no further delivery.
+    /// The endpoint responded that the message needs no further delivery.
     Final,
     /// The attempt failed, and the endpoint may have processed the message.
     MayHaveRun,
@@ -121,7 +121,7 @@
 pub enum Completion {
     /// An endpoint confirmed delivery.
     Delivered,
-    /// The client withdrew the message, or the endpoint answered that it needs no further delivery.
+    /// The client withdrew the message, or the endpoint responded that it needs no further delivery.
     Withdrawn,
     /// The message can no longer be delivered, or it may have been delivered and must not be sent again.
     Undeliverable,
--- a/src/logic/dispatch.rs
+++ b/src/logic/dispatch.rs
@@ -39,7 +39,7 @@
     }
 
     /// Fills one slot from a destination, with the message that loses most by waiting, at the endpoint with
-    /// the lowest cost. Returns false if the destination has no message to send.
+    /// the lowest cost. Returns `false` if the destination has no message to send.
     fn fill_slot(&mut self, dest: DestinationId) -> bool {
         let Some((first, endpoint)) = self.next_send(&self.destinations[&dest]) else { return false };
         // All messages of a call share its outcome, so a trial call carries only one.
--- a/src/logic/gain.rs
+++ b/src/logic/gain.rs
@@ -20,7 +20,7 @@
 }
 
 impl DestinationQueue {
-    /// Updates rates and ARR's gain. Returns true if the gain rose. Departure from the design: only the wait
+    /// Updates rates and ARR's gain. Returns `true` if the gain rose. Departure from the design: only the wait
     /// that this forwarder could have avoided counts. Otherwise a slow destination would miss the objective
     /// because of its own latency and keep the highest priority permanently.
     fn review(&mut self, now: Nanos, latency_objective: f64) -> bool {
--- a/src/logic/health.rs
+++ b/src/logic/health.rs
@@ -38,7 +38,7 @@
         *share += FAILURE_GAIN * (1.0 - *share);
     }
 
-    /// Records a served call with its latency in seconds. Returns true if the call ends an outage.
+    /// Records a served call with its latency in seconds. Returns `true` if the call ends an outage.
     pub(super) fn record_served(&mut self, now: Nanos, sent_at: Nanos, latency: f64) -> bool {
         self.latency.sample(latency);
         self.consecutive_unanswered = 0;
--- a/src/logic/pacing.rs
+++ b/src/logic/pacing.rs
@@ -59,7 +59,7 @@
         EqualShare { rate: limit / settings.forwarders.max(1) as f64 }
     }
 
-    /// Records a rejection. Returns true if the pace was reduced; the rejection of a call that was sent
+    /// Records a rejection. Returns `true` if the pace was reduced; the rejection of a call that was sent
     /// before the last reduction does not reduce it again. Rejected calls may use up the limit too, so an
     /// unchanged pace could sustain the overload. Each further rejection therefore halves the pace, until the
     /// demand of all forwarders together is only a part of the limit.
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -75,7 +75,7 @@
     /// Returns the number of forwarders that poll the same discovery service, over which polls are spread in time.
     ///
     /// The number is 1 if discovery pushes its list. A pushed list reaches each forwarder at no cost to the others, and its
-    /// endpoints count as notified as soon as it changes, so a forwarder that waited to spread the load would keep sending to
+    /// changes count as known to all forwarders at once. A forwarder that waited to spread the load would keep sending to
     /// draining endpoints.
     pub fn polling_forwarders(&self) -> usize {
         match self.module.poll_interval {
--- a/src/upstream/as2.rs
+++ b/src/upstream/as2.rs
@@ -1,4 +1,4 @@
-//! The AS2 encoding of attempts (RFC 4130) as signed messages to a partner, and the interpretation of the receipts (MDNs).
+//! The AS2 encoding of attempts (RFC 4130) as signed messages to a partner, and the interpretation of the partner's MDNs.
 use super::connection::UpstreamRequest;
 use super::platform::{self, CallKind};
 use super::pool::Pool;
@@ -15,12 +15,12 @@
 use std::sync::Arc;
 use tokio::time::timeout;
 
-/// The longest synchronous receipt in bytes. A signed receipt has about ten thousand.
-const MAX_RECEIPT_BYTES: usize = 256 * 1024;
+/// The longest synchronous MDN in bytes. A signed MDN has about ten thousand.
+const MAX_MDN_BYTES: usize = 256 * 1024;
 
 type EncodeError = Box<dyn std::error::Error + Send + Sync>;
 
-/// An encoded request, and the digest that its receipt must contain.
+/// An encoded request, and the digest that its MDN must contain.
 struct SignedRequest {
     request: UpstreamRequest,
     /// The message integrity check (MIC) of the message, a digest (RFC 4130, section 7.3.1).
@@ -33,7 +33,7 @@
     format!("<{}@{local_name}>", name.chars().map(sanitize).collect::<String>())
 }
 
-/// Makes the call and waits for its receipt. Dropping this future cancels the call and closes its connection.
+/// Makes the call and waits for its MDN. Dropping this future cancels the call and closes its connection.
 pub(super) async fn call(
     pool: Arc<Pool>, attempt: &Attempt, settings: &As2Settings, partner: &Partner, exchange: &Exchange,
 ) -> AttemptResult {
@@ -45,8 +45,8 @@
             return Outcome::Skipped.into();
         }
     };
-    // Registered before the first byte is sent, because an asynchronous receipt may arrive before the response.
-    let asynchronous_receipt = exchange.await_receipt(&id);
+    // Registered before the first byte is sent, because an asynchronous MDN may arrive before the response.
+    let asynchronous_mdn = exchange.await_mdn(&id);
     let to = request.uri().clone();
     let make_request = || exchange.may_send(attempt.into()).then_some(request);
     let listener = platform::retry_after_listener(attempt, CallKind::Single, exchange);
@@ -62,17 +62,17 @@
     if !head.status.is_success() {
         return platform::result_of_head(head.status, &head.headers);
     }
-    let receipt = if partner.is_mdn_asynchronous() {
-        asynchronous_receipt.await.unwrap_or_default()
+    let mdn = if partner.is_mdn_asynchronous() {
+        asynchronous_mdn.await.unwrap_or_default()
     } else {
-        let Ok(body) = Limited::new(body, MAX_RECEIPT_BYTES).collect().await else {
-            // The connection broke or the body is too long, so there is no receipt. The call may have run.
+        let Ok(body) = Limited::new(body, MAX_MDN_BYTES).collect().await else {
+            // The connection broke or the body is too long, so there is no MDN. The call may have run.
             return Outcome::Reset.into();
         };
         let _ = timeout(platform::COMPLETION_GRACE_PERIOD, connection.release_when_ready()).await;
         into_mime_entity(&head.headers, &body.to_bytes())
     };
-    result_of_receipt(&receipt, &id, &mic, settings, partner)
+    result_of_mdn(&mdn, &id, &mic, settings, partner)
 }
 
 /// Converts a response body to a MIME entity with the content type of the response.
@@ -110,9 +110,9 @@
     Ok(SignedRequest { request: request.body(Full::new(body.into()))?, mic })
 }
 
-/// Returns the result that a receipt indicates. The message counts as delivered only if the partner signed the receipt and the
-/// receipt contains the id and the digest of the message.
-fn result_of_receipt(
+/// Returns the result that an MDN indicates. The message counts as delivered only if the partner signed the MDN and the MDN
+/// contains the id and the digest of the message.
+fn result_of_mdn(
     text: &[u8], id: &str, mic: &str, settings: &As2Settings, partner: &Partner,
 ) -> AttemptResult {
     let failed = |reason: &str, outcome: Outcome| {
@@ -131,18 +131,18 @@
             )
         }
     };
-    let Some(receipt) = mdn::parse(&part) else {
+    let Some(mdn) = mdn::parse(&part) else {
         return failed("the receipt cannot be parsed", Outcome::Error);
     };
-    if receipt.original_message_id != id {
+    if mdn.original_message_id != id {
         return failed("the receipt is for another message", Outcome::Error);
     }
-    match receipt.outcome() {
-        DispositionOutcome::Processed if receipt.received_content_mic.as_deref() == Some(mic) => {
+    match mdn.outcome() {
+        DispositionOutcome::Processed if mdn.received_content_mic.as_deref() == Some(mic) => {
             Outcome::Ok.into()
         }
         DispositionOutcome::Processed => failed("the receipt has a different digest", Outcome::Error),
-        DispositionOutcome::NotProcessed => failed(&receipt.disposition, Outcome::Rejected(None)),
-        DispositionOutcome::MayBeProcessed => failed(&receipt.disposition, Outcome::Error),
+        DispositionOutcome::NotProcessed => failed(&mdn.disposition, Outcome::Rejected(None)),
+        DispositionOutcome::MayBeProcessed => failed(&mdn.disposition, Outcome::Error),
     }
 }
