--- a/src/fleet/membership/tests.rs
+++ b/src/fleet/membership/tests.rs
@@ -106,7 +106,7 @@
     assert!(network.seen_by(0).iter().all(|m| m.address.port() < 1003), "{:?}", network.seen_by(0));
     network.partition_port = None;
     // The daemon also announces itself periodically to members that it knew before.
-    let effects = network.nodes.get_mut(&address(5)).expect("it runs").announce(address(0));
+    let effects = network.nodes.get_mut(&address(5)).expect("the node runs").announce(address(0));
     network.apply(address(5), effects);
     network.run(40);
     for n in 0..6 {
@@ -121,7 +121,7 @@
     network.run(20);
     for third in 0..3 {
         for n in (0..9).filter(|n| n % 3 == third) {
-            let effects = network.nodes.get_mut(&address(n)).expect("it runs").leave();
+            let effects = network.nodes.get_mut(&address(n)).expect("the node runs").leave();
             network.apply(address(n), effects);
         }
         network.run(1);
@@ -142,7 +142,7 @@
     let src = member(forger, 1);
     let header = foca::Header { src, src_incarnation: 0, dst: to.clone(), message: Message::Gossip };
     let alive = |n| foca::Member::new(member(n, 1), 0, foca::State::Alive);
-    encode(&header, &(from..from + count).map(alive).collect::<Vec<_>>()).expect("it fits")
+    encode(&header, &(from..from + count).map(alive).collect::<Vec<_>>()).expect("the message fits")
 }
 
 /// Gossip about forged members fills the table of one member. Real members must still be seen to join and leave, and the
@@ -157,7 +157,7 @@
         let bytes = forged_gossip(9000, &receiver, 10_000 + batch * 20, 20);
         assert!(bytes.len() <= MAX_PACKET_BYTES);
         // The effects are dropped: replies would go to members that do not exist.
-        network.nodes.get_mut(&address(0)).expect("it runs").handle_datagram(&bytes);
+        network.nodes.get_mut(&address(0)).expect("the node runs").handle_datagram(&bytes);
     }
     let member_count = network.seen_by(0).len();
     assert!((MAX_MEMBERS..MAX_MEMBERS + 20).contains(&member_count), "{member_count}");
@@ -165,7 +165,7 @@
     network.run(1);
     assert!(network.seen_by(0).contains(&member(3, 1)), "a joining member is admitted");
     assert!(network.seen_by(0).contains(&member(1, 1)) && network.seen_by(0).contains(&member(2, 1)));
-    let leave_message = network.nodes.get_mut(&address(1)).expect("it runs").leave();
+    let leave_message = network.nodes.get_mut(&address(1)).expect("the node runs").leave();
     network.apply(address(1), leave_message);
     network.run(1);
     assert!(!network.seen_by(0).contains(&member(1, 1)), "a leaving member is removed");
--- a/src/fleet/snapshot/tests.rs
+++ b/src/fleet/snapshot/tests.rs
@@ -37,7 +37,7 @@
     let mut store = open(folder.path(), 3_000_000);
     store.begin_incarnation(7);
     store.record(&members(1), &agreed_names(), 9);
-    let bytes = std::fs::read(folder.path().join(FILE_NAME)).expect("it was written");
+    let bytes = std::fs::read(folder.path().join(FILE_NAME)).expect("the file was written");
     let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
     assert_eq!(hex, "02d736e0390701026e31007f000001e9070902026e30026e31");
 }
@@ -82,7 +82,7 @@
     store.begin_incarnation(7);
     store.record(&members(3), &agreed_names(), 1);
     let file = folder.path().join(FILE_NAME);
-    let mut bytes = std::fs::read(&file).expect("it was written");
+    let mut bytes = std::fs::read(&file).expect("the file was written");
     corrupt(&mut bytes);
     std::fs::write(&file, bytes).expect("written");
     let mut store = open(folder.path(), 3_000_000);
