--- a/src/logic/expiry.rs
+++ b/src/logic/expiry.rs
@@ -102,11 +102,11 @@
         found
     }
 
-    /// Cancels one attempt if all slots are taken and a pending message needs only a slot. Cancels the attempt
-    /// with the least remaining value: of the overdue ones or, if too many attempts are overdue or past their
-    /// response timeout, of all of these. Otherwise unanswered calls could occupy all slots, regardless of the
-    /// cause. The cost: an attempt at a very slow endpoint may be cancelled although its response would still
-    /// have arrived.
+    /// Cancels one attempt if all slots are taken and a pending message needs only a slot. Cancels the
+    /// attempt with the least remaining value: of the overdue ones or, if too many attempts are overdue or
+    /// past their response timeout, of all of these. Otherwise unanswered calls could occupy all slots,
+    /// regardless of the cause. The cost: an attempt at a very slow endpoint may be cancelled although its
+    /// response would still have arrived.
     pub(super) fn cancel_to_free_slot(&mut self) {
         let candidates = self.cancel_candidates();
         let too_many =
@@ -136,8 +136,8 @@
             let Some(message) = self.messages.get(id) else { continue };
             let Some(attempt) = message.in_flight.filter(|attempt| !attempt.cancelled) else { continue };
             let timeout = self.attempt_timeout(attempt.endpoint, &self.settings.classes[message.class]);
-            // An attempt past twice its timeout is overdue even if the endpoint responds to other calls in the
-            // meantime.
+            // An attempt past twice its timeout is overdue even if the endpoint responds to other calls in
+            // the meantime.
             let overdue = (self.now - attempt.sent_at).0 / 2 > timeout.0;
             if attempt.unanswered || overdue {
                 found.push(CancelCandidate { id: *id, overdue });
--- a/src/logic/gain.rs
+++ b/src/logic/gain.rs
@@ -20,9 +20,9 @@
 }
 
 impl DestinationQueue {
-    /// Updates rates and ARR's gain. Returns `true` if the gain rose. Departure from the design: only the wait
-    /// that this forwarder could have avoided counts. Otherwise a slow destination would miss the objective
-    /// because of its own latency and keep the highest priority permanently.
+    /// Updates rates and ARR's gain. Returns `true` if the gain rose. Departure from the design: only the
+    /// wait that this forwarder could have avoided counts. Otherwise a slow destination would miss the
+    /// objective because of its own latency and keep the highest priority permanently.
     fn review(&mut self, now: Nanos, latency_objective: f64) -> bool {
         self.served_rate += SERVED_RATE_GAIN * (f64::from(self.served_since_review) - self.served_rate);
         self.demand *= 1.0 - DEMAND_GAIN;
