--- a/tests/takeover_order.rs
+++ b/tests/takeover_order.rs
@@ -27,6 +27,25 @@
     file
 }
 
+/// Waits until the second process has requested the folder, which it does only after its log line `waiting for it`. The id of
+/// a request is a Unix time in nanoseconds, and one of fewer than 19 digits is not completely written.
+fn wait_requested(first: &Daemon) {
+    const ID_DIGITS: usize = 19;
+    let path = first.folder.join("state/next");
+    let until = Instant::now() + EVENT_TIMEOUT;
+    loop {
+        let id = std::fs::read_to_string(&path).unwrap_or_default();
+        if id.len() == ID_DIGITS && id.parse::<u64>().is_ok() {
+            return;
+        }
+        assert!(
+            Instant::now() < until,
+            "timed out waiting for a request for the folder; `next` holds {id:?}"
+        );
+        sleep(Duration::from_millis(5));
+    }
+}
+
 /// Sends a message and returns the status of the response.
 fn submit(daemon: &Daemon, id: &str) -> u16 {
     daemon.submit("stats", id)
@@ -170,6 +189,7 @@
     let standby = acquire_lock(&first, "standby");
     let second = start_second(&first);
     second.wait_log("waiting for it");
+    wait_requested(&first);
     second.signal("-STOP");
     drop(standby);
     first.wait_log("handed over");
