--- a/tests/fleet_view.rs
+++ b/tests/fleet_view.rs
@@ -23,6 +23,12 @@
     (fleet, all)
 }
 
+/// Checks that the members agreed on a change sooner than a suspicion of a silent member could have expired.
+#[track_caller]
+fn check_sooner_than_suspicion(fleet: &Fleet, change: &str, elapsed_secs: f64) {
+    assert!(elapsed_secs < MIN_SUSPICION_SECS, "{change} after {elapsed_secs:.3} s\n{}", fleet.timeline());
+}
+
 /// A member that receives SIGTERM announces that it leaves. All others know it sooner than by suspicion, even if datagrams are
 /// lost, and the member is present again at once when it restarts.
 #[test]
@@ -31,22 +37,12 @@
     fleet.set_links(&all, &all, Link { loss: 0.15, ..Link::default() });
     let terminated_at = fleet.terminate(7);
     let absent_at = fleet.wait_for_agreement(&all[..7], TIMEOUT).expect("the others still see the member");
-    assert!(
-        absent_at - terminated_at < MIN_SUSPICION_SECS,
-        "absent after {:.3} s\n{}",
-        absent_at - terminated_at,
-        fleet.timeline()
-    );
+    check_sooner_than_suspicion(&fleet, "absent", absent_at - terminated_at);
     fleet.members[7].wait_exit(TIMEOUT);
     fleet.heal();
     let restarted_at = fleet.restart(7, false);
     let present_at = fleet.wait_for_agreement(&all, TIMEOUT).expect("the member is not present again");
-    assert!(
-        present_at - restarted_at < MIN_SUSPICION_SECS,
-        "present after {:.3} s\n{}",
-        present_at - restarted_at,
-        fleet.timeline()
-    );
+    check_sooner_than_suspicion(&fleet, "present", present_at - restarted_at);
 }
 
 /// All members are killed, and all but the seeds are started again. They find each other through their snapshots.
@@ -80,12 +76,7 @@
     // Members that have not yet detected its end see a restart. Its own view is complete once it sees the others.
     fleet.members[3].wait_log("member is up");
     let present_at = fleet.wait_for_agreement(&all, TIMEOUT).expect("the member is not present again");
-    assert!(
-        present_at - restarted_at < MIN_SUSPICION_SECS,
-        "present after {:.3} s\n{}",
-        present_at - restarted_at,
-        fleet.timeline()
-    );
+    check_sooner_than_suspicion(&fleet, "present", present_at - restarted_at);
 }
 
 /// Runs `micaladder fleet show` for the member at `address` and returns its exit code and output.
@@ -173,12 +164,7 @@
     let before: Vec<usize> = all[..3].iter().map(|n| fleet.members[*n].log().len()).collect();
     let resumed_at = all[..3].iter().map(|n| fleet.resume(*n)).fold(0.0, f64::max);
     let agreed_at = fleet.wait_for_agreement(&all, TIMEOUT).expect("the members do not see each other again");
-    assert!(
-        agreed_at - resumed_at < MIN_SUSPICION_SECS,
-        "agreed after {:.3} s\n{}",
-        agreed_at - resumed_at,
-        fleet.timeline()
-    );
+    check_sooner_than_suspicion(&fleet, "agreed", agreed_at - resumed_at);
     for (n, from) in all[..3].iter().zip(before) {
         let log = fleet.members[*n].log()[from..].to_string();
         for other in &all[3..] {
